--- a/src/sim/emulator.ts
+++ b/src/sim/emulator.ts
@@ -5,7 +5,7 @@
 import { SimCloud } from './cloud.ts';
 import { EventLog, type SimEvent } from './events.ts';
 import { aftermathS, type Fault, type MachineChoice, type NodeChoice } from './faults.ts';
-import { SimNetwork, type Cut, type Host } from './network.ts';
+import { SimNetwork, type Cut, type Host, type TrafficObserver } from './network.ts';
 import { ControllerNode, type Tamper } from './node.ts';
 import type { MachineType, ReportBody } from './protocol.ts';
 import { EventQueue } from './queue.ts';
@@ -79,11 +79,12 @@
     private readonly scenario: Scenario,
     logger: Logger,
     tamper?: Tamper,
+    observe?: TrafficObserver,
   ) {
     const { queue } = this;
     this.random = new Random(scenario.seed);
     this.log = new EventLog(() => queue.at);
-    this.network = new SimNetwork(queue, this.random);
+    this.network = new SimNetwork(queue, this.random, observe);
     const { settings, always } = scenario;
     this.state = new StateService(
       queue,
--- a/src/sim/network.ts
+++ b/src/sim/network.ts
@@ -42,6 +42,20 @@
   share: number;
 }
 
+/** A message at the moment at which it is sent; `status` is null for requests. */
+export interface SentMessage {
+  atMs: number;
+  from: Host;
+  to: Host;
+  method: string;
+  path: string;
+  status: number | null;
+  body: string;
+}
+
+/** Is told of every message of a day. It must not change anything. */
+export type TrafficObserver = (message: SentMessage) => void;
+
 const LEAST_DELAY_MS = 1;
 const MOST_DELAY_MS = 20;
 /** Of the packets held behind an interruption so many arrive once it is over. */
@@ -57,6 +71,7 @@
   constructor(
     private readonly queue: EventQueue,
     private readonly random: Random,
+    private readonly observe: TrafficObserver = () => undefined,
   ) {}
 
   cut(cut: Cut): void {
@@ -81,6 +96,10 @@
 
   /** A request and its answer, as a client of HTTP sees them. */
   exchange(from: Host, to: Host, request: HttpRequest, timeoutMs: number): Promise<HttpResult> {
+    const { method, path } = request;
+    const observe = (sender: Host, receiver: Host, status: number | null, body: string): void => {
+      this.observe({ atMs: this.queue.at, from: sender, to: receiver, method, path, status, body });
+    };
     return new Promise((resolve) => {
       let settled = false;
       const finish = (result: HttpResult): void => {
@@ -92,10 +111,12 @@
         finish({ kind: 'silent', sent: true, reason: 'no answer in time' });
       });
       const sentAt = this.queue.at;
+      observe(from, to, null, request.body);
       const refused = (): void => {
         finish({ kind: 'silent', sent: false, reason: 'ECONNREFUSED' });
       };
       const answer = ({ status, body, retryAfterS }: Answer): void => {
+        observe(to, from, status, retryAfterS === undefined ? body : `${body} retry after ${retryAfterS} s`);
         this.carry(to, from, 'answer', () => {
           finish({ kind: 'answer', status, body, retryAfterS: retryAfterS ?? null });
         });
--- /dev/null
+++ b/test/digest/digest.test.ts
@@ -0,0 +1,68 @@
+import assert from 'node:assert/strict';
+import test from 'node:test';
+import { digestDays } from './days.ts';
+import { digestOf, playMessages } from './traffic-digest.ts';
+
+const MIN_DAYS = 48;
+
+const FAULT_KINDS = [
+  'crash',
+  'crash_all',
+  'stall',
+  'state_refuses',
+  'state_outage',
+  'state_slow',
+  'late_writes',
+  'late_reports',
+  'late_commands',
+  'node_cut',
+  'zone_cut',
+  'machine_cut',
+  'machine_hang',
+  'machine_die',
+  'machine_notice',
+  'machine_deaf',
+  'machine_mute',
+  'quick_boots',
+  'cloud_trouble',
+  'close_looks',
+  'cancel_at_end',
+  'cancel_now',
+  'odd_requests',
+];
+
+test('the list has every kind of fault, three and five controllers, with and without relaying', () => {
+  const days = digestDays();
+  assert.ok(days.length >= MIN_DAYS, `${days.length} days`);
+  assert.equal(new Set(days.map(({ name }) => name)).size, days.length, 'names are unique');
+  const kinds = new Set(days.flatMap(({ sketch }) => sketch.faults.map((fault) => fault.kind)));
+  assert.deepEqual([...kinds].sort(), [...FAULT_KINDS].sort());
+  for (const suffix of ['-3', '-3-relaying', '-5', '-5-relaying']) {
+    assert.ok(
+      days.some(({ name }) => name.endsWith(suffix)),
+      suffix,
+    );
+  }
+});
+
+test('a day played twice has the same messages, and another one as soon as one setting differs', async () => {
+  const [day] = digestDays();
+  assert.ok(day);
+  const { sketch } = day;
+  const first = await digestOf(sketch);
+  assert.ok(first.messages > 1000, `${first.messages}`);
+  assert.deepEqual(await digestOf(sketch), first);
+  const changed = await digestOf({ ...sketch, reportsPerCoreS: 1 });
+  assert.notEqual(changed.sha256, first.sha256);
+});
+
+test('messages between controllers are hashed as encoded frames', async () => {
+  const [day] = digestDays();
+  assert.ok(day);
+  const frames: string[] = [];
+  await playMessages(day.sketch, (line) => {
+    if (line.includes(' MESH ')) frames.push(line);
+  });
+  assert.ok(frames.length > 10, `${frames.length}`);
+  for (const frame of frames) assert.match(frame, / [0-9a-f]{10,}$/);
+});
