--- /dev/null
+++ b/test/golden/state-service.ts
@@ -0,0 +1,33 @@
+import type { HttpResult, HttpSender } from '../../src/http/client.ts';
+import { StoreClient } from '../../src/store/client.ts';
+import { silent } from '../helpers.ts';
+
+/** How the scripted service answers one request: the HTTP status and the body. */
+export type ScriptedAnswer = readonly [status: number, body: string];
+
+/** The state service at the level of HTTP: every request is kept as one line of text, answers come from a script. */
+export class ScriptedStateService implements HttpSender {
+  readonly requests: string[] = [];
+
+  constructor(private readonly answer: (request: string) => ScriptedAnswer) {}
+
+  send(method: string, path: string, body: string | null): Promise<HttpResult> {
+    const request = body === null ? `${method} ${path}` : `${method} ${path} ${body}`;
+    this.requests.push(request);
+    const [status, text] = this.answer(request);
+    return Promise.resolve({ kind: 'answer', status, body: text, retryAfterS: null });
+  }
+
+  close(): void {
+    // No connections are held.
+  }
+
+  /** Requests that change something, in order. */
+  changing(): string[] {
+    return this.requests.filter((request) => !request.startsWith('GET '));
+  }
+
+  client(now: () => number): StoreClient {
+    return new StoreClient(() => this, { rps: 10_000, nodes: 1 }, now, silent);
+  }
+}
--- /dev/null
+++ b/test/golden/stored-records.test.ts
@@ -0,0 +1,818 @@
+/**
+ * The exact keys and values in the state service. A controller reads what earlier versions wrote, so these literals
+ * were taken from running code and must never follow a change of it.
+ */
+import assert from 'node:assert/strict';
+import test from 'node:test';
+import { RateBudget } from '../../src/store/budget.ts';
+import { defaultOptions } from '../../src/config/options.ts';
+import { Catalog, catalogValue, readCatalogValue } from '../../src/fleet/catalog.ts';
+import { Archive } from '../../src/jobs/archive.ts';
+import { BegunNotes } from '../../src/jobs/begun.ts';
+import { FinalCache } from '../../src/jobs/finals.ts';
+import { Job } from '../../src/jobs/job.ts';
+import {
+  begunValue,
+  chunkValue,
+  finalValue,
+  openValue,
+  readBegun,
+  readChunk,
+  readFinal,
+  readOpen,
+} from '../../src/jobs/records.ts';
+import { UserRequests } from '../../src/jobs/user-requests.ts';
+import { Election } from '../../src/leadership/election.ts';
+import { KEYS } from '../../src/store/keys.ts';
+import { LeaderWriter, type LateWriteJob, type WriteJob } from '../../src/store/writer.ts';
+import { decodeCatalog } from '../../src/wire/cloud.ts';
+import { encodeTxn, type Change, type Item } from '../../src/wire/state.ts';
+import { decodeJob } from '../../src/wire/user.ts';
+import { MachineRegistry } from '../../src/workers/machine-registry.ts';
+import { FakeClock, silent } from '../helpers.ts';
+import { ScriptedStateService } from './state-service.ts';
+
+/** Changes as they go to the state service. */
+const wire = (changes: readonly Change[]): string => encodeTxn([], changes);
+const item = (key: string, text: string): Item => ({ key, value: JSON.parse(text), version: 1, lease: null });
+/** Values that are no record of any kind. */
+const NO_RECORDS = ['null', 'true', '7', '"x"', '[]', '{}', '{"b":null}', '{"s":"gone"}', '{"at":"now"}'];
+
+test('the layout of keys', () => {
+  const keys = [
+    KEYS.leader,
+    KEYS.term,
+    KEYS.fence,
+    KEYS.catalog,
+    KEYS.openPrefix,
+    KEYS.open('req-000412'),
+    KEYS.final('req-000412'),
+    KEYS.finishedPrefix,
+    KEYS.finished('req-000412', 24),
+    KEYS.begunPrefix,
+    KEYS.begun(3),
+    KEYS.machinePrefix,
+    KEYS.machine(12),
+  ];
+  assert.equal(
+    keys.join(' '),
+    'leader term fence catalog o/ o/req-000412 f/req-000412 t/ t/req-000412/24 b/ b/3 m/ m/12',
+  );
+});
+
+// ---- open jobs ----
+
+const GANG =
+  '{"uid":"req-000412","batch":"train","crew":"vision","shape":"ensemble","rank":"urgent","loaves":16,"cores":8,"accelerators":1,"memGb":64,"recipe":"img-07","imageGb":6.2,"ovens":["g8"],"yard":null,"samePlace":true,"apart":false,"borrowed":true,"bakeS":240,"proofS":30,"coolS":4,"dueS":900}';
+const ARRAY =
+  '{"dueS":null,"coolS":0,"proofS":0,"bakeS":0.5,"borrowed":false,"apart":true,"samePlace":false,"yard":"a","ovens":null,"imageGb":0,"recipe":"ünï/1","memGb":0.25,"accelerators":0,"cores":1.5,"loaves":100000,"rank":"low","shape":"array","crew":"other","batch":"b","uid":"req-1"}';
+const DAEMON =
+  '{"uid":"req-00000000000000000009","batch":"serve","crew":"other","shape":"daemon","rank":"critical","loaves":1,"cores":0,"accelerators":0,"memGb":0,"recipe":"r","imageGb":1e-7,"samePlace":false,"apart":false,"borrowed":false,"bakeS":9007199254740991,"proofS":1,"coolS":1,"extra":{"kept":false}}';
+const STANDARD = GANG.replace('"urgent"', '"standard"').replace('["g8"]', '["g8","g4","c16"]');
+
+const OPEN_RECORDS = {
+  gang: '{"at":1800000000123,"job":{"uid":"req-000412","batch":"train","crew":"vision","shape":"ensemble","rank":"urgent","loaves":16,"cores":8,"accelerators":1,"memGb":64,"ovens":["g8"],"yard":null,"samePlace":true,"apart":false,"borrowed":true,"recipe":"img-07","imageGb":6.2,"bakeS":240,"proofS":30,"coolS":4,"dueS":900}}',
+  array:
+    '{"at":1800000000123,"job":{"uid":"req-1","batch":"b","crew":"other","shape":"array","rank":"low","loaves":100000,"cores":1.5,"accelerators":0,"memGb":0.25,"ovens":null,"yard":"a","samePlace":false,"apart":true,"borrowed":false,"recipe":"ünï/1","imageGb":0,"bakeS":0.5,"proofS":0,"coolS":0,"dueS":null}}',
+  daemon:
+    '{"at":1800000000123,"job":{"uid":"req-00000000000000000009","batch":"serve","crew":"other","shape":"daemon","rank":"critical","loaves":1,"cores":0,"accelerators":0,"memGb":0,"samePlace":false,"apart":false,"borrowed":false,"recipe":"r","imageGb":1e-7,"bakeS":9007199254740991,"proofS":1,"coolS":1}}',
+  standard:
+    '{"at":1800000000123,"job":{"uid":"req-000412","batch":"train","crew":"vision","shape":"ensemble","rank":"standard","loaves":16,"cores":8,"accelerators":1,"memGb":64,"ovens":["g8","g4","c16"],"yard":null,"samePlace":true,"apart":false,"borrowed":true,"recipe":"img-07","imageGb":6.2,"bakeS":240,"proofS":30,"coolS":4,"dueS":900}}',
+};
+
+const openRecordOf = (submission: string): string => {
+  const job = decodeJob(submission);
+  assert.ok(job.ok);
+  return JSON.stringify(openValue(job.value, 1_800_000_000_123));
+};
+
+test('the open record of an ensemble', () => {
+  assert.equal(openRecordOf(GANG), OPEN_RECORDS.gang);
+});
+
+test('the open record of an array whose fields came in another order', () => {
+  assert.equal(openRecordOf(ARRAY), OPEN_RECORDS.array);
+});
+
+test('the open record of a daemon: fields that were not sent stay away, unknown ones are dropped', () => {
+  assert.equal(openRecordOf(DAEMON), OPEN_RECORDS.daemon);
+});
+
+test('the open record of a job with several machine types', () => {
+  assert.equal(openRecordOf(STANDARD), OPEN_RECORDS.standard);
+});
+
+test('open records are read, and written again, as they were', () => {
+  for (const [name, text] of Object.entries(OPEN_RECORDS)) {
+    const record = readOpen(JSON.parse(text));
+    assert.ok(record, name);
+    assert.equal(JSON.stringify(openValue(record.job, record.createdWall)), text, name);
+    assert.equal(record.createdWall, 1_800_000_000_123);
+    assert.equal(readFinal(JSON.parse(text)), null, name);
+  }
+});
+
+test('an open record that no new submission may look like stays readable', () => {
+  const text = OPEN_RECORDS.gang
+    .replace('"crew":"vision"', '"crew":""')
+    .replace('"bakeS":240', '"bakeS":1e300')
+    .replace('["g8"]', '[""]');
+  const record = readOpen(JSON.parse(text));
+  assert.ok(record);
+  assert.equal(JSON.stringify(openValue(record.job, record.createdWall)), text.replace('1e300', '1e+300'));
+});
+
+test('what is not an open record is answered with null', () => {
+  for (const text of NO_RECORDS) assert.equal(readOpen(JSON.parse(text)), null, text);
+  const { gang } = OPEN_RECORDS;
+  const damaged = [
+    gang.replace('"at":1800000000123', '"at":null'),
+    gang.replace('"at":1800000000123,', ''),
+    gang.replace('"uid":"req-000412"', '"uid":"job-000412"'),
+    gang.replace('"shape":"ensemble"', '"shape":"swarm"'),
+    gang.replace('"rank":"urgent"', '"rank":"top"'),
+    gang.replace('"loaves":16', '"loaves":0'),
+    gang.replace('"loaves":16', '"loaves":100001'),
+    gang.replace('"loaves":16', '"loaves":1.5'),
+    gang.replace('"cores":8', '"cores":-1'),
+    gang.replace('"samePlace":true', '"samePlace":1'),
+    gang.replace('"recipe":"img-07",', ''),
+    gang.replace(/"job":.*}$/, '"job":null}'),
+  ];
+  for (const text of damaged) {
+    assert.notEqual(text, gang);
+    assert.equal(readOpen(JSON.parse(text)), null, text);
+  }
+});
+
+// ---- final records ----
+
+test('final records', () => {
+  assert.equal(JSON.stringify(finalValue('done', 16)), '{"s":"done","n":16}');
+  assert.equal(JSON.stringify(finalValue('cancelled', 0)), '{"s":"cancelled","n":0}');
+});
+
+test('final records are read, and written again, as they were', () => {
+  for (const text of ['{"s":"done","n":16}', '{"s":"cancelled","n":0}', '{"s":"done","n":100000}']) {
+    const status = readFinal(JSON.parse(text));
+    assert.ok(status && (status.stage === 'done' || status.stage === 'cancelled'), text);
+    assert.equal(JSON.stringify(finalValue(status.stage, status.done)), text);
+    assert.equal(status.running, 0);
+    assert.equal(readOpen(JSON.parse(text)), null, text);
+  }
+});
+
+test('what is not a final record is answered with null', () => {
+  const damaged = [
+    '{"s":"done"}',
+    '{"n":3}',
+    '{"s":"done","n":1.5}',
+    '{"s":"running","n":1}',
+    '{"s":"gone","n":1}',
+    '{"s":"done","n":"1"}',
+  ];
+  for (const text of [...NO_RECORDS, ...damaged]) assert.equal(readFinal(JSON.parse(text)), null, text);
+});
+
+test('the oldest final records move from their first place to the archive in one transaction', () => {
+  const pushed: WriteJob[] = [];
+  const archive = new Archive({
+    keep: 1,
+    txnOps: 6,
+    idle: () => true,
+    push: (job) => pushed.push(job),
+    post: (command) => {
+      command();
+    },
+  });
+  archive.add('req-000001', finalValue('done', 16));
+  archive.add('req-000002', finalValue('cancelled', 3));
+  archive.add('req-000003', finalValue('done', 1));
+  archive.tick();
+  assert.equal(
+    pushed.map((job) => wire(job.changes)).join('\n'),
+    '{"if":[],"then":[{"drop":"o/req-000001"},{"set":"f/req-000001","data":{"s":"done","n":16}},{"drop":"o/req-000002"},{"set":"f/req-000002","data":{"s":"cancelled","n":3}}]}',
+  );
+});
+
+// ---- starts of tasks ----
+
+test('a page of start notes is read, and written again, as it was', () => {
+  for (const text of ['{"b":[]}', '{"b":[["req-000001",16],["req-000002",0],["req-000003",100000]]}']) {
+    const entries = readBegun(JSON.parse(text));
+    assert.ok(entries);
+    assert.equal(JSON.stringify(begunValue(entries)), text);
+  }
+});
+
+test('what is not a page of start notes is answered with null', () => {
+  const damaged = [
+    '{"b":"damaged"}',
+    '{"b":[["req-000001"]]}',
+    '{"b":[["req-000001",1,2]]}',
+    '{"b":[["req-000001",-1]]}',
+    '{"b":[["req-000001",1.5]]}',
+    '{"b":[["req-000001","1"]]}',
+    '{"b":[[1,1]]}',
+    '{"b":[null]}',
+    '{"b":{"req-000001":1}}',
+  ];
+  for (const text of [...NO_RECORDS, ...damaged]) assert.equal(readBegun(JSON.parse(text)), null, text);
+});
+
+/** Start notes whose writes are taken in order when told to, each as the line of JSON that is sent. */
+function startNotes(pageBytes: number): { notes: BegunNotes; sent: () => string } {
+  const queue: LateWriteJob[] = [];
+  const notes = new BegunNotes({
+    pageBytes,
+    push: (job) => queue.push(job),
+    post: (command) => {
+      command();
+    },
+  });
+  const sent = (): string =>
+    queue
+      .splice(0)
+      .map((job) => {
+        const line = wire([job.build()]);
+        job.done();
+        return line;
+      })
+      .join('\n');
+  return { notes, sent };
+}
+
+test('the pages that start notes are written to, as jobs begin and end', () => {
+  const { notes, sent } = startNotes(80);
+  const told: string[] = [];
+  const note = (id: string, begun: number): void => {
+    notes.note(id, begun, () => told.push(`${id} ${begun}`));
+  };
+  note('req-000001', 16);
+  note('req-000002', 4);
+  note('req-000003', 1);
+  note('req-000001', 8);
+  const lines = [sent()];
+  note('req-000001', 32);
+  lines.push(sent());
+  notes.drop('req-000002');
+  lines.push(sent());
+  note('req-000004', 2);
+  note('req-000005', 3);
+  lines.push(sent());
+  assert.equal(
+    lines.join('\n--\n'),
+    [
+      '{"if":[],"then":[{"set":"b/0","data":{"b":[["req-000001",16],["req-000002",4]]}}]}',
+      '{"if":[],"then":[{"set":"b/1","data":{"b":[["req-000003",1]]}}]}',
+      '--',
+      '{"if":[],"then":[{"set":"b/0","data":{"b":[["req-000001",32],["req-000002",4]]}}]}',
+      '--',
+      '',
+      '--',
+      '{"if":[],"then":[{"set":"b/0","data":{"b":[["req-000001",32],["req-000004",2]]}}]}',
+      '{"if":[],"then":[{"set":"b/1","data":{"b":[["req-000003",1],["req-000005",3]]}}]}',
+    ].join('\n'),
+  );
+  assert.equal(
+    told.join(', '),
+    'req-000001 16, req-000002 4, req-000001 8, req-000003 1, req-000001 32, req-000004 2, req-000005 3',
+  );
+});
+
+test('start notes of an earlier leader: pages are read, and a damaged one is told of and never written again', () => {
+  const { notes, sent } = startNotes(80);
+  const malformed: string[] = [];
+  const found = notes.load(
+    [
+      item('b/0', '{"b":"damaged"}'),
+      item('b/1', '{"b":[["req-000001",16],["req-000009",2]]}'),
+      item('b/2', '{"b":[["req-000001",24]]}'),
+      item('b/x', '{"b":[["req-000002",1]]}'),
+      item('b/-1', '{"b":[["req-000003",1]]}'),
+    ],
+    (id) => id !== 'req-000009',
+    (key) => malformed.push(key),
+  );
+  assert.equal(JSON.stringify([...found.begun]), '[["req-000001",24]]');
+  assert.equal(found.unreadable, true);
+  assert.equal(malformed.join(' '), 'b/0 b/x b/-1');
+  for (const id of ['req-000001', 'req-000004', 'req-000005', 'req-000006', 'req-000007'])
+    notes.note(id, 48, () => undefined);
+  assert.equal(
+    sent(),
+    [
+      '{"if":[],"then":[{"set":"b/2","data":{"b":[["req-000001",48],["req-000004",48]]}}]}',
+      '{"if":[],"then":[{"set":"b/1","data":{"b":[["req-000001",16],["req-000005",48]]}}]}',
+      '{"if":[],"then":[{"set":"b/3","data":{"b":[["req-000006",48],["req-000007",48]]}}]}',
+    ].join('\n'),
+  );
+});
+
+// ---- finished tasks ----
+
+test('the completion chunks of a job', () => {
+  const submission = decodeJob(ARRAY.replace('100000', '9000'));
+  assert.ok(submission.ok);
+  const job = new Job(submission.value, 0, 0, 0);
+  for (const task of [0, 1, 7, 8, 4095, 4096, 8191, 8192, 8999]) job.markDone(task);
+  const chunks = [0, 1, 2].map((chunk) => JSON.stringify(chunkValue(job.chunkBits(chunk))));
+  assert.equal(
+    `${chunks[0]}`,
+    '{"b":"gwEAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAIA="}',
+  );
+  assert.equal(
+    `${chunks[1]}`,
+    '{"b":"AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAIA="}',
+  );
+  assert.equal(
+    `${chunks[2]}`,
+    '{"b":"AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAIA="}',
+  );
+  const later = new Job(submission.value, 0, 0, 0);
+  chunks.forEach((text, chunk) => {
+    const bits = readChunk(JSON.parse(text));
+    assert.ok(bits);
+    later.markChunkDurable(chunk, bits);
+    assert.equal(JSON.stringify(chunkValue(later.chunkBits(chunk))), text);
+  });
+  assert.equal(later.doneCount, 9);
+});
+
+test('the completion chunk of a small job', () => {
+  const submission = decodeJob(GANG);
+  assert.ok(submission.ok);
+  const job = new Job(submission.value, 0, 0, 0);
+  for (const task of [0, 2, 15]) job.markDone(task);
+  assert.equal(JSON.stringify(chunkValue(job.chunkBits(0))), '{"b":"BYA="}');
+  const bits = readChunk(JSON.parse('{"b":"BYA="}'));
+  assert.ok(bits);
+  assert.equal(JSON.stringify(chunkValue(bits)), '{"b":"BYA="}');
+});
+
+test('what is not a completion chunk is answered with null; damaged base64 is read as far as it goes', () => {
+  for (const text of [...NO_RECORDS, '{"b":7}', '{"b":[1]}']) {
+    assert.equal(readChunk(JSON.parse(text)), null, text);
+  }
+  const damaged = readChunk({ b: 'BY!A' });
+  assert.ok(damaged);
+  assert.equal(Buffer.from(damaged).toString('hex'), '0580');
+  assert.equal(readChunk({ b: '' })?.length, 0);
+});
+
+// ---- machines ----
+
+const machine = (number: number) => ({
+  name: `n-${String(number).padStart(6, '0')}`,
+  address: `10.1.0.${number}:9000`,
+  machineType: 'g8',
+  zone: number % 2 === 0 ? 'a' : 'b',
+  spot: number % 3 === 0,
+});
+
+/** A machine registry whose writes are durable when told to, each as the line of JSON that is sent. */
+function registry(pageBytes: number): { machines: MachineRegistry; sent: () => string } {
+  const queue: string[] = [];
+  const confirm: (() => void)[] = [];
+  const machines = new MachineRegistry({
+    pageBytes,
+    push: (job, urgent) => {
+      queue.push(`${urgent ? 'urgent' : 'calm'} ${wire(job.changes)}`);
+      confirm.push(job.done);
+    },
+    post: (command) => {
+      command();
+    },
+  });
+  const sent = (): string => {
+    for (const done of confirm.splice(0)) done();
+    return queue.splice(0).join('\n');
+  };
+  return { machines, sent };
+}
+
+test('the pages of the machine registry, as machines come and go', () => {
+  const { machines, sent } = registry(120);
+  const lines: string[] = [];
+  const flush = (calm: boolean): void => {
+    machines.flush(calm);
+    lines.push(`-- ${sent()}`);
+  };
+  const told: number[] = [];
+  const enroll = (number: number): void => {
+    machines.enroll(machine(number), () => told.push(number));
+  };
+  enroll(1);
+  flush(false);
+  for (const number of [2, 3, 4, 5, 6]) enroll(number);
+  flush(false);
+  machines.remove('n-000003');
+  flush(false);
+  flush(true);
+  enroll(7);
+  machines.remove('n-000001');
+  machines.remove('n-000002');
+  machines.remove('n-000009');
+  flush(false);
+  machines.remove('n-000005');
+  machines.remove('n-000006');
+  machines.remove('n-000007');
+  flush(true);
+  assert.equal(
+    lines.join('\n'),
+    [
+      '-- urgent {"if":[],"then":[{"set":"m/0","data":{"m":[["n-000001","10.1.0.1:9000","g8","b",false]]}}]}',
+      '-- urgent {"if":[],"then":[{"set":"m/0","data":{"m":[["n-000001","10.1.0.1:9000","g8","b",false],["n-000002","10.1.0.2:9000","g8","a",false]]}}]}',
+      'urgent {"if":[],"then":[{"set":"m/1","data":{"m":[["n-000003","10.1.0.3:9000","g8","b",true],["n-000004","10.1.0.4:9000","g8","a",false]]}}]}',
+      'urgent {"if":[],"then":[{"set":"m/2","data":{"m":[["n-000005","10.1.0.5:9000","g8","b",false],["n-000006","10.1.0.6:9000","g8","a",true]]}}]}',
+      '-- ',
+      '-- calm {"if":[],"then":[{"set":"m/1","data":{"m":[["n-000004","10.1.0.4:9000","g8","a",false]]}}]}',
+      '-- urgent {"if":[],"then":[{"set":"m/1","data":{"m":[["n-000004","10.1.0.4:9000","g8","a",false],["n-000007","10.1.0.7:9000","g8","b",false]]}}]}',
+      '-- calm {"if":[],"then":[{"drop":"m/0"}]}',
+      'calm {"if":[],"then":[{"set":"m/1","data":{"m":[["n-000004","10.1.0.4:9000","g8","a",false]]}}]}',
+      'calm {"if":[],"then":[{"drop":"m/2"}]}',
+    ].join('\n'),
+  );
+  assert.equal(told.join(' '), '1 2 3 4 5 6 7');
+});
+
+test('the registry of an earlier leader is read, and written again, as it was', () => {
+  const page =
+    '{"m":[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]}';
+  const { machines, sent } = registry(4000);
+  const malformed: string[] = [];
+  const found = machines.load([item('m/0', page)], (key) => malformed.push(key));
+  assert.equal(
+    JSON.stringify(found.map((identity) => Object.values(identity))),
+    '[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]',
+  );
+  assert.deepEqual(malformed, []);
+  machines.enroll(machine(1), () => undefined);
+  machines.flush(false);
+  assert.equal(
+    sent(),
+    'urgent {"if":[],"then":[{"set":"m/0","data":{"m":[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]}}]}',
+  );
+});
+
+test('a page of the registry that is not one is told of and leaves out its machines only', () => {
+  const { machines } = registry(4000);
+  const malformed: string[] = [];
+  const entry = '["n-000001","10.1.0.1:9000","g8","a",false]';
+  const found = machines.load(
+    [
+      ...NO_RECORDS.map((text, index) => item(`m/${index}`, text)),
+      item('m/20', '{"m":7}'),
+      item('m/21', '{"m":[["n-000001","10.1.0.1:9000","g8","a"]]}'),
+      item('m/22', '{"m":[["n-000001","10.1.0.1:9000","g8","a",0]]}'),
+      item('m/x', `{"m":[${entry}]}`),
+      item('m/-1', `{"m":[${entry}]}`),
+      item('m/23', '{"m":[]}'),
+      item('m/2', '{"m":[["n-000002","10.1.0.2:9000","c16","b",true]]}'),
+    ],
+    (key) => malformed.push(key),
+  );
+  assert.equal(found.map((identity) => identity.name).join(' '), 'n-000002');
+  assert.equal(malformed.join(' '), 'm/0 m/1 m/2 m/3 m/4 m/5 m/6 m/7 m/8 m/20 m/21 m/22 m/x m/-1');
+});
+
+// ---- the catalog ----
+
+const CLOUD_CATALOG =
+  '{"ovens":[{"name":"g8","cores":96,"accelerators":8,"memGb":768,"localGb":400,"pullGbPerS":0.5,"rate":24.5,"spotPrice":9.75,"startupS":90,"yards":["a","b"]},{"name":"c16","cores":16,"memGb":64,"rate":0.8,"yards":[],"novelty":1}]}';
+
+const CATALOG =
+  '{"types":[{"name":"g8","cpus":96,"gpus":8,"memory":768,"cacheGb":400,"fetchGbPerS":0.5,"price":24.5,"spotPrice":9.75,"bootS":90,"zones":["a","b"]},{"name":"c16","cpus":16,"gpus":0,"memory":64,"cacheGb":0,"fetchGbPerS":0,"price":0.8,"spotPrice":0.8,"bootS":0,"zones":[]}]}';
+
+test('the catalog record', () => {
+  const types = decodeCatalog(CLOUD_CATALOG);
+  assert.ok(types.ok);
+  assert.equal(JSON.stringify(catalogValue(new Catalog(types.value))), CATALOG);
+});
+
+test('the catalog record is read, and written again, as it was', () => {
+  const catalog = readCatalogValue(JSON.parse(CATALOG));
+  assert.ok(catalog);
+  assert.equal(JSON.stringify(catalogValue(catalog)), CATALOG);
+});
+
+test('what is not a catalog is answered with null', () => {
+  const text = CATALOG;
+  const damaged = [
+    '{"types":[]}',
+    '{"types":{}}',
+    text.replace('"price":24.5,', ''),
+    text.replace('"zones":[]', '"zones":[1]'),
+  ];
+  for (const bad of [...NO_RECORDS, ...damaged]) {
+    assert.notEqual(bad, text);
+    assert.equal(readCatalogValue(JSON.parse(bad)), null, bad);
+  }
+});
+
+// ---- leadership, on the level of the requests that the state service gets ----
+
+interface Standing {
+  election: Election;
+  service: ScriptedStateService;
+  pauses: number[];
+  /** Lets the election go on until it has won, or for so many pauses. */
+  run(pauses: number): Promise<void>;
+  won(): string;
+}
+
+/** An election on a scripted service: pauses are over at once, and move the clock. */
+function standing(records: Record<string, string>): Standing {
+  const clock = new FakeClock();
+  const pauses: number[] = [];
+  let left = 0;
+  const won: string[] = [];
+  const service = new ScriptedStateService((request) => {
+    if (request.startsWith('GET /store/')) {
+      const key = request.slice('GET /store/'.length);
+      const record = records[key];
+      return record === undefined ? [404, '{"ledger":130}'] : [200, record];
+    }
+    if (request.startsWith('POST /grants/')) return [200, '{}'];
+    if (request.startsWith('POST /grants')) return [200, '{"permit":77}'];
+    if (request.startsWith('POST /multi')) return [200, '{"ledger":131}'];
+    if (request.startsWith('DELETE ')) return [204, ''];
+    return [410, ''];
+  });
+  const { leadership } = defaultOptions();
+  const election = new Election(
+    'hearth-2',
+    'nonce-1',
+    service.client(() => clock.now()),
+    clock,
+    () => 0.5,
+    { ttlMs: leadership.lease_ms, renewMs: leadership.renew_ms },
+    { won: (held) => won.push(Object.values(held).join(' ')), lost: () => undefined },
+    silent,
+    (ms) => {
+      pauses.push(ms);
+      clock.at += ms;
+      left -= 1;
+      return left < 0 ? new Promise(() => undefined) : new Promise((resolve) => setImmediate(resolve));
+    },
+  );
+  return {
+    election,
+    service,
+    pauses,
+    run: async (count) => {
+      left = count;
+      election.start();
+      while (left >= 0 && won.length === 0) await new Promise((resolve) => setImmediate(resolve));
+    },
+    won: () => won.join(' '),
+  };
+}
+
+test('the first leader and term records, and the renewal and end of the lease', async () => {
+  const { election, service, run, won } = standing({});
+  await run(200);
+  assert.equal(won(), '1 131 77');
+  await new Promise((resolve) => setImmediate(resolve));
+  await new Promise((resolve) => setImmediate(resolve));
+  election.stepDown('ends');
+  assert.equal(
+    [...new Set(service.changing())].join('\n'),
+    [
+      'POST /grants {"ttlMs":3000}',
+      'POST /multi {"if":[{"k":"leader","stamp":0},{"k":"term","stamp":0}],"then":[{"set":"leader","data":{"node":"hearth-2","term":1,"nonce":"nonce-1"},"permit":77},{"set":"term","data":{"n":1}}]}',
+      'POST /grants/77/renew {}',
+      'DELETE /grants/77',
+    ].join('\n'),
+  );
+});
+
+test('the leader and term records of a later term', async () => {
+  const { service, run, won, election } = standing({
+    term: '{"k":"term","data":{"n":41},"stamp":120,"permit":null}',
+  });
+  await run(500);
+  election.stop();
+  assert.equal(won(), '42 131 77');
+  const transaction = service.changing().find((request) => request.startsWith('POST /multi'));
+  assert.equal(
+    transaction,
+    'POST /multi {"if":[{"k":"leader","stamp":0},{"k":"term","stamp":120}],"then":[{"set":"leader","data":{"node":"hearth-2","term":42,"nonce":"nonce-1"},"permit":77},{"set":"term","data":{"n":42}}]}',
+  );
+});
+
+test('a leader record of this node from before: its lease is ended', async () => {
+  const { service, run } = standing({
+    leader: '{"k":"leader","data":{"node":"hearth-2","term":41,"nonce":"nonce-0"},"stamp":121,"permit":76}',
+  });
+  await run(1);
+  assert.equal(
+    [...new Set(service.requests)].join('\n'),
+    ['GET /store/leader', 'DELETE /grants/76'].join('\n'),
+  );
+});
+
+test('a leader record of another node is followed', async () => {
+  const { service, run, election } = standing({
+    leader: '{"k":"leader","data":{"node":"hearth-1","term":41,"nonce":"nonce-9"},"stamp":121,"permit":76}',
+  });
+  await run(1);
+  assert.equal(election.leader(), 'hearth-1');
+  assert.equal(
+    [...new Set(service.requests)].join('\n'),
+    ['GET /store/leader', 'GET /follow?starts=leader&since=121&holdMs=20000'].join('\n'),
+  );
+});
+
+test('beside a malformed leader record nobody stands', async () => {
+  for (const data of [
+    ...NO_RECORDS,
+    '{"node":"hearth-1","term":1.5,"nonce":"n"}',
+    '{"node":"hearth-1","term":1}',
+  ]) {
+    const { service, run, pauses, election } = standing({
+      leader: `{"k":"leader","data":${data},"stamp":121,"permit":76}`,
+    });
+    await run(20);
+    assert.deepEqual(service.changing(), [], data);
+    assert.equal(election.leader(), null);
+    assert.deepEqual([...new Set(pauses)], [500]);
+  }
+});
+
+test('beside a malformed term record nobody stands', async () => {
+  for (const data of [...NO_RECORDS, '{"n":1.5}', '{"n":"1"}']) {
+    const { service, run, won } = standing({ term: `{"k":"term","data":${data},"stamp":120,"permit":null}` });
+    await run(300);
+    assert.deepEqual(service.changing(), [], data);
+    assert.equal(won(), '');
+  }
+});
+
+test('every write of a leader moves the fence, on the condition of the leader key and of the fence', async () => {
+  const clock = new FakeClock();
+  const now = (): number => clock.now();
+  const service: ScriptedStateService = new ScriptedStateService(() => [
+    200,
+    `{"ledger":${200 + service.requests.length}}`,
+  ]);
+  const client = service.client(now);
+  const writer = new LeaderWriter(
+    {
+      txn: (conditions, changes, timeoutMs) => client.txn(conditions, changes, 'lease', timeoutMs),
+      readFence: () => Promise.resolve(null),
+      readLeader: () => Promise.resolve(null),
+      lost: () => assert.fail('lost'),
+      pause: (ms) => {
+        clock.at += ms;
+        return Promise.resolve();
+      },
+    },
+    131,
+    0,
+    { txnOps: 4, bytes: 8000 },
+    new RateBudget(30, now),
+    silent,
+  );
+  const push = (changes: WriteJob['changes'], lane: 'ends' | 'starts' | 'progress' | 'background'): void => {
+    writer.push({ changes, done: () => undefined }, lane);
+  };
+  push([{ put: KEYS.finished('req-000002', 0), value: chunkValue(Buffer.from([5, 128])) }], 'progress');
+  push([{ delete: KEYS.machine(3) }], 'background');
+  push(
+    [
+      { put: KEYS.open('req-000001'), value: finalValue('done', 16) },
+      { delete: KEYS.finished('req-000001', 0) },
+    ],
+    'ends',
+  );
+  writer.push(
+    {
+      bytes: 100,
+      build: () => ({ put: KEYS.begun(0), value: begunValue([['req-000003', 16]]) }),
+      done: () => undefined,
+    },
+    'starts',
+  );
+  for (let turn = 0; turn < 20; turn++) await new Promise((resolve) => setImmediate(resolve));
+  assert.equal(
+    service.requests.join('\n'),
+    [
+      'POST /multi {"if":[{"k":"leader","stamp":131},{"k":"fence","stamp":0}],"then":[{"set":"o/req-000001","data":{"s":"done","n":16}},{"drop":"t/req-000001/0"},{"set":"b/0","data":{"b":[["req-000003",16]]}},{"set":"fence","data":{}}]}',
+      'POST /multi {"if":[{"k":"leader","stamp":131},{"k":"fence","stamp":201}],"then":[{"set":"t/req-000002/0","data":{"b":"BYA="}},{"drop":"m/3"},{"set":"fence","data":{}}]}',
+    ].join('\n'),
+  );
+});
+
+// ---- users' requests, on the same level ----
+
+/** The users' side of a controller without a leader, on a service that holds these records. */
+function users(records: Record<string, string>): { requests: UserRequests; service: ScriptedStateService } {
+  const clock = new FakeClock();
+  const service = new ScriptedStateService((request) => {
+    if (!request.startsWith('GET ')) return [200, '{"ledger":131}'];
+    const key = request.slice('GET /store/'.length);
+    const record = records[key];
+    if (record === undefined) return [404, '{"ledger":130}'];
+    return [200, `{"k":"${key}","data":${record},"stamp":125,"permit":null}`];
+  });
+  const client = service.client(() => clock.now());
+  const types = decodeCatalog(CLOUD_CATALOG);
+  assert.ok(types.ok);
+  const catalog = new Catalog(types.value);
+  const requests = new UserRequests({
+    clock,
+    options: defaultOptions(),
+    store: client,
+    finals: new FinalCache(10),
+    submissions: new RateBudget(100, () => 0),
+    teams: [{ name: 'vision', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }],
+    catalog: () => catalog,
+    leader: () => null,
+    actAlone: () =>
+      Promise.resolve({
+        term: 41,
+        commit: (conditions, changes, urgency) => client.txn(conditions, changes, urgency),
+        abandon: () => undefined,
+      }),
+    askLeader: () => Promise.resolve(null),
+    askOthers: () => Promise.resolve(null),
+  });
+  return { requests, service };
+}
+
+interface Told {
+  status: number;
+  body: string;
+}
+const show = (answer: Told): string => `${answer.status} ${answer.body}`;
+const submitted = ({ requests }: { requests: UserRequests }, body: string): Promise<string> =>
+  new Promise((resolve) => {
+    requests.submit(body, (answer) => {
+      resolve(show(answer));
+    });
+  });
+const polled = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
+  new Promise((resolve) => {
+    requests.poll(id, (answer) => {
+      resolve(show(answer));
+    });
+  });
+const cancelled = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
+  new Promise((resolve) => {
+    requests.cancel(id, (answer) => {
+      resolve(show(answer));
+    });
+  });
+
+test('a submission writes the open record where no record of the job is', async () => {
+  const side = users({});
+  assert.equal(
+    await submitted(side, GANG),
+    '201 {"uid":"req-000412","stage":"pending","done":0,"running":0}',
+  );
+  assert.equal(
+    side.service.requests.join('\n'),
+    'POST /multi {"if":[{"k":"o/req-000412","stamp":0},{"k":"f/req-000412","stamp":0}],"then":[{"set":"o/req-000412","data":{"at":1800000000000,"job":{"uid":"req-000412","batch":"train","crew":"vision","shape":"ensemble","rank":"urgent","loaves":16,"cores":8,"accelerators":1,"memGb":64,"ovens":["g8"],"yard":null,"samePlace":true,"apart":false,"borrowed":true,"recipe":"img-07","imageGb":6.2,"bakeS":240,"proofS":30,"coolS":4,"dueS":900}}}]}',
+  );
+});
+
+test('a cancellation without a leader writes the final record in the place of the open one', async () => {
+  const side = users({ 'o/req-000412': OPEN_RECORDS.gang });
+  assert.equal(
+    await cancelled(side, 'req-000412'),
+    '200 {"uid":"req-000412","stage":"aborted","done":0,"running":0}',
+  );
+  assert.equal(
+    side.service.requests.join('\n'),
+    [
+      'GET /store/o/req-000412',
+      'POST /multi {"if":[{"k":"o/req-000412","stamp":125}],"then":[{"set":"o/req-000412","data":{"s":"cancelled","n":0}}]}',
+    ].join('\n'),
+  );
+});
+
+test('what is told of a job by its records', async () => {
+  const states = [
+    await polled(users({ 'o/req-000412': OPEN_RECORDS.gang }), 'req-000412'),
+    await polled(users({ 'o/req-000412': '{"s":"done","n":16}' }), 'req-000412'),
+    await polled(users({ 'f/req-000412': '{"s":"cancelled","n":3}' }), 'req-000412'),
+    await polled(users({}), 'req-000412'),
+    // Unreadable in the first place: some job it is. Unreadable in the archive: nothing can be said.
+    await polled(users({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
+    await polled(users({ 'f/req-000412': '{"at":7}' }), 'req-000412'),
+    await cancelled(users({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
+  ];
+  assert.equal(
+    states.join('\n'),
+    [
+      '200 {"uid":"req-000412","stage":"pending","done":0,"running":0}',
+      '200 {"uid":"req-000412","stage":"done","done":16,"running":0}',
+      '200 {"uid":"req-000412","stage":"aborted","done":3,"running":0}',
+      '404 {"error":"no such job"}',
+      '200 {"uid":"req-000412","stage":"pending","done":0,"running":0}',
+      '503 {"error":"state not known now"}',
+      '503 {"error":"can not be cancelled now"}',
+    ].join('\n'),
+  );
+});
