--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -6,6 +6,7 @@
   wall(): number;
 }
 
+/** The clocks of this machine: `performance.now()`, which no adjustment of the time of day moves, and `Date.now()`. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
