--- a/eslint.config.js
+++ b/eslint.config.js
@@ -10,7 +10,6 @@
  */
 const legacyFiles = [
   'src/cli/**',
-  'src/config/**',
   'src/controller/**',
   'src/fleet/**',
   'src/http/**',
--- a/src/config/options.ts
+++ b/src/config/options.ts
@@ -164,8 +164,10 @@
 };
 
 type Sections = typeof TUNABLES;
+/** The operators' options: each tunable of TUNABLES by section and name, in the unit given there. */
 export type Options = { [S in keyof Sections]: Record<keyof Sections[S], number> };
 
+/** Every tunable at its default. */
 export function defaultOptions(): Options {
   const out: Record<string, Record<string, number>> = {};
   for (const [section, fields] of Object.entries(TUNABLES)) {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -58,6 +58,7 @@
   }),
 });
 
+/** The platform's settings file. `_s` and `_ms` fields are seconds and milliseconds, `rps` requests a second. */
 export type Settings = z.infer<typeof schema>;
 
 /** A settings or options file that can't be used; the message names the field. */
@@ -73,6 +74,7 @@
   throw new ConfigError(`${kind}: ${field || '(top)'}: ${issue?.message ?? 'invalid'}${extra}`);
 }
 
+/** Reads a text file. Throws a ConfigError with the system's error code if that fails; `kind` names the file's role. */
 export function readText(kind: string, path: string): string {
   try {
     return readFileSync(path, 'utf8');
@@ -81,6 +83,7 @@
   }
 }
 
+/** Parses and checks the text of a settings file. Throws a ConfigError that names the first invalid field. */
 export function parseSettings(text: string): Settings {
   let raw: unknown;
   try {
@@ -91,6 +94,7 @@
   return check('settings', schema, raw);
 }
 
+/** Reads and checks a settings file. Throws a ConfigError if it is unreadable or invalid. */
 export function loadSettings(path: string): Settings {
   return parseSettings(readText('settings', path));
 }
