--- a/src/mesh/connectivity.ts
+++ b/src/mesh/connectivity.ts
@@ -1,5 +1,6 @@
 import type { Clock } from '../base/clock.ts';
 
+/** What a node needs to judge whether it is cut off. */
 export interface ConnectivityDeps {
   clock: Clock;
   /** When the state service last served this node. */
--- a/src/mesh/frames.ts
+++ b/src/mesh/frames.ts
@@ -21,7 +21,8 @@
    */
   | { kind: 'promise'; term: number; ms: number; continuous: boolean };
 
-export type MeshStage = 'pending' | 'running' | 'done' | 'cancelled';
+/** Stage of a job as the frames between controllers name it. */
+type MeshStage = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** What a leader says of one job of a batch. */
 export type PollAnswer =
@@ -46,6 +47,7 @@
   | { kind: 'promised' }
   | { kind: 'here' };
 
+/** One message between controllers. A reply carries the id of its request; ids are unique for each connection. */
 export type MeshFrame =
   { id: number; request: MeshRequest; reply: null } | { id: number; request: null; reply: MeshReply };
 
@@ -236,6 +238,7 @@
   return { kind: 'status', created: false, stage: raw.stage, done: raw.done, running: raw.running };
 }
 
+/** Encodes a frame as Avro binary behind its length, a big-endian 32-bit integer. */
 export function encodeFrame(frame: MeshFrame): Buffer {
   const raw: RawFrame = {
     id: frame.id,
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -93,6 +93,7 @@
   }
 }
 
+/** Serves the requests of other controllers. `reply` may be called later; on a closed connection it does nothing. */
 export type MeshHandler = (request: MeshRequest, reply: (reply: MeshReply) => void) => void;
 
 /** The controllers among themselves: requests and replies over kept-open connections. */
