--- a/eslint.config.js
+++ b/eslint.config.js
@@ -15,7 +15,6 @@
   'src/jobs/**',
   'src/leader/**',
   'src/leadership/**',
-  'src/relay/**',
   'src/scheduling/**',
   'src/sim/**',
   'src/store/**',
--- a/src/relay/report-relay.ts
+++ b/src/relay/report-relay.ts
@@ -17,6 +17,7 @@
   judged: readonly JudgedReport[];
 }
 
+/** What the relay needs of the node it runs on. */
 export interface ReportRelayDeps extends PacerTimers {
   /** The controller that leads as far as is known here; null: none. */
   leader(): string | null;
--- a/src/relay/worker-shares.ts
+++ b/src/relay/worker-shares.ts
@@ -110,15 +110,17 @@
     const served = this.own.sofar(now);
     if (served <= this.carried * OWN_SHARE) return null;
     let best: string | null = null;
+    let bestReports: WindowCount | null = null;
     let fewest = served * CLEARLY_FEWER;
     for (const [name, follower] of this.followers) {
       const count = follower.reports.most(now);
       if (now - follower.heardAt > HEARD_MS || count >= fewest) continue;
       best = name;
+      bestReports = follower.reports;
       fewest = count;
     }
     // It counts there at once: until it reports there, others would be sent after it.
-    if (best !== null) this.followers.get(best)!.reports.add(now, 1);
+    bestReports?.add(now, 1);
     return best;
   }
 }
