--- a/eslint.config.js
+++ b/eslint.config.js
@@ -11,7 +11,6 @@
 const legacyFiles = [
   'src/controller/**',
   'src/fleet/**',
-  'src/http/**',
   'src/jobs/**',
   'src/leader/**',
   'src/leadership/**',
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,5 +1,6 @@
 import { Agent, request } from 'node:http';
 
+/** How a request ended. Failures are results, not errors: what follows from them depends on `sent`. */
 export type HttpResult =
   | { kind: 'answer'; status: number; body: string; retryAfterS: number | null }
   /** Nothing came back in time, or the connection failed. `sent` is false only when it can't have arrived. */
@@ -20,7 +21,8 @@
 
 const MAX_BODY = 64 * 1024 * 1024;
 
-export function keepAliveAgent(socketsPerHost: number): Agent {
+/** An agent that keeps up to `socketsPerHost` connections to each host open between requests. */
+function keepAliveAgent(socketsPerHost: number): Agent {
   return new Agent({
     keepAlive: true,
     maxSockets: socketsPerHost,
--- a/src/http/connections.ts
+++ b/src/http/connections.ts
@@ -1,6 +1,7 @@
 /** Who is at the other end, as far as the requests tell. */
 export type Peer = 'unknown' | 'worker' | 'user';
 
+/** How many of a node's sockets the HTTP server may use. */
 export interface SocketShares {
   /** Connections that may be open to the HTTP server at once; more are closed as they come. */
   inbound: number;
--- a/src/http/report-connection.ts
+++ b/src/http/report-connection.ts
@@ -7,6 +7,7 @@
 const MAX_HEAD = 8 * 1024;
 const HEAD_END = Buffer.from('\r\n\r\n');
 
+/** What the server does about the events of a report connection. */
 export interface ReportConnectionEvents {
   /** A report has arrived in full. The reply may be called once, at any time. */
   received(body: string, reply: (answer: Answer) => void): void;
--- a/src/http/report-head.ts
+++ b/src/http/report-head.ts
@@ -20,8 +20,8 @@
   for (const line of fields) {
     const field = FIELD.exec(line);
     if (!field) return null;
-    const name = field[1]!.toLowerCase();
-    const value = field[2]!;
+    const name = (field[1] ?? '').toLowerCase();
+    const value = field[2] ?? '';
     if (HANDLED_ELSEWHERE.has(name)) return null;
     if (name === 'connection' && value.toLowerCase() !== 'keep-alive') return null;
     if (name === 'host') hosts += 1;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -12,21 +12,26 @@
 const IDLE_CHECK_MS = 2000;
 const RELISTEN_MS = 50;
 
+/** An HTTP response with a JSON body. `retryAfterS`: seconds for the `Retry-After` header. */
 export interface Answer {
   status: number;
   body: string;
   retryAfterS?: number;
 }
 
+/** A request that has arrived in full; `path` is without the query. */
 export interface HttpRequest {
   method: string;
   path: string;
   body: string;
 }
 
+/** Sends the response of one request. Calls after the first do nothing. */
 export type Reply = (answer: Answer) => void;
+/** Serves a request; the reply may be called at any later time. */
 export type Handler = (request: HttpRequest, reply: Reply) => void;
 
+/** The response to a request that failed: the reason as `{"error": reason}`. */
 export function failure(status: number, reason: string, retryAfterS?: number): Answer {
   const body = JSON.stringify({ error: reason });
   return retryAfterS === undefined ? { status, body } : { status, body, retryAfterS };
@@ -38,6 +43,7 @@
   res.end(answer.body);
 }
 
+/** Limits of the HTTP server, and what it must know of the paths it serves. */
 export interface HttpServerOptions {
   sockets: SocketShares;
   /** How long a connection of each kind may be silent. */
@@ -46,7 +52,8 @@
   peerOf(path: string): Peer;
   /** Where workers report: served without Node's `http` in its plain form. */
   reportPath: string;
-  now(): number;
+  /** Steady milliseconds. */
+  now: () => number;
 }
 
 /**
@@ -86,7 +93,11 @@
         this.at = { host, port: (this.acceptor.address() as AddressInfo).port };
         this.acceptor.off('error', reject);
         // Only dropQueue listens again; what is in its way is gone a moment later.
-        this.acceptor.on('error', () => setTimeout(() => this.relisten(), RELISTEN_MS));
+        this.acceptor.on('error', () => {
+          setTimeout(() => {
+            this.relisten();
+          }, RELISTEN_MS);
+        });
         resolve();
       });
       this.idleTimer = setInterval(() => {
@@ -202,7 +213,8 @@
       const { socket } = req;
       this.connections.asked(socket, this.options.peerOf(path));
       let answered = false;
-      const body = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
+      const [first] = chunks;
+      const body = chunks.length === 1 && first ? first : Buffer.concat(chunks);
       this.handler({ method: req.method ?? 'GET', path, body: body.toString('utf8') }, (answer) => {
         if (answered) return;
         answered = true;
