--- a/src/base/command-queue.ts
+++ b/src/base/command-queue.ts
@@ -14,7 +14,7 @@
   ) {}
 
   /** Puts a command in the queue; it runs in the next batch, in order. */
-  post(command: () => void): void {
+  enqueue(command: () => void): void {
     this.queue.push(command);
     if (this.scheduled) return;
     this.scheduled = true;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -5,18 +5,18 @@
 import { AdaptiveLimit, USER_SLACK_MS, WORKER_SLACK_MS } from '../http/limit.ts';
 import { failure, type Answer, type HttpRequest, type Reply } from '../http/server.ts';
 import { UserRequests } from '../jobs/user-requests.ts';
-import { EndWrites } from '../jobs/end-writes.ts';
-import { FinalCache } from '../jobs/finals.ts';
-import type { TeamLimits } from '../jobs/admission.ts';
+import { TerminalWrites } from '../jobs/end-writes.ts';
+import { TerminalStateCache } from '../jobs/finals.ts';
+import type { TeamQuota } from '../jobs/admission.ts';
 import { Election, leaseMs, type Leadership } from '../leadership/election.ts';
-import { cancellationCanHold, reportGraceMs } from '../leadership/grace.ts';
+import { cancellationCanHold, heartbeatGraceMs } from '../leadership/grace.ts';
 import { answerBatch, PollBatcher } from '../jobs/poll-batches.ts';
 import { SharedReads } from '../jobs/shared-reads.ts';
-import type { MeshReply, MeshRequest, PollAnswer } from '../mesh/frames.ts';
-import { askAny } from '../mesh/ask.ts';
+import type { PeerReply, PeerRequest, PollAnswer } from '../mesh/frames.ts';
+import { callAny } from '../mesh/ask.ts';
 import { Connectivity } from '../mesh/connectivity.ts';
 import { LEADER_WRITES, RateBudget, submissionBudget } from '../store/budget.ts';
-import { moreUrgent, StoreClient, type StoreResult, type Urgency } from '../store/client.ts';
+import { moreUrgent, KeyValueStore, type StoreResult, type Urgency } from '../store/client.ts';
 import { KEYS } from '../store/keys.ts';
 import { LeaderWriter } from '../store/writer.ts';
 import type { Item } from '../wire/state.ts';
@@ -25,7 +25,7 @@
 import { NameIndex } from '../base/name-index.ts';
 import { Leader } from '../leader/leader.ts';
 import {
-  followJobRecords,
+  watchJobRecords,
   readStoredState,
   type JobRecordListener,
   type StoredState,
@@ -34,25 +34,25 @@
 import type { Logger } from '../base/log.ts';
 import { CommandQueue } from '../base/command-queue.ts';
 import type { Platform } from './platform.ts';
-import { ReportHandler } from './reports.ts';
+import { HeartbeatHandler } from './reports.ts';
 import { Routes } from './routes.ts';
 
 const TICK_MS = 200;
-const PROMISE_WAIT_MS = 700;
-const REACH_CHECK_MS = 1000;
+const PEER_LEASE_TIMEOUT_MS = 700;
+const CONNECTIVITY_CHECK_MS = 1000;
 /** Pause before a new leader reads the state service again. */
 const STATE_RETRY_MS = 200;
 /** After all others were of no help they are not asked again for so long: troubles may be everybody's. */
 const OTHERS_PAUSE_MS = 1000;
 /** How long a node that has lost its workers doesn't stand for leader. */
-const YIELD_MS = 30_000;
+const NO_CANDIDACY_MS = 30_000;
 
 /** Part of the node's sockets that orders to workers may use; the rest is for those who connect to us. */
-const ORDER_SOCKETS = 0.1;
+const COMMAND_CONNECTION_SHARE = 0.1;
 
 /** How many connections to workers a node with so many sockets may open at once. */
-export function orderSockets(sockets: number): number {
-  return Math.max(8, Math.floor(sockets * ORDER_SOCKETS));
+export function commandConnections(sockets: number): number {
+  return Math.max(8, Math.floor(sockets * COMMAND_CONNECTION_SHARE));
 }
 
 /**
@@ -63,23 +63,23 @@
 export class Controller {
   private readonly clock: Clock;
   private readonly lag: EventLoopLag;
-  private readonly owner: CommandQueue;
-  private readonly store: StoreClient;
+  private readonly commands: CommandQueue;
+  private readonly store: KeyValueStore;
   private readonly cloud: CloudClient;
   private readonly workers: WorkerClient;
   private readonly userRequests: UserRequests;
   private readonly election: Election;
-  private readonly finals: FinalCache;
-  private readonly reach: Connectivity;
+  private readonly terminalStates: TerminalStateCache;
+  private readonly connectivity: Connectivity;
   private readonly reads: SharedReads<StoreResult<Item | null>, Urgency>;
   private readonly polls: PollBatcher;
   private othersFailedAt = -Infinity;
   private askedOthersAt = -Infinity;
-  private readonly teams: TeamLimits[];
+  private readonly teams: TeamQuota[];
   private readonly zones: NameIndex;
   private readonly routes: Routes;
-  private readonly reports: ReportHandler;
-  private readonly graceMs: number;
+  private readonly heartbeats: HeartbeatHandler;
+  private readonly heartbeatGraceMs: number;
   private catalog: Catalog | null = null;
   private leader: Leader | null = null;
   private readonly timers: (() => void)[] = [];
@@ -95,7 +95,7 @@
     this.lag = new EventLoopLag(TICK_MS, () => this.clock.now());
     const now = (): number => this.clock.now();
     const { state, cloud, workers, teams, zones } = settings.settings;
-    this.owner = new CommandQueue(
+    this.commands = new CommandQueue(
       () => this.leader?.afterBatch(),
       (error) => {
         log.error(
@@ -107,21 +107,21 @@
         platform.timers.defer(run);
       },
     );
-    this.store = new StoreClient(
+    this.store = new KeyValueStore(
       (connections) => platform.network.connect(settings.endpoints.state, connections),
       { rps: state.rps, nodes: settings.settings.nodes },
       now,
       log,
     );
     const { sockets } = settings.settings.limits;
-    this.workers = new WorkerClient(platform.network.shared(orderSockets(sockets)));
+    this.workers = new WorkerClient(platform.network.shared(commandConnections(sockets)));
     this.cloud = new CloudClient(
       (connections) => platform.network.connect(settings.endpoints.cloud, connections),
       cloud.rps,
       now,
       log,
     );
-    this.finals = new FinalCache(options.users.final_cache);
+    this.terminalStates = new TerminalStateCache(options.users.final_cache);
     this.teams = teams.map((t) => ({
       name: t.name,
       cpus: t.cpus,
@@ -131,7 +131,7 @@
     }));
     this.zones = new NameIndex(zones);
     const times = { cancelS: workers.cancel_s, leaseS: workers.lease_s };
-    this.graceMs = reportGraceMs(options.leadership.grace_s, times);
+    this.heartbeatGraceMs = heartbeatGraceMs(options.leadership.grace_s, times);
     if (!cancellationCanHold(times)) {
       log.warn(
         times,
@@ -154,24 +154,25 @@
       options,
       store: {
         get: (key, urgency) => this.reads.get(key, urgency),
-        txn: (conditions, changes, urgency, timeoutMs) =>
-          this.store.txn(conditions, changes, urgency, timeoutMs),
+        compareAndSwap: (conditions, changes, urgency, timeoutMs) =>
+          this.store.compareAndSwap(conditions, changes, urgency, timeoutMs),
       },
-      finals: this.finals,
+      terminalStates: this.terminalStates,
       submissions: submissionBudget(state.write_rps, settings.settings.nodes, now),
       teams: this.teams,
       catalog: () => this.catalog,
       leader: () => this.leader,
-      actAlone: (urgency) => this.election.actAlone(urgency),
-      askLeader: (request, timeoutMs) =>
-        request.kind === 'poll' ? this.polls.ask(request.jobId) : this.askLeader(request, timeoutMs),
-      askOthers: (request, timeoutMs) => this.askOthers(request, timeoutMs),
+      beginLeaderlessWrite: (urgency) => this.election.beginLeaderlessWrite(urgency),
+      callLeader: (request, timeoutMs) =>
+        request.kind === 'poll' ? this.polls.poll(request.jobId) : this.callLeader(request, timeoutMs),
+      callOthers: (request, timeoutMs) => this.callOtherControllers(request, timeoutMs),
     });
-    this.reach = new Connectivity({
+    this.connectivity = new Connectivity({
       clock: this.clock,
       storeServedAt: () => this.store.servedAt,
-      askStore: () => this.store.get(KEYS.term, 'background'),
-      askPeers: async () => (await askAny(peers, { kind: 'ping' }, PROMISE_WAIT_MS, () => true)) !== null,
+      probeStore: () => this.store.get(KEYS.term, 'background'),
+      probePeers: async () =>
+        (await callAny(peers, { kind: 'ping' }, PEER_LEASE_TIMEOUT_MS, () => true)) !== null,
     });
     this.election = new Election(
       settings.host_name,
@@ -184,8 +185,8 @@
         renewMs: options.leadership.renew_ms,
       },
       {
-        won: (leadership) => {
-          this.owner.post(() => void this.lead(leadership));
+        acquired: (leadership) => {
+          this.commands.enqueue(() => void this.lead(leadership));
         },
         lost: () => {
           this.leader?.stop();
@@ -198,13 +199,13 @@
       peers.names.length === settings.settings.nodes - 1
         ? async (request) => {
             const asked = peers.names.map((name) =>
-              peers.ask(name, { kind: 'promise', ...request }, PROMISE_WAIT_MS),
+              peers.call(name, { kind: 'promise', ...request }, PEER_LEASE_TIMEOUT_MS),
             );
             return (await Promise.all(asked)).map((reply) => reply?.kind === 'promised');
           }
         : null,
     );
-    this.reports = new ReportHandler({
+    this.heartbeats = new HeartbeatHandler({
       node: settings.host_name,
       settings: settings.settings,
       options,
@@ -213,9 +214,9 @@
       after,
       leader: () => this.leader,
       knownLeader: () => this.election.leader(),
-      unsureForMs: () => this.election.unsureForMs(),
-      graceMs: this.graceMs,
-      ask: (peer, request, timeoutMs) => peers.ask(peer, request, timeoutMs),
+      msSinceLeaseExpiry: () => this.election.msSinceLeaseExpiry(),
+      heartbeatGraceMs: this.heartbeatGraceMs,
+      call: (peer, request, timeoutMs) => peers.call(peer, request, timeoutMs),
     });
     const limit = (initial: number, min: number, max: number, slackMs: number): AdaptiveLimit =>
       new AdaptiveLimit(now, { initial, min, max, slackMs, tolerance: 4 });
@@ -228,11 +229,11 @@
       userLimit: limit(64, users_min, users_max, USER_SLACK_MS),
       pollLimit: limit(64, polls_min, polls_max, USER_SLACK_MS),
       workerLimit: limit(most, workers_min, most, WORKER_SLACK_MS),
-      post: (command) => {
-        this.owner.post(command);
+      enqueue: (command) => {
+        this.commands.enqueue(command);
       },
-      onReport: (body, reply) => {
-        this.reports.onReport(body, reply);
+      onHeartbeat: (body, reply) => {
+        this.heartbeats.onHeartbeat(body, reply);
       },
       health: () => this.health(),
     });
@@ -244,9 +245,9 @@
     this.timers.push(
       this.platform.timers.every(TICK_MS, () => {
         this.lag.tick();
-        this.owner.post(() => undefined);
+        this.commands.enqueue(() => undefined);
       }),
-      this.platform.timers.every(REACH_CHECK_MS, () => void this.reach.check()),
+      this.platform.timers.every(CONNECTIVITY_CHECK_MS, () => void this.connectivity.check()),
     );
   }
 
@@ -267,14 +268,15 @@
   }
 
   /** A request of another controller. */
-  onPeer(request: MeshRequest, reply: (reply: MeshReply) => void): void {
-    this.owner.post(() => {
+  onPeerRequest(request: PeerRequest, reply: (reply: PeerReply) => void): void {
+    this.commands.enqueue(() => {
       if (request.kind === 'ping') {
         reply({ kind: 'here' });
         return;
       }
       if (request.kind === 'workers') {
-        const lately = this.reports.directReportAgeMs() < this.settings.settings.workers.report_s * 1000;
+        const lately =
+          this.heartbeats.directHeartbeatAgeMs() < this.settings.settings.workers.report_s * 1000;
         reply({ kind: lately ? 'here' : 'unable' });
         return;
       }
@@ -283,14 +285,14 @@
         return;
       }
       if (request.kind === 'reports') {
-        this.reports.onRelayed(request.node, request.reports, reply);
+        this.heartbeats.onRelayedHeartbeats(request.node, request.reports, reply);
         return;
       }
       if (request.kind !== 'promise') {
-        this.userRequests.onMesh(request, reply);
+        this.userRequests.onPeerRequest(request, reply);
         return;
       }
-      void this.election.promise(request).then((given) => {
+      void this.election.grantPeerLease(request).then((given) => {
         reply({ kind: given ? 'promised' : 'unable' });
       });
     });
@@ -321,7 +323,7 @@
   private keepCatalog(writer: LeaderWriter): void {
     const value = catalogValue(this.catalog!);
     if (JSON.stringify(value).length > this.settings.settings.state.value_kb * 1000) return;
-    writer.push({ changes: [{ put: KEYS.catalog, value }], done: () => undefined }, 'background');
+    writer.enqueue({ changes: [{ put: KEYS.catalog, value }], done: () => undefined }, 'background');
   }
 
   // ---- leadership ----
@@ -330,40 +332,41 @@
    * A leader that has lost its workers, and only those, must not go on leading: it would call them silent and
    * give their machines back, while they try one controller after the other and are sent to it.
    */
-  private async leaveToOthers(held: Leadership): Promise<void> {
+  private async transferLeadership(held: Leadership): Promise<void> {
     if (this.clock.now() - this.askedOthersAt < OTHERS_PAUSE_MS) return;
     this.askedOthersAt = this.clock.now();
-    const heard = await askAny(
+    const heard = await callAny(
       this.platform.peers,
       { kind: 'workers' },
-      PROMISE_WAIT_MS,
+      PEER_LEASE_TIMEOUT_MS,
       (r) => r.kind === 'here',
     );
-    if (heard && this.isCurrent(held)) this.election.yieldFor(YIELD_MS, 'workers reach others only');
+    if (heard && this.isCurrent(held))
+      this.election.stepDownFor(NO_CANDIDACY_MS, 'workers reach others only');
   }
 
-  private askLeader(request: MeshRequest, timeoutMs: number): Promise<MeshReply | null> {
+  private callLeader(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     const leader = this.election.leader();
     if (leader === null || leader === this.settings.host_name) return Promise.resolve(null);
-    return this.platform.peers.ask(leader, request, timeoutMs);
+    return this.platform.peers.call(leader, request, timeoutMs);
   }
 
   private async sendPolls(jobIds: string[]): Promise<readonly PollAnswer[] | null> {
-    const reply = await this.askLeader({ kind: 'polls', jobIds }, this.options.users.forward_ms);
+    const reply = await this.callLeader({ kind: 'polls', jobIds }, this.options.users.forward_ms);
     return reply?.kind === 'answers' ? reply.answers : null;
   }
 
   private answerPolls(jobIds: readonly string[]): PollAnswer[] {
     return answerBatch(jobIds, (jobId, reply) => {
-      this.userRequests.onMesh({ kind: 'poll', jobId }, (answer) => {
+      this.userRequests.onPeerRequest({ kind: 'poll', jobId }, (answer) => {
         reply(answer.kind === 'status' || answer.kind === 'unknown' ? answer : { kind: 'unable' });
       });
     });
   }
 
-  private async askOthers(request: MeshRequest, timeoutMs: number): Promise<MeshReply | null> {
+  private async callOtherControllers(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     if (this.clock.now() - this.othersFailedAt < OTHERS_PAUSE_MS) return null;
-    const reply = await askAny(this.platform.peers, request, timeoutMs, (r) => r.kind !== 'unable');
+    const reply = await callAny(this.platform.peers, request, timeoutMs, (r) => r.kind !== 'unable');
     if (!reply) this.othersFailedAt = this.clock.now();
     return reply;
   }
@@ -387,11 +390,11 @@
     }
     if (!this.isCurrent(held) || fence.kind !== 'ok') return;
     const { state } = this.settings.settings;
-    const endWrites = new EndWrites((id) => leader.isEnding(id));
+    const endWrites = new TerminalWrites((id) => leader.isOutcomeUnconfirmed(id));
     const writer = new LeaderWriter(
       {
-        txn: endWrites.noting((conditions, changes, timeoutMs: number) =>
-          this.store.txn(conditions, changes, 'lease', timeoutMs),
+        compareAndSwap: endWrites.tracking((conditions, changes, timeoutMs: number) =>
+          this.store.compareAndSwap(conditions, changes, 'lease', timeoutMs),
         ),
         readFence: async () => {
           const read = await this.store.get(KEYS.fence, 'lease');
@@ -412,34 +415,34 @@
       new RateBudget(state.write_rps * LEADER_WRITES, () => this.clock.now()),
       this.log,
     );
-    const surelyLeading = (): boolean => this.isCurrent(held) && this.election.surelyLeading();
+    const hasValidLease = (): boolean => this.isCurrent(held) && this.election.hasValidLease();
     const leader: Leader = new Leader({
       host: {
         clock: this.clock,
         log: this.log,
-        surelyLeading,
-        order: (machine, commands) => {
+        hasValidLease,
+        sendCommands: (machine, commands) => {
           const starts = commands.some((c) => c.op === 'start');
-          return this.workers.order(machine, held.term, commands, starts ? surelyLeading : () => true);
+          return this.workers.sendCommands(machine, held.term, commands, starts ? hasValidLease : () => true);
         },
         inspect: (machine) => this.workers.inspect(machine),
-        final: (id, status) => {
-          this.finals.put(id, status);
+        onTerminalState: (id, status) => {
+          this.terminalStates.put(id, status);
           endWrites.forget(id);
         },
-        endMayBeWritten: (id) => endWrites.mayBeWritten(id),
-        isFinal: (id) => this.finals.get(id) !== undefined,
-        post: (command) => {
-          this.owner.post(command);
+        outcomeMayBeWritten: (id) => endWrites.mayBeWritten(id),
+        isTerminal: (id) => this.terminalStates.get(id) !== undefined,
+        enqueue: (command) => {
+          this.commands.enqueue(command);
         },
         pause,
         superseded: () => {
           this.endLeadership(held, 'a worker has seen a higher token');
         },
         lagMs: () => this.lag.ms(),
-        directReportAgeMs: () => this.reports.directReportAgeMs(),
-        hearsNobody: () => {
-          void this.leaveToOthers(held);
+        directHeartbeatAgeMs: () => this.heartbeats.directHeartbeatAgeMs(),
+        lostAllWorkers: () => {
+          void this.transferLeadership(held);
         },
       },
       settings: this.settings,
@@ -450,19 +453,19 @@
       cloud: this.cloud,
       writer,
       term: held.term,
-      graceMs: this.graceMs,
+      heartbeatGraceMs: this.heartbeatGraceMs,
     });
     this.leader = leader;
     this.keepCatalog(writer);
     const stored = await this.readState(held);
     if (!stored) return;
     const whileLeading = (step: () => void): void => {
-      this.owner.post(() => {
+      this.commands.enqueue(() => {
         if (this.leader === leader) step();
       });
     };
     whileLeading(() => {
-      leader.load(stored);
+      leader.recover(stored);
     });
     const listener: JobRecordListener = {
       active: () => this.isCurrent(held),
@@ -477,7 +480,7 @@
         });
       },
     };
-    await followJobRecords(this.store, stored.revision, listener, pause);
+    await watchJobRecords(this.store, stored.revision, listener, pause);
   }
 
   /** Tries until all is read; null: this leadership is over. */
@@ -495,6 +498,6 @@
   /** Ready once jobs can be decided. Troubles that all nodes share don't make a node unhealthy. */
   private health(): Answer {
     if (!this.catalog) return failure(503, 'starting', 1);
-    return this.reach.cutOff() ? failure(503, 'cut off', 1) : { status: 200, body: '{}' };
+    return this.connectivity.isIsolated() ? failure(503, 'cut off', 1) : { status: 200, body: '{}' };
   }
 }
--- a/src/controller/reports.ts
+++ b/src/controller/reports.ts
@@ -3,13 +3,13 @@
 import { CountedLog, type Logger } from '../base/log.ts';
 import { failure, type Answer, type Reply } from '../http/server.ts';
 import type { Leader } from '../leader/leader.ts';
-import type { JudgedReport, MeshReply, MeshRequest } from '../mesh/frames.ts';
-import { ReportRelay, type BatchAnswer } from '../relay/report-relay.ts';
-import { WorkerShares, workersCarried } from '../relay/worker-shares.ts';
-import { encodeReportAnswer, encodeReportTo, ReportDecoder } from '../wire/worker.ts';
+import type { HeartbeatResponse, PeerReply, PeerRequest } from '../mesh/frames.ts';
+import { HeartbeatRelay, type RelayReply } from '../relay/report-relay.ts';
+import { WorkerBalancer, workerCapacity } from '../relay/worker-shares.ts';
+import { encodeHeartbeatResponse, encodeRedirect, HeartbeatDecoder } from '../wire/worker.ts';
 
 /** Report intervals after which the text of a machine's last report is dropped. */
-const REPORTS_KEPT = 6;
+const HEARTBEATS_KEPT = 6;
 /** Least time between two log lines about malformed reports; the lines between are counted. */
 const MALFORMED_LOG_MS = 1000;
 /** With one more answer of at most 64 KiB a reply still fits a frame between controllers. */
@@ -17,9 +17,9 @@
 /** Bytes of an answer in a frame beside its body, at most. */
 const FRAME_OVERHEAD = 8;
 /** Report intervals in which a new leader hears of its machines. */
-const SETTLING_REPORTS = 3;
+const SETTLING_HEARTBEATS = 3;
 
-export interface ReportHandlerDeps {
+export interface HeartbeatHandlerDeps {
   node: string;
   settings: Settings['settings'];
   options: Options;
@@ -31,59 +31,59 @@
   /** Who leads, as far as is known here. */
   knownLeader(): string | null;
   /** Milliseconds since the lease was last sure. */
-  unsureForMs(): number;
-  graceMs: number;
-  ask(peer: string, request: MeshRequest, timeoutMs: number): Promise<MeshReply | null>;
+  msSinceLeaseExpiry(): number;
+  heartbeatGraceMs: number;
+  call(peer: string, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
 }
 
 /** Workers' reports on any controller: the leader judges them, a follower hands them on or sends workers to it. */
-export class ReportHandler {
-  private readonly decoder: ReportDecoder;
+export class HeartbeatHandler {
+  private readonly decoder: HeartbeatDecoder;
   private readonly malformed: CountedLog;
-  private readonly relay: ReportRelay;
-  private readonly shares: WorkerShares;
+  private readonly relay: HeartbeatRelay;
+  private readonly balancer: WorkerBalancer;
   /** Workers that a leader can serve alone. */
-  private readonly carried: number;
+  private readonly capacity: number;
   private warnedFor: Leader | null = null;
-  private reportedAt = -Infinity;
+  private lastDirectHeartbeatAt = -Infinity;
   private settling: { leader: Leader; untilMs: number } | null = null;
 
-  constructor(private readonly deps: ReportHandlerDeps) {
+  constructor(private readonly deps: HeartbeatHandlerDeps) {
     const { settings, options, now } = deps;
     const { workers, limits } = settings;
-    this.decoder = new ReportDecoder(now, workers.report_s * 1000 * REPORTS_KEPT);
+    this.decoder = new HeartbeatDecoder(now, workers.report_s * 1000 * HEARTBEATS_KEPT);
     this.malformed = new CountedLog(now, MALFORMED_LOG_MS);
-    this.relay = new ReportRelay({
+    this.relay = new HeartbeatRelay({
       now,
       after: deps.after,
       leader: deps.knownLeader,
-      send: (leader, reports, timeoutMs) => this.handOn(leader, reports, timeoutMs),
+      send: (leader, reports, timeoutMs) => this.relayToLeader(leader, reports, timeoutMs),
       keepMs: workers.lease_s * 1000,
     });
-    this.carried = workersCarried({
+    this.capacity = workerCapacity({
       reportsPerCoreS: options.workers.reports_per_core_s,
       cores: limits.cores,
       reportS: workers.report_s,
     });
-    this.shares = new WorkerShares(now, this.carried, workers.report_s * 1000);
+    this.balancer = new WorkerBalancer(now, this.capacity, workers.report_s * 1000);
   }
 
   /** Tells once per leadership that the fleet is larger than the limits of all controllers together carry. */
   private noteFleetSize(leader: Leader, machines: number): void {
-    const most = this.carried * this.deps.settings.nodes;
+    const most = this.capacity * this.deps.settings.nodes;
     if (this.warnedFor === leader || machines <= most) return;
     this.warnedFor = leader;
     this.deps.log.warn({ machines, carried: most }, 'more machines than the processor shares carry');
   }
 
   /** Milliseconds since a worker last reported to this controller itself. */
-  directReportAgeMs(): number {
-    return this.deps.now() - this.reportedAt;
+  directHeartbeatAgeMs(): number {
+    return this.deps.now() - this.lastDirectHeartbeatAt;
   }
 
   /** A report of a worker that is connected to this controller. */
-  onReport(body: string, reply: Reply): void {
-    this.reportedAt = this.deps.now();
+  onHeartbeat(body: string, reply: Reply): void {
+    this.lastDirectHeartbeatAt = this.deps.now();
     const leader = this.deps.leader();
     if (!leader) {
       this.onFollower(body, reply);
@@ -91,12 +91,12 @@
     }
     const machines = leader.machineCount ?? 0;
     this.noteFleetSize(leader, machines);
-    const other = this.shares.referTo(machines);
-    reply(other === null ? this.judge(leader, body) : { status: 421, body: encodeReportTo(other) });
+    const other = this.balancer.referTo(machines);
+    reply(other === null ? this.answer(leader, body) : { status: 421, body: encodeRedirect(other) });
   }
 
   /** Reports that a follower hands on; answered in their order. */
-  onRelayed(follower: string, bodies: readonly string[], reply: (reply: MeshReply) => void): void {
+  onRelayedHeartbeats(follower: string, bodies: readonly string[], reply: (reply: PeerReply) => void): void {
     const leader = this.deps.leader();
     const machines = leader?.machineCount ?? null;
     // Until the state is read nothing is known, not even whether followers are to go on.
@@ -104,10 +104,10 @@
       reply({ kind: 'unable' });
       return;
     }
-    this.shares.noteRelayed(follower, bodies.length);
-    const judged = this.judgeAll(leader, bodies);
+    this.balancer.noteRelayed(follower, bodies.length);
+    const judged = this.answerAll(leader, bodies);
     const goOn = bodies.length > 0 && this.isSettling(leader);
-    reply({ kind: 'judged', relay: this.shares.relay(machines) || goOn, judged });
+    reply({ kind: 'judged', relay: this.balancer.relay(machines) || goOn, judged });
   }
 
   /**
@@ -117,7 +117,7 @@
   private isSettling(leader: Leader): boolean {
     const now = this.deps.now();
     if (this.settling?.leader !== leader) {
-      const untilMs = now + this.deps.settings.workers.report_s * 1000 * SETTLING_REPORTS;
+      const untilMs = now + this.deps.settings.workers.report_s * 1000 * SETTLING_HEARTBEATS;
       this.settling = { leader, untilMs };
     }
     return now < this.settling.untilMs;
@@ -128,40 +128,45 @@
     const { node } = this.deps;
     if (this.relay.take(body, reply)) return;
     const known = this.deps.knownLeader();
-    reply({ status: 421, body: encodeReportTo(known === node ? null : known) });
+    reply({ status: 421, body: encodeRedirect(known === node ? null : known) });
   }
 
-  private async handOn(leader: string, reports: string[], timeoutMs: number): Promise<BatchAnswer | null> {
+  private async relayToLeader(
+    leader: string,
+    reports: string[],
+    timeoutMs: number,
+  ): Promise<RelayReply | null> {
     if (leader === this.deps.node) return null;
-    const request: MeshRequest = { kind: 'reports', node: this.deps.node, reports };
-    const answer = await this.deps.ask(leader, request, timeoutMs);
+    const request: PeerRequest = { kind: 'reports', node: this.deps.node, reports };
+    const answer = await this.deps.call(leader, request, timeoutMs);
     return answer?.kind === 'judged' && answer.judged.length === reports.length ? answer : null;
   }
 
   /** Answers of a batch, as many as surely fit a frame; the others are refused without being judged. */
-  private judgeAll(leader: Leader, bodies: readonly string[]): JudgedReport[] {
+  private answerAll(leader: Leader, bodies: readonly string[]): HeartbeatResponse[] {
     let bytes = 0;
     return bodies.map((body) => {
       if (bytes > ANSWER_BYTES) return { status: 503, body: '{}' };
-      const answer = this.judge(leader, body);
+      const answer = this.answer(leader, body);
       bytes += Buffer.byteLength(answer.body) + FRAME_OVERHEAD;
       return { status: answer.status, body: answer.body };
     });
   }
 
   /** The leader's answer to a report, which holds for this moment only. */
-  private judge(leader: Leader, body: string): Answer {
+  private answer(leader: Leader, body: string): Answer {
     const decoded = this.decoder.decode(body);
     if (!decoded.ok) {
       this.logMalformed(decoded.reason);
       return failure(400, decoded.reason);
     }
     // While the lease is not sure, work is kept alive for a bounded time; nothing new starts.
-    if (this.deps.unsureForMs() > this.deps.graceMs) return { status: 421, body: encodeReportTo(null) };
-    const commands = leader.onReport(decoded.value);
+    if (this.deps.msSinceLeaseExpiry() > this.deps.heartbeatGraceMs)
+      return { status: 421, body: encodeRedirect(null) };
+    const commands = leader.onHeartbeat(decoded.value);
     return commands === null
-      ? { status: 421, body: encodeReportTo(null) }
-      : { status: 200, body: encodeReportAnswer(leader.term, commands) };
+      ? { status: 421, body: encodeRedirect(null) }
+      : { status: 200, body: encodeHeartbeatResponse(leader.term, commands) };
   }
 
   private logMalformed(reason: string): void {
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -4,7 +4,7 @@
 import type { UserRequests } from '../jobs/user-requests.ts';
 
 /** Where workers report. */
-export const REPORT_PATH = '/checkin';
+export const HEARTBEAT_PATH = '/checkin';
 const JOB_PATH = /^\/work\/([^/]+)$/;
 const CANCEL_PATH = /^\/work\/([^/]+)\/cancel$/;
 
@@ -17,12 +17,12 @@
   pollLimit: AdaptiveLimit;
   workerLimit: AdaptiveLimit;
   /** Puts a command in the owner's queue. */
-  post(command: () => void): void;
-  onReport(body: string, reply: Reply): void;
+  enqueue(command: () => void): void;
+  onHeartbeat(body: string, reply: Reply): void;
   health(): Answer;
 }
 
-export const peerOf = (path: string): 'worker' | 'user' => (path === REPORT_PATH ? 'worker' : 'user');
+export const peerOf = (path: string): 'worker' | 'user' => (path === HEARTBEAT_PATH ? 'worker' : 'user');
 
 /** Which request goes where, and how many of each kind may be in progress. */
 export class Routes {
@@ -31,9 +31,9 @@
   route(request: HttpRequest, reply: Reply): void {
     const { method, path } = request;
     const { userRequests, userLimit, workerLimit } = this.deps;
-    if (path === REPORT_PATH) {
+    if (path === HEARTBEAT_PATH) {
       if (method !== 'POST') reply(failure(405, 'use POST'));
-      else this.limited(workerLimit, reply, (r) => this.deps.onReport(request.body, r));
+      else this.limited(workerLimit, reply, (r) => this.deps.onHeartbeat(request.body, r));
       return;
     }
     if (path === '/healthz') {
@@ -92,7 +92,7 @@
       reply(this.tooMany());
       return;
     }
-    this.deps.post(() => {
+    this.deps.enqueue(() => {
       run((answer) => {
         leave();
         reply(answer);
--- a/src/controller/service.ts
+++ b/src/controller/service.ts
@@ -4,12 +4,12 @@
 import { HttpClient, passingAgent } from '../http/client.ts';
 import { socketShares } from '../http/connections.ts';
 import { HttpServer } from '../http/server.ts';
-import { Mesh } from '../mesh/mesh.ts';
+import { PeerRpc } from '../mesh/mesh.ts';
 import { systemClock } from '../base/clock.ts';
-import { Controller, orderSockets } from './controller.ts';
+import { Controller, commandConnections } from './controller.ts';
 import type { Logger } from '../base/log.ts';
 import type { Network, Timers } from './platform.ts';
-import { peerOf, REPORT_PATH } from './routes.ts';
+import { peerOf, HEARTBEAT_PATH } from './routes.ts';
 import { WarmUp } from './warm-up.ts';
 
 /** Practice while following: short pieces with long pauses, so that users and health checks don't notice. */
@@ -50,7 +50,7 @@
 
 /** A controller as a process: on real sockets, real time and real random numbers. */
 export class Service {
-  private readonly mesh: Mesh;
+  private readonly peers: PeerRpc;
   private readonly server: HttpServer;
   private readonly controller: Controller;
   private running = false;
@@ -62,10 +62,10 @@
   ) {
     const { limits, workers } = settings.settings;
     const peers = settings.seeds.map((s) => ({ name: s.host_name, address: s.peer_addr }));
-    this.mesh = new Mesh(
+    this.peers = new PeerRpc(
       peers,
       (request, reply) => {
-        this.controller.onPeer(request, reply);
+        this.controller.onPeerRequest(request, reply);
       },
       log,
     );
@@ -74,14 +74,14 @@
         this.controller.handle(request, reply);
       },
       {
-        sockets: socketShares(limits.sockets, orderSockets(limits.sockets)),
+        sockets: socketShares(limits.sockets, commandConnections(limits.sockets)),
         idleMs: {
           unknown: UNKNOWN_IDLE_MS,
           user: USER_IDLE_MS,
           worker: workers.report_s * 1000 * WORKER_IDLE,
         },
         peerOf,
-        reportPath: REPORT_PATH,
+        heartbeatPath: HEARTBEAT_PATH,
         now: () => systemClock.now(),
       },
     );
@@ -91,12 +91,12 @@
       random: () => Math.random(),
       nonce: randomUUID(),
       network: socketNetwork,
-      peers: this.mesh,
+      peers: this.peers,
     });
   }
 
   async start(): Promise<void> {
-    await this.mesh.listen(this.settings.mesh_addr);
+    await this.peers.listen(this.settings.mesh_addr);
     await this.server.listen(this.settings.serve_on);
     this.log.info({ on: this.settings.serve_on }, 'serving');
     this.running = true;
@@ -114,7 +114,7 @@
     this.running = false;
     this.controller.stop();
     this.server.close();
-    this.mesh.close();
+    this.peers.close();
   }
 
   private async warmUp(): Promise<void> {
--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -1,10 +1,10 @@
 import { Job } from '../jobs/job.ts';
 import { runRound, type RoundOptions } from '../scheduling/round.ts';
-import type { GroupView, MachineView, OptionView } from '../scheduling/view.ts';
+import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../scheduling/view.ts';
 import { decodeStoredJob } from '../wire/user.ts';
-import { decodeReport, encodeOrders, encodeReportAnswer } from '../wire/worker.ts';
+import { decodeHeartbeat, encodeCommands, encodeHeartbeatResponse } from '../wire/worker.ts';
 import { Machine } from '../workers/machine.ts';
-import { applyReport, commandsFor, isNewer } from '../workers/reconcile.ts';
+import { applyHeartbeat, commandsFor, isNewer } from '../workers/reconcile.ts';
 
 const MACHINES = 40;
 const GROUPS = 10;
@@ -23,7 +23,7 @@
 };
 const UID = 'req-000000';
 
-function groups(turn: number): GroupView[] {
+function groups(turn: number): TaskGroup[] {
   return Array.from({ length: GROUPS }, (_, job) => ({
     job,
     team: 0,
@@ -38,26 +38,26 @@
     zoneHint: -1,
     zoneCap: Infinity,
     liveByZone: new Map(),
-    quick: job % 2 === 0,
+    latencySensitive: job % 2 === 0,
     expected: false,
     waitedMs: job * 300,
     probe: false,
-    rents: true,
-    guest: job % 5 === 0,
-    rentPriceMost: Infinity,
+    mayProvision: true,
+    bestEffort: job % 5 === 0,
+    maxProvisionPrice: Infinity,
     image: `i${job % 3}`,
     imageGb: 2,
-    avoid: new Set(),
-    only: -1,
-    roomMade: new Set<number>(),
-    patienceS: 10,
+    excludedMachines: new Set(),
+    nominatedMachine: -1,
+    reservedMachines: new Set<number>(),
+    maxQueueingDelayS: 10,
     slackS: 20 * job - 20,
     guaranteed: job % 2 === 0,
     size: 0,
   }));
 }
 
-function machines(turn: number): MachineView[] {
+function machines(turn: number): MachineSnapshot[] {
   return Array.from({ length: MACHINES }, (_, machine) => {
     const taken = (machine * 3 + turn) % 5;
     return {
@@ -67,19 +67,19 @@
       spot: machine % 3 === 0,
       free: { cpus: SIZE.cpus - 2 * taken, gpus: 2, memory: SIZE.memory - 8 * taken },
       perAccelerator: NEED,
-      leaving: Array.from({ length: taken }, (_x, i) => ({ inS: 10 * (i + 1), room: NEED })),
+      releases: Array.from({ length: taken }, (_x, i) => ({ inS: 10 * (i + 1), room: NEED })),
       load: taken,
       bootsInS: machine % 11 === 0 ? 20 : 0,
       fetchS: (image: string, gb: number) => (image === `i${machine % 3}` ? 0 : gb),
       warm: 0,
-      parked: false,
+      surplus: false,
       penalty: 0,
       price: 1 + (machine % 3),
     };
   });
 }
 
-const RENTABLE: OptionView[] = [0, 1].map((zone) => ({
+const RENTABLE: ProvisioningOption[] = [0, 1].map((zone) => ({
   option: zone,
   type: 0,
   zone,
@@ -132,10 +132,10 @@
       () => SIZE,
       OPTIONS,
     );
-    for (let i = 0; i < 8; i++) this.report(this.turn * 8 + i);
+    for (let i = 0; i < 8; i++) this.heartbeat(this.turn * 8 + i);
   }
 
-  private report(seq: number): void {
+  private heartbeat(seq: number): void {
     const stages = ['fetching', 'running', 'saving', 'ended'];
     const loaves = Array.from({ length: 4 }, (_, i) => ({
       loaf: `${UID}/${i}`,
@@ -143,16 +143,16 @@
       stage: stages[seq % 4],
       cause: seq % 4 === 3 ? 'done' : undefined,
     }));
-    const decoded = decodeReport(
+    const decoded = decodeHeartbeat(
       JSON.stringify({
         ...{ hearth: 'n-000000', address: 'x:1', oven: 'x', yard: 'x', borrowed: false, shift: 1, tick: seq },
         ...{ baton: 1, warningS: null, loaves },
       }),
     );
     if (!decoded.ok || !isNewer(this.machine, decoded.value)) return;
-    applyReport(this.machine, decoded.value, false, { now: seq, jobOf: () => this.job });
+    applyHeartbeat(this.machine, decoded.value, false, { now: seq, jobOf: () => this.job });
     const commands = commandsFor(this.machine, true);
-    encodeReportAnswer(1, commands);
-    encodeOrders(1, 1, commands);
+    encodeHeartbeatResponse(1, commands);
+    encodeCommands(1, 1, commands);
   }
 }
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -17,7 +17,7 @@
   catalog(): Promise<wire.MachineTypeInfo[] | null>;
   rent(request: wire.RentRequest): Promise<RentResult>;
   /** True: the machines and everything on them are gone. */
-  giveBack(names: readonly string[]): Promise<boolean>;
+  terminate(names: readonly string[]): Promise<boolean>;
   /** All machines listed, or null if any page could not be read. */
   list(): Promise<wire.ListedMachine[] | null>;
 }
@@ -68,12 +68,12 @@
     return { kind: 'unknown' };
   }
 
-  async giveBack(names: readonly string[]): Promise<boolean> {
+  async terminate(names: readonly string[]): Promise<boolean> {
     this.budget.take();
     const result = await this.http.send(
       'POST',
       wire.CLOUD_PATHS.returned,
-      wire.encodeReturn(names),
+      wire.encodeTermination(names),
       TIMEOUT_MS,
     );
     return result.kind === 'answer' && result.status === 200;
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -2,11 +2,11 @@
 import type { NameIndex } from '../base/name-index.ts';
 import type { Logger } from '../base/log.ts';
 import type { Options } from '../config/options.ts';
-import { roomOf, type OptionView } from '../scheduling/view.ts';
+import { resourcesOf, type ProvisioningOption } from '../scheduling/view.ts';
 import type { Catalog } from './catalog.ts';
 import type { Cloud } from './cloud.ts';
 
-export interface FleetDeps {
+export interface MachineProvisionerDeps {
   clock: Clock;
   log: Logger;
   cloud: Cloud;
@@ -15,14 +15,14 @@
   options: Options;
   term: number;
   /** Nothing is asked of the cloud without it: another controller may lead by now, and own the machines. */
-  surelyLeading(): boolean;
-  post(command: () => void): void;
+  hasValidLease(): boolean;
+  enqueue(command: () => void): void;
   pause(ms: number): Promise<void>;
-  returning(names: readonly string[]): void;
-  gone(names: readonly string[]): void;
+  onTerminating(names: readonly string[]): void;
+  onTerminated(names: readonly string[]): void;
 }
 
-interface RentOption {
+interface OptionState {
   index: number;
   type: number;
   zone: number;
@@ -52,30 +52,30 @@
   idleMs: number;
 }
 
-const RENT_MAX = 50;
+const MAX_MACHINES_PER_RENTAL = 50;
 /** Time for the worker of a listed machine to find a new leader: some tries and time-outs. */
 const LISTED_GRACE_MS = 15_000;
-const RETURN_MAX = 100;
+const MAX_MACHINES_PER_TERMINATION = 100;
 /** Reports and lists of a machine that is gone may still come for much longer than a lease. */
-const RETURNED_KEPT_MS = 3_600_000;
+const TERMINATED_KEPT_MS = 3_600_000;
 
 /** Rents and returns machines: what was asked of the cloud, what is booting, what is on its way back. */
-export class Fleet {
-  private readonly options: RentOption[] = [];
+export class MachineProvisioner {
+  private readonly options: OptionState[] = [];
   private readonly bootingByName = new Map<string, Booting>();
   private readonly rentedAt = new Map<string, number>();
   private bootIndex = 0;
   private requestCount = 0;
-  private readonly returning = new Map<string, number>();
-  private returnBusy = false;
-  private readonly returned = new Map<string, number>();
-  private listBusy = false;
+  private readonly terminating = new Map<string, number>();
+  private terminationInFlight = false;
+  private readonly terminated = new Map<string, number>();
+  private listInFlight = false;
   /** The machine list has been read at least once by this leader. */
   listed = false;
   private lastListAt = -Infinity;
   private lastCatalogAt: number;
 
-  constructor(private readonly deps: FleetDeps) {
+  constructor(private readonly deps: MachineProvisionerDeps) {
     this.lastCatalogAt = deps.clock.now();
     deps.catalog.types.forEach((type, t) => {
       for (const zone of type.zones) {
@@ -99,7 +99,7 @@
    * them every round during the call would ask for the same room again, of another kind or zone.
    */
   booting(): Booting[] {
-    const found = [...this.bootingByName.values()].filter((b) => !this.returning.has(b.name));
+    const found = [...this.bootingByName.values()].filter((b) => !this.terminating.has(b.name));
     const now = this.deps.clock.now();
     for (const o of this.options) {
       for (let i = 0; i < o.asking; i++) {
@@ -120,13 +120,13 @@
   }
 
   /** Options of the flow graph: machines that could be rented now. */
-  rentable(dark: ReadonlySet<number>): OptionView[] {
+  rentable(dark: ReadonlySet<number>): ProvisioningOption[] {
     const now = this.deps.clock.now();
     // Of a zone that is cut off one machine is on trial at a time: it tells when the zone is back.
     const tried = new Set<number>();
     for (const b of this.bootingByName.values()) tried.add(b.zone);
     for (const o of this.options) if (o.asking > 0) tried.add(o.zone);
-    const views: OptionView[] = [];
+    const views: ProvisioningOption[] = [];
     for (const o of this.options) {
       if (now < o.notBefore || o.asking > 0) continue;
       if (dark.has(o.zone) && tried.has(o.zone)) continue;
@@ -136,7 +136,7 @@
         type: o.type,
         zone: o.zone,
         spot: o.spot,
-        size: roomOf(type),
+        size: resourcesOf(type),
         max: dark.has(o.zone) ? 1 : this.deps.options.fleet.rent_at_once,
         price: o.spot ? type.spotPrice : type.price,
         bootS: type.bootS,
@@ -147,16 +147,16 @@
   }
 
   /** Takes the round's wishes. What can't be asked for now is wished for again by the next round. */
-  want(rents: ReadonlyMap<number, number>): void {
+  setDemand(rents: ReadonlyMap<number, number>): void {
     for (const [index, count] of rents) {
       const option = this.options[index];
       if (!option || option.asking > 0 || count <= 0) continue;
       if (!this.deps.cloud.ready(1)) return;
-      void this.rent(option, Math.min(count, RENT_MAX));
+      void this.provision(option, Math.min(count, MAX_MACHINES_PER_RENTAL));
     }
   }
 
-  private async rent(option: RentOption, count: number): Promise<void> {
+  private async provision(option: OptionState, count: number): Promise<void> {
     const { clock, cloud, catalog, zones, log, term } = this.deps;
     this.requestCount += 1;
     // Names carry the term and a counter: no other leadership ever uses them.
@@ -170,11 +170,11 @@
     };
     option.asking = count;
     log.info(rental, 'renting');
-    for (let attempt = 0; attempt < 5 && this.deps.surelyLeading(); attempt++) {
+    for (let attempt = 0; attempt < 5 && this.deps.hasValidLease(); attempt++) {
       const rentedAt = clock.now();
       const result = await cloud.rent(rental);
       if (result.kind === 'rented') {
-        this.deps.post(() => {
+        this.deps.enqueue(() => {
           option.refusals = 0;
           option.asking = 0;
           for (const name of result.names) this.addBooting(name, option, rentedAt, rentedAt);
@@ -183,7 +183,7 @@
         return;
       }
       if (result.kind === 'no_capacity' || (result.kind === 'refused' && attempt > 0)) {
-        this.deps.post(() => {
+        this.deps.enqueue(() => {
           option.asking = 0;
           this.backOff(option, result.kind);
         });
@@ -192,7 +192,7 @@
       // Not known whether it was carried out: the same name again tells, and rents nothing twice.
       await this.deps.pause(700 * (attempt + 1));
     }
-    this.deps.post(() => {
+    this.deps.enqueue(() => {
       option.asking = 0;
       this.backOff(option, 'no answer');
     });
@@ -219,7 +219,7 @@
     });
   }
 
-  private backOff(option: RentOption, reason: string): void {
+  private backOff(option: OptionState, reason: string): void {
     const { refusal_pause_s, refusal_pause_max_s } = this.deps.options.fleet;
     const pause = Math.min(refusal_pause_max_s, refusal_pause_s * 2 ** Math.min(6, option.refusals));
     option.refusals += 1;
@@ -237,29 +237,29 @@
   }
 
   /** The worker of this machine has reported. */
-  up(name: string): void {
+  onMachineUp(name: string): void {
     this.bootingByName.delete(name);
   }
 
   /** Asked to be returned, which has not been done yet. */
-  isReturning(name: string): boolean {
-    return this.returning.has(name);
+  isTerminating(name: string): boolean {
+    return this.terminating.has(name);
   }
 
-  wasReturned(name: string): boolean {
-    return this.returned.has(name);
+  wasTerminated(name: string): boolean {
+    return this.terminated.has(name);
   }
 
-  giveBack(names: readonly string[]): void {
-    for (const name of names) if (!this.returning.has(name)) this.returning.set(name, 0);
-    this.deps.returning(names);
+  terminate(names: readonly string[]): void {
+    for (const name of names) if (!this.terminating.has(name)) this.terminating.set(name, 0);
+    this.deps.onTerminating(names);
   }
 
   /**
    * Gives idle machines back. What takes long to boot is kept a little longer, since renting it anew costs
    * that time again; within the least time that is charged anyway nothing is gained by returning.
    */
-  spare(idle: readonly IdleMachine[]): void {
+  offerIdle(idle: readonly IdleMachine[]): void {
     const { idle_s, idle_boot_share, least_charge_s } = this.deps.options.fleet;
     const now = this.deps.clock.now();
     const names: string[] = [];
@@ -271,7 +271,7 @@
     }
     if (names.length === 0) return;
     this.deps.log.info({ machines: names }, 'idle machines, returned');
-    this.giveBack(names);
+    this.terminate(names);
   }
 
   /**
@@ -284,9 +284,9 @@
   }
 
   /** Machines that the cloud lists as running, and of which no report has been heard yet. */
-  get runningUnheard(): number {
+  get runningUnregistered(): number {
     let count = 0;
-    for (const b of this.bootingByName.values()) if (b.running && !this.returning.has(b.name)) count += 1;
+    for (const b of this.bootingByName.values()) if (b.running && !this.terminating.has(b.name)) count += 1;
     return count;
   }
 
@@ -295,18 +295,18 @@
    * machines and one controller to hear them hundreds of healthy ones were once returned.
    */
   tick(overloaded: boolean): void {
-    if (!this.deps.surelyLeading()) return;
+    if (!this.deps.hasValidLease()) return;
     if (overloaded) this.resumed();
     const now = this.deps.clock.now();
     for (const b of this.bootingByName.values()) {
       const bootS = this.deps.catalog.types[b.type]?.bootS ?? 60;
       const patience = (bootS * this.deps.options.fleet.boot_patience + 15) * 1000;
-      if (now - b.rentedAt > patience && now > b.keepUntil && !this.returning.has(b.name)) {
+      if (now - b.rentedAt > patience && now > b.keepUntil && !this.terminating.has(b.name)) {
         this.deps.log.info({ machine: b.name }, 'machine never came up, returned');
-        this.giveBack([b.name]);
+        this.terminate([b.name]);
       }
     }
-    this.returnDue();
+    this.terminateDue();
     if (now - this.lastCatalogAt > 60_000 && this.deps.cloud.ready(1)) {
       this.lastCatalogAt = now;
       void this.refreshPrices();
@@ -317,15 +317,15 @@
    * A leader that may have been replaced returns nothing: cut off from workers and state service, it takes machines
    * for lost on which its successor runs tasks, and a request held back by the cut would end them afterwards.
    */
-  private returnDue(): void {
-    if (this.returning.size === 0 || this.returnBusy) return;
-    if (this.deps.surelyLeading() && this.deps.cloud.ready()) void this.sendReturns();
+  private terminateDue(): void {
+    if (this.terminating.size === 0 || this.terminationInFlight) return;
+    if (this.deps.hasValidLease() && this.deps.cloud.ready()) void this.sendTerminations();
   }
 
   private async refreshPrices(): Promise<void> {
     const fresh = await this.deps.cloud.catalog();
     if (!fresh) return;
-    this.deps.post(() => {
+    this.deps.enqueue(() => {
       for (const type of fresh) {
         const known = this.deps.catalog.types.find((t) => t.name === type.name);
         if (known) Object.assign(known, { price: type.price, spotPrice: type.spotPrice });
@@ -333,38 +333,38 @@
     });
   }
 
-  private async sendReturns(): Promise<void> {
-    this.returnBusy = true;
+  private async sendTerminations(): Promise<void> {
+    this.terminationInFlight = true;
     const now = this.deps.clock.now();
-    const names = [...this.returning].filter(([, after]) => now >= after).map(([name]) => name);
-    const batch = names.slice(0, RETURN_MAX);
-    const done = batch.length > 0 && (await this.deps.cloud.giveBack(batch));
-    this.deps.post(() => {
-      this.returnBusy = false;
+    const names = [...this.terminating].filter(([, after]) => now >= after).map(([name]) => name);
+    const batch = names.slice(0, MAX_MACHINES_PER_TERMINATION);
+    const done = batch.length > 0 && (await this.deps.cloud.terminate(batch));
+    this.deps.enqueue(() => {
+      this.terminationInFlight = false;
       for (const name of batch) {
         if (!done) {
-          this.returning.set(name, this.deps.clock.now() + 1000);
+          this.terminating.set(name, this.deps.clock.now() + 1000);
           continue;
         }
-        this.returning.delete(name);
+        this.terminating.delete(name);
         this.bootingByName.delete(name);
         this.rentedAt.delete(name);
-        this.returned.set(name, this.deps.clock.now());
+        this.terminated.set(name, this.deps.clock.now());
       }
-      if (done) this.deps.gone(batch);
+      if (done) this.deps.onTerminated(batch);
     });
   }
 
   /** Reads the machine list now and then, to find machines that nobody here knows of. */
-  syncList(known: { has(name: string): boolean }): void {
+  reconcileMachineList(known: { has(name: string): boolean }): void {
     const now = this.deps.clock.now();
-    if (this.listBusy || now - this.lastListAt < this.deps.options.fleet.list_s * 1000) return;
+    if (this.listInFlight || now - this.lastListAt < this.deps.options.fleet.list_s * 1000) return;
     if (!this.deps.cloud.ready(1)) return;
     this.lastListAt = now;
-    this.listBusy = true;
+    this.listInFlight = true;
     void this.deps.cloud.list().then((machines) => {
-      this.deps.post(() => {
-        this.listBusy = false;
+      this.deps.enqueue(() => {
+        this.listInFlight = false;
         if (!machines) return;
         this.listed = true;
         const at = this.deps.clock.now();
@@ -374,22 +374,22 @@
           const running = m.state === 'running';
           if (awaited) awaited.running = running;
           // The list lags, so what was returned lately may still stand in it.
-          if (this.returned.has(m.name) || this.returning.has(m.name)) continue;
+          if (this.terminated.has(m.name) || this.terminating.has(m.name)) continue;
           if (m.state === 'failed') {
-            this.giveBack([m.name]);
+            this.terminate([m.name]);
           } else if (!known.has(m.name) && !this.bootingByName.has(m.name)) {
             const type = this.deps.catalog.typeIndex(m.machineType);
             const place = { type, zone: this.deps.zones.index(m.zone), spot: m.spot };
             unexpected.push(m.name);
-            if (type < 0) this.giveBack([m.name]);
+            if (type < 0) this.terminate([m.name]);
             else this.addBooting(m.name, place, at - m.ageS * 1000, at + LISTED_GRACE_MS, running);
           }
         }
         // In one line: a new leader finds hundreds.
         if (unexpected.length > 0)
           this.deps.log.info({ machines: unexpected }, 'unexpected machines in the list');
-        for (const [name, when] of this.returned)
-          if (at - when > RETURNED_KEPT_MS) this.returned.delete(name);
+        for (const [name, when] of this.terminated)
+          if (at - when > TERMINATED_KEPT_MS) this.terminated.delete(name);
       });
     });
   }
--- a/src/http/report-connection.ts
+++ b/src/http/report-connection.ts
@@ -1,5 +1,5 @@
 import type { Socket } from 'node:net';
-import { parseReportHead, type ReportHead } from './report-head.ts';
+import { parseHeartbeatHead, type HeartbeatHead } from './report-head.ts';
 import { encodeResponse } from './response.ts';
 import type { Answer } from './server.ts';
 
@@ -8,7 +8,7 @@
 const HEAD_END = Buffer.from('\r\n\r\n');
 
 /** What the server does about the events of a report connection. */
-export interface ReportConnectionEvents {
+export interface HeartbeatConnectionEvents {
   /** A report has arrived in full. The reply may be called once, at any time. */
   received(body: string, reply: (answer: Answer) => void): void;
   /** Something else has arrived: the connection goes to the general HTTP server, with these bytes first. */
@@ -23,9 +23,9 @@
  * content length, one request at a time, as workers send them. The first bytes that differ go to Node's `http`, which
  * serves the rest of the connection.
  */
-export class ReportConnection {
+export class HeartbeatConnection {
   private unread: Buffer | null = null;
-  private head: ReportHead | null = null;
+  private head: HeartbeatHead | null = null;
   private answerDue = false;
   private readonly onData = (chunk: Buffer): void => {
     this.receive(chunk);
@@ -41,7 +41,7 @@
     private readonly socket: Socket,
     private readonly path: string,
     private readonly maxBody: number,
-    private readonly events: ReportConnectionEvents,
+    private readonly events: HeartbeatConnectionEvents,
   ) {
     socket.on('data', this.onData);
     socket.on('end', this.onEnd);
@@ -60,12 +60,12 @@
     if (unread === null || this.answerDue) return;
     const headEnd = unread.indexOf(HEAD_END);
     if (headEnd < 0) {
-      if (unread.length > MAX_HEAD || !mayBecomeReport(unread, this.path)) this.leave();
+      if (unread.length > MAX_HEAD || !mayBecomeHeartbeat(unread, this.path)) this.leave();
       return;
     }
     const text = unread.toString('latin1', 0, headEnd);
     // The head of a worker's reports changes only with the length of the body.
-    if (this.head?.text !== text) this.head = parseReportHead(text, this.path);
+    if (this.head?.text !== text) this.head = parseHeartbeatHead(text, this.path);
     if (this.head === null || this.head.contentLength > this.maxBody) {
       this.leave();
       return;
@@ -108,7 +108,7 @@
 }
 
 /** True while the bytes are the beginning of a request for the path. */
-export function mayBecomeReport(bytes: Buffer, path: string): boolean {
+export function mayBecomeHeartbeat(bytes: Buffer, path: string): boolean {
   const start = `POST ${path} HTTP/1.1\r\n`;
   const length = Math.min(start.length, bytes.length);
   return bytes.toString('latin1', 0, length) === start.slice(0, length);
--- a/src/http/report-head.ts
+++ b/src/http/report-head.ts
@@ -1,5 +1,5 @@
 /** The head of a request in the plain form that workers use. */
-export interface ReportHead {
+export interface HeartbeatHead {
   /** The head's text, without the empty line that ends it. */
   text: string;
   contentLength: number;
@@ -12,7 +12,7 @@
 const HANDLED_ELSEWHERE = new Set(['transfer-encoding', 'expect', 'upgrade', 'trailer', 'te']);
 
 /** Reads the head of a `POST` to the path (RFC 9112). null: it isn't in the plain form. */
-export function parseReportHead(text: string, path: string): ReportHead | null {
+export function parseHeartbeatHead(text: string, path: string): HeartbeatHead | null {
   const [requestLine, ...fields] = text.split('\r\n');
   if (requestLine !== `POST ${path} HTTP/1.1`) return null;
   let contentLength: number | null = null;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -2,7 +2,7 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { Backlog } from './backlog.ts';
 import { Connections, type Peer, type SocketShares } from './connections.ts';
-import { mayBecomeReport, ReportConnection } from './report-connection.ts';
+import { mayBecomeHeartbeat, HeartbeatConnection } from './report-connection.ts';
 import { answerHeaders } from './response.ts';
 
 const MAX_BODY = 64 * 1024;
@@ -51,7 +51,7 @@
   /** Who sends requests to this path. */
   peerOf(path: string): Peer;
   /** Where workers report: served without Node's `http` in its plain form. */
-  reportPath: string;
+  heartbeatPath: string;
   /** Steady milliseconds. */
   now: () => number;
 }
@@ -136,7 +136,7 @@
   private awaitFirstBytes(socket: Socket): void {
     const onData = (first: Buffer): void => {
       socket.off('end', onEnd);
-      if (mayBecomeReport(first, this.options.reportPath)) this.serveReports(socket, first);
+      if (mayBecomeHeartbeat(first, this.options.heartbeatPath)) this.serveHeartbeats(socket, first);
       else this.serveWithHttp(socket, first);
     };
     const onEnd = (): void => {
@@ -156,11 +156,11 @@
     process.nextTick(() => socket.resume());
   }
 
-  private serveReports(socket: Socket, first: Buffer): void {
-    const connection = new ReportConnection(socket, this.options.reportPath, MAX_BODY, {
+  private serveHeartbeats(socket: Socket, first: Buffer): void {
+    const connection = new HeartbeatConnection(socket, this.options.heartbeatPath, MAX_BODY, {
       received: (body, reply) => {
         this.connections.asked(socket, 'worker');
-        this.handler({ method: 'POST', path: this.options.reportPath, body }, reply);
+        this.handler({ method: 'POST', path: this.options.heartbeatPath, body }, reply);
       },
       handOver: (unread) => {
         this.serveWithHttp(socket, unread);
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -2,7 +2,7 @@
 import type { Catalog } from '../fleet/catalog.ts';
 
 /** A team's guarantee and limits, from the settings. */
-export interface TeamLimits {
+export interface TeamQuota {
   name: string;
   cpus: number;
   gpus: number;
@@ -16,7 +16,7 @@
 const ROUNDING = 1e-9;
 
 /** Why the job's team can never run it, or null. Needs nothing but the settings. */
-export function impossibleForTeam(job: JobRequest, team: TeamLimits | undefined): string | null {
+export function infeasibleForTeam(job: JobRequest, team: TeamQuota | undefined): string | null {
   if (!team) return 'unknown team';
   const tasks = job.gang ? job.tasks : 1;
   if (team.cpusMax > 0 && job.cpus * tasks > team.cpusMax + ROUNDING) return "over the team's limit of CPUs";
@@ -25,7 +25,7 @@
 }
 
 /** Why no machine can ever run a task of the job, or null. */
-export function impossibleOnMachines(job: JobRequest, catalog: Catalog): string | null {
+export function infeasibleOnMachines(job: JobRequest, catalog: Catalog): string | null {
   const fits = catalog.types.some(
     (type) =>
       (job.types === null || job.types.includes(type.name)) &&
@@ -42,10 +42,10 @@
  * changes, so a gang that is too large for today's machines is accepted and waits. Without a catalog only the
  * team's reasons can be told.
  */
-export function impossible(
+export function infeasibility(
   job: JobRequest,
-  team: TeamLimits | undefined,
+  team: TeamQuota | undefined,
   catalog: Catalog | null,
 ): string | null {
-  return impossibleForTeam(job, team) ?? (catalog ? impossibleOnMachines(job, catalog) : null);
+  return infeasibleForTeam(job, team) ?? (catalog ? infeasibleOnMachines(job, catalog) : null);
 }
--- a/src/jobs/archive.ts
+++ b/src/jobs/archive.ts
@@ -1,5 +1,5 @@
 import { KEYS } from '../store/keys.ts';
-import type { WriteJob } from '../store/writer.ts';
+import type { Write } from '../store/writer.ts';
 
 export interface ArchiveDeps {
   /** How many final records may stay in the place of the open ones, for a new leader to read past. */
@@ -8,9 +8,9 @@
   txnOps: number;
   /** True while the store has nothing else to do. */
   idle(): boolean;
-  push(job: WriteJob): void;
+  enqueueWrite(job: Write): void;
   /** Puts a command in the owner's queue. */
-  post(command: () => void): void;
+  enqueue(command: () => void): void;
 }
 
 /**
@@ -20,33 +20,33 @@
  */
 export class Archive {
   /** Final records that haven't been moved, the oldest first. */
-  private readonly finals = new Map<string, unknown>();
+  private readonly terminalRecords = new Map<string, unknown>();
   private moving = false;
 
   constructor(private readonly deps: ArchiveDeps) {}
 
   /** The job's final record is durable in the place of its open one. */
   add(id: string, value: unknown): void {
-    this.finals.set(id, value);
+    this.terminalRecords.set(id, value);
   }
 
   get size(): number {
-    return this.finals.size;
+    return this.terminalRecords.size;
   }
 
   /** Moves a few records, if there are too many and nothing else is to be written. */
   tick(): void {
-    const surplus = this.finals.size - this.deps.keep;
+    const surplus = this.terminalRecords.size - this.deps.keep;
     if (surplus <= 0 || this.moving || !this.deps.idle()) return;
     const most = Math.max(1, Math.floor((this.deps.txnOps - 1) / 2));
     const moved = [...this.oldest(Math.min(surplus, most))];
     this.moving = true;
-    this.deps.push({
-      changes: moved.flatMap(([id, value]) => [{ delete: KEYS.open(id) }, { put: KEYS.final(id), value }]),
+    this.deps.enqueueWrite({
+      changes: moved.flatMap(([id, value]) => [{ delete: KEYS.open(id) }, { put: KEYS.archived(id), value }]),
       done: () => {
-        this.deps.post(() => {
+        this.deps.enqueue(() => {
           this.moving = false;
-          for (const [id] of moved) this.finals.delete(id);
+          for (const [id] of moved) this.terminalRecords.delete(id);
         });
       },
     });
@@ -54,7 +54,7 @@
 
   private *oldest(count: number): Generator<[string, unknown]> {
     let left = count;
-    for (const entry of this.finals) {
+    for (const entry of this.terminalRecords) {
       if (left-- === 0) return;
       yield entry;
     }
--- a/src/jobs/begun.ts
+++ b/src/jobs/begun.ts
@@ -1,7 +1,7 @@
 import { KEYS } from '../store/keys.ts';
-import type { LateWriteJob } from '../store/writer.ts';
+import type { DeferredWrite } from '../store/writer.ts';
 import type { Item } from '../wire/state.ts';
-import { begunValue, readBegun } from './records.ts';
+import { startWatermarksValue, readStartWatermarks } from './records.ts';
 
 interface Page {
   index: number;
@@ -14,17 +14,17 @@
   waiting: (() => void)[];
 }
 
-export interface BegunNotesDeps {
+export interface StartWatermarksDeps {
   /** Pages stay below this, so that a change rewrites little and a value is never too long. */
   pageBytes: number;
-  push(job: LateWriteJob): void;
+  enqueueWrite(job: DeferredWrite): void;
   /** Puts a command in the owner's queue. */
-  post(command: () => void): void;
+  enqueue(command: () => void): void;
 }
 
 /** What an earlier leader noted. */
-export interface BegunFound {
-  begun: Map<string, number>;
+export interface RestoredWatermarks {
+  watermarks: Map<string, number>;
   /** A page can't be read: any task of any job may have been started. */
   unreadable: boolean;
 }
@@ -37,23 +37,23 @@
  * written the next time. A page that can't be read is never written again, so that it makes every later leader
  * as careful as this one.
  */
-export class BegunNotes {
+export class StartWatermarks {
   private readonly pages = new Map<number, Page>();
   private readonly pageOf = new Map<string, Page>();
   private readonly unreadable = new Set<number>();
 
-  constructor(private readonly deps: BegunNotesDeps) {}
+  constructor(private readonly deps: StartWatermarksDeps) {}
 
   /** Takes over what an earlier leader left. `isOpen`: entries of other jobs are dropped with the next write. */
-  load(
+  restore(
     items: readonly Item[],
     isOpen: (id: string) => boolean,
     malformed: (key: string) => void,
-  ): BegunFound {
-    const found: BegunFound = { begun: new Map(), unreadable: false };
+  ): RestoredWatermarks {
+    const found: RestoredWatermarks = { watermarks: new Map(), unreadable: false };
     for (const item of items) {
-      const index = Number(item.key.slice(KEYS.begunPrefix.length));
-      const entries = readBegun(item.value);
+      const index = Number(item.key.slice(KEYS.startWatermarksPrefix.length));
+      const entries = readStartWatermarks(item.value);
       if (!entries || !Number.isSafeInteger(index) || index < 0) {
         malformed(item.key);
         found.unreadable = true;
@@ -64,7 +64,7 @@
       for (const [id, begun] of entries) {
         if (!isOpen(id)) continue;
         this.put(page, id, begun);
-        found.begun.set(id, Math.max(begun, found.begun.get(id) ?? 0));
+        found.watermarks.set(id, Math.max(begun, found.watermarks.get(id) ?? 0));
       }
     }
     return found;
@@ -100,7 +100,7 @@
   }
 
   /** Notes that tasks of the job below `begun` may be started; calls back once the store says so. */
-  note(id: string, begun: number, durable: () => void): void {
+  raise(id: string, begun: number, durable: () => void): void {
     const page = this.pageOf.get(id) ?? this.pageWithRoom(sizeOf(id));
     this.put(page, id, Math.max(begun, page.entries.get(id) ?? 0));
     page.waiting.push(durable);
@@ -119,17 +119,17 @@
   private write(page: Page): void {
     page.queued = true;
     let told: (() => void)[] = [];
-    this.deps.push({
+    this.deps.enqueueWrite({
       // Entries can still grow in number until it is sent, up to the size of a page.
       bytes: this.deps.pageBytes,
       build: () => {
         page.queued = false;
         told = page.waiting;
         page.waiting = [];
-        return { put: KEYS.begun(page.index), value: begunValue(page.entries) };
+        return { put: KEYS.startWatermarks(page.index), value: startWatermarksValue(page.entries) };
       },
       done: () => {
-        this.deps.post(() => {
+        this.deps.enqueue(() => {
           for (const tell of told) tell();
         });
       },
--- a/src/jobs/finals.ts
+++ b/src/jobs/finals.ts
@@ -1,7 +1,7 @@
 import type { JobStatus } from '../wire/user.ts';
 
 /** Final states seen lately. They never change, so any node may tell them; the store keeps the rest. */
-export class FinalCache {
+export class TerminalStateCache {
   private readonly entries = new Map<string, JobStatus>();
 
   constructor(private readonly max: number) {}
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -12,7 +12,7 @@
 
 /** A job as the leader knows it. Work on it goes by counts and short lists, never over all its tasks. */
 export class Job {
-  readonly state: Uint8Array;
+  readonly taskStates: Uint8Array;
   /** Next task that was never assigned; tasks below it that came back are in `returned`. */
   private next = 0;
   private returned: number[] = [];
@@ -26,10 +26,10 @@
   /** Chunks that have a record in the store. */
   readonly storedChunks = new Set<number>();
   /** Set once the job is to end; no task starts from then on. */
-  ending: 'done' | 'cancelled' | null = null;
+  pendingOutcome: 'done' | 'cancelled' | null = null;
   /** Called with the final state once it is durable. */
-  readonly whenFinal: (() => void)[] = [];
-  final: 'done' | 'cancelled' | null = null;
+  readonly onTerminal: (() => void)[] = [];
+  terminalState: 'done' | 'cancelled' | null = null;
   readonly failures = newJobFailures();
   /** No task is started before this time, in milliseconds on the steady clock. */
   notBefore = 0;
@@ -39,19 +39,19 @@
    */
   readonly holders = new Map<number, number>();
   /** A machine on which room is being made for it, and until when it waits for that. */
-  aim: { machine: number; until: number } | null = null;
+  nominatedMachine: { machine: number; until: number } | null = null;
   /** Machines (by index) on which others were stopped for it or that it waits for besides, and until when. */
-  roomMade: { machines: ReadonlySet<number>; zone: number; until: number } | null = null;
+  reservation: { machines: ReadonlySet<number>; zone: number; until: number } | null = null;
   /** The zone that the last round chose for a job that must stay in one, or -1. */
   zoneHint = -1;
   /** Machines (by index) on which a task of this job failed. */
-  readonly avoid = new Set<number>();
+  readonly excludedMachines = new Set<number>();
   /** Tasks below this may be started: the store says that they may have been. No task starts before that. */
-  begun = 0;
+  durableStartWatermark = 0;
   /** What the store has been asked to say. */
-  begunAsked = 0;
+  requestedStartWatermark = 0;
   /** Of an earlier leader: tasks below it may run on machines that are not heard yet, the others surely don't. */
-  unsureBelow = 0;
+  inheritedStartWatermark = 0;
   /** When the job began to wait, on the steady clock; moves on whenever a task is placed. */
   waitingSince: number;
 
@@ -61,7 +61,7 @@
     readonly createdWall: number,
     now: number,
   ) {
-    this.state = new Uint8Array(spec.tasks);
+    this.taskStates = new Uint8Array(spec.tasks);
     this.pendingCount = spec.tasks;
     this.waitingSince = now;
   }
@@ -71,76 +71,76 @@
   }
 
   /** Found in the store by a new leader. */
-  inherit(begun: number, now: number): void {
+  restore(begun: number, now: number): void {
     if (begun > 0) this.waitingSince = now;
-    this.begun = begun;
-    this.begunAsked = begun;
-    this.unsureBelow = begun;
+    this.durableStartWatermark = begun;
+    this.requestedStartWatermark = begun;
+    this.inheritedStartWatermark = begun;
   }
 
   /** No task of it has ever been started. */
-  get untouched(): boolean {
-    return this.begunAsked === 0;
+  get neverStarted(): boolean {
+    return this.requestedStartWatermark === 0;
   }
 
   /** Tasks that nobody can be running while machines of an earlier leader are unheard. */
-  surelyPending(): number {
-    if (this.unsureBelow === 0) return this.pendingCount;
+  startableCount(): number {
+    if (this.inheritedStartWatermark === 0) return this.pendingCount;
     // Where the others of the job are decides where these may go.
     if (this.spec.gang || this.spec.oneZone || this.spec.spread) return 0;
     let count = 0;
-    for (let task = this.unsureBelow; task < this.spec.tasks; task++) {
-      if (this.state[task] === PENDING) count += 1;
+    for (let task = this.inheritedStartWatermark; task < this.spec.tasks; task++) {
+      if (this.taskStates[task] === PENDING) count += 1;
     }
     return count;
   }
 
   /** Takes the next pending task, or -1; `sure`: only one that nobody can be running. */
   takePending(sure = false): number {
-    if (sure && this.unsureBelow > 0) {
-      for (let task = this.unsureBelow; task < this.spec.tasks; task++) {
-        if (this.state[task] === PENDING) return this.assign(task);
+    if (sure && this.inheritedStartWatermark > 0) {
+      for (let task = this.inheritedStartWatermark; task < this.spec.tasks; task++) {
+        if (this.taskStates[task] === PENDING) return this.assign(task);
       }
       return -1;
     }
     while (this.returned.length > 0) {
       const task = this.returned.pop()!;
-      if (this.state[task] === PENDING) return this.assign(task);
+      if (this.taskStates[task] === PENDING) return this.assign(task);
     }
     while (this.next < this.spec.tasks) {
       const task = this.next++;
-      if (this.state[task] === PENDING) return this.assign(task);
+      if (this.taskStates[task] === PENDING) return this.assign(task);
     }
     return -1;
   }
 
   /** Assigns a certain task, found running after a takeover. */
   adopt(task: number): boolean {
-    if (this.state[task] !== PENDING) return false;
+    if (this.taskStates[task] !== PENDING) return false;
     this.assign(task);
     return true;
   }
 
   private assign(task: number): number {
-    this.state[task] = ASSIGNED;
+    this.taskStates[task] = ASSIGNED;
     this.pendingCount -= 1;
     return task;
   }
 
   /** A task that was assigned is surely nowhere any more. */
-  giveBack(task: number, now: number): void {
-    if (this.state[task] !== ASSIGNED) return;
-    this.state[task] = PENDING;
+  requeue(task: number, now: number): void {
+    if (this.taskStates[task] !== ASSIGNED) return;
+    this.taskStates[task] = PENDING;
     this.pendingCount += 1;
     if (this.pendingCount === 1) this.waitingSince = now;
     this.returned.push(task);
   }
 
   markDone(task: number): boolean {
-    const state = this.state[task];
+    const state = this.taskStates[task];
     if (state === undefined || state >= DONE) return false;
     if (state === PENDING) this.pendingCount -= 1;
-    this.state[task] = DONE;
+    this.taskStates[task] = DONE;
     this.doneCount += 1;
     this.dirtyChunks.add(Math.floor(task / CHUNK_TASKS));
     return true;
@@ -153,12 +153,12 @@
     for (let task = from; task < to; task++) {
       const at = task - from;
       const set = ((bits[at >> 3] ?? 0) & (1 << (at & 7))) !== 0;
-      const before = this.state[task]!;
+      const before = this.taskStates[task]!;
       if (!set || before === DURABLE) continue;
       if (before === PENDING) this.pendingCount -= 1;
       if (before < DONE) this.doneCount += 1;
       this.failures.succeededBefore = true;
-      this.state[task] = DURABLE;
+      this.taskStates[task] = DURABLE;
       this.durableCount += 1;
     }
   }
@@ -168,17 +168,17 @@
     const to = Math.min(this.spec.tasks, from + CHUNK_TASKS);
     const bits = new Uint8Array(Math.ceil((to - from) / 8));
     for (let task = from; task < to; task++) {
-      if (this.state[task]! >= DONE) bits[(task - from) >> 3]! |= 1 << ((task - from) & 7);
+      if (this.taskStates[task]! >= DONE) bits[(task - from) >> 3]! |= 1 << ((task - from) & 7);
     }
     return bits;
   }
 
   isDone(task: number): boolean {
-    return this.state[task]! >= DONE;
+    return this.taskStates[task]! >= DONE;
   }
 
   isDurable(task: number): boolean {
-    return this.final === 'done' || this.state[task] === DURABLE;
+    return this.terminalState === 'done' || this.taskStates[task] === DURABLE;
   }
 
   get allDone(): boolean {
@@ -186,12 +186,12 @@
   }
 
   /** The job is to end, and its final record isn't known to be durable. */
-  get endUnconfirmed(): boolean {
-    return this.ending !== null && this.final === null;
+  get outcomeUnconfirmed(): boolean {
+    return this.pendingOutcome !== null && this.terminalState === null;
   }
 
   status(): JobStatus {
-    if (this.final) return { stage: this.final, done: this.doneCount, running: 0 };
+    if (this.terminalState) return { stage: this.terminalState, done: this.doneCount, running: 0 };
     return {
       stage: this.running > 0 ? 'running' : 'pending',
       done: this.durableCount,
--- a/src/jobs/knowledge.ts
+++ b/src/jobs/knowledge.ts
@@ -1,7 +1,7 @@
 import type { JobStatus } from '../wire/user.ts';
 
 /** What a leader can say of a job from its memory alone, with no read of the state service. */
-export type LeaderView =
+export type LeaderLookup =
   /** Certain now: open and not about to end, or over with a durable final record. */
   | { kind: 'status'; status: JobStatus }
   /**
@@ -13,7 +13,7 @@
   | { kind: 'unknown' };
 
 /** What a controller found out about a job on behalf of a user. */
-export type Finding =
+export type JobLookup =
   | { kind: 'status'; status: JobStatus }
   /** The state service holds no record of the job. */
   | { kind: 'missing' }
@@ -25,14 +25,14 @@
  * later answer is refused: in the meantime another controller may have told that the job was accepted or is over.
  * Shorter than the 2 s for which a user waits for the answer to a poll.
  */
-export const MAX_FINDING_AGE_MS = 1500;
+export const MAX_LOOKUP_AGE_MS = 1500;
 
-export function isFinal(status: JobStatus): boolean {
+export function isTerminal(status: JobStatus): boolean {
   return status.stage === 'done' || status.stage === 'cancelled';
 }
 
 /** The finding itself if it may still be told, `unable` if it may have been overtaken. */
-export function unlessOvertaken(finding: Finding, ageMs: number): Finding {
-  if (ageMs <= MAX_FINDING_AGE_MS) return finding;
-  return finding.kind === 'status' && isFinal(finding.status) ? finding : { kind: 'unable' };
+export function unlessStale(finding: JobLookup, ageMs: number): JobLookup {
+  if (ageMs <= MAX_LOOKUP_AGE_MS) return finding;
+  return finding.kind === 'status' && isTerminal(finding.status) ? finding : { kind: 'unable' };
 }
--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -29,7 +29,7 @@
   }
 
   /** null: the leader can't be asked now. */
-  ask(jobId: string): Promise<PollAnswer | null> {
+  poll(jobId: string): Promise<PollAnswer | null> {
     return new Promise((resolve) => {
       const sharing = this.waiting.get(jobId);
       if (sharing) {
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -2,11 +2,11 @@
 import type { Options } from '../config/options.ts';
 import type { Catalog } from '../fleet/catalog.ts';
 import { failure, type Answer, type Reply } from '../http/server.ts';
-import type { LeaderlessStep } from '../leadership/election.ts';
-import type { MeshReply, MeshRequest } from '../mesh/frames.ts';
+import type { LeaderlessWrite } from '../leadership/election.ts';
+import type { PeerReply, PeerRequest } from '../mesh/frames.ts';
 import { KEYS } from '../store/keys.ts';
 import type { RateBudget } from '../store/budget.ts';
-import type { StoreClient, Urgency } from '../store/client.ts';
+import type { KeyValueStore, Urgency } from '../store/client.ts';
 import {
   decodeJob,
   encodeStatus,
@@ -15,40 +15,46 @@
   type JobRequest,
   type JobStatus,
 } from '../wire/user.ts';
-import { impossible, type TeamLimits } from './admission.ts';
-import type { FinalCache } from './finals.ts';
-import { isFinal, MAX_FINDING_AGE_MS, unlessOvertaken, type Finding, type LeaderView } from './knowledge.ts';
-import { finalValue, openValue, readFinal, readOpen } from './records.ts';
+import { infeasibility, type TeamQuota } from './admission.ts';
+import type { TerminalStateCache } from './finals.ts';
+import {
+  isTerminal,
+  MAX_LOOKUP_AGE_MS,
+  unlessStale,
+  type JobLookup,
+  type LeaderLookup,
+} from './knowledge.ts';
+import { terminalValue, openValue, readTerminal, readOpen } from './records.ts';
 
 /** What user requests need of the leadership on this node, if there is one. */
 export interface LocalLeader {
   readonly term: number;
-  view(id: string): LeaderView;
+  lookup(id: string): LeaderLookup;
   /** `settled` with null: this leadership ended before the outcome was durable. False: the job is not known here. */
   cancel(id: string, settled: (status: JobStatus | null) => void): boolean;
-  created(id: string, value: unknown): void;
+  observeOpenRecord(id: string, value: unknown): void;
 }
 
 export interface UserRequestDeps {
   clock: Clock;
   options: Options;
-  store: Pick<StoreClient, 'get' | 'txn'>;
-  finals: FinalCache;
+  store: Pick<KeyValueStore, 'get' | 'compareAndSwap'>;
+  terminalStates: TerminalStateCache;
   /** This node's share of the changes of the state service, for new jobs. */
   submissions: RateBudget;
-  teams: readonly TeamLimits[];
+  teams: readonly TeamQuota[];
   catalog(): Catalog | null;
   leader(): LocalLeader | null;
   /** Begins a step that needs a leader's absence. null: not now, or there is a leader. */
-  actAlone(urgency: Urgency): Promise<LeaderlessStep | null>;
+  beginLeaderlessWrite(urgency: Urgency): Promise<LeaderlessWrite | null>;
   /** Asks the leading node; null when there is none or it doesn't answer. */
-  askLeader(request: MeshRequest, timeoutMs: number): Promise<MeshReply | null>;
+  callLeader(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
   /** Asks all other nodes, for when this one alone can't help; null when none of them can. */
-  askOthers(request: MeshRequest, timeoutMs: number): Promise<MeshReply | null>;
+  callOthers(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
 }
 
 /** `limited`: too many submissions for the state service; nothing was written. */
-type Created = Finding | { kind: 'created' } | { kind: 'limited' };
+type Created = JobLookup | { kind: 'created' } | { kind: 'limited' };
 
 const PENDING: JobStatus = { stage: 'pending', done: 0, running: 0 };
 const CANCEL_FORWARD_MS = 2500;
@@ -70,18 +76,18 @@
   }
 
   private found(id: string, status: JobStatus, code = 200): Answer {
-    if (isFinal(status)) this.deps.finals.put(id, status);
+    if (isTerminal(status)) this.deps.terminalStates.put(id, status);
     // The end may have become known here while an open state was being looked up.
-    const final = this.deps.finals.get(id);
+    const final = this.deps.terminalStates.get(id);
     if (final) return { status: 200, body: encodeStatus(id, final) };
     return { status: code, body: encodeStatus(id, status) };
   }
 
   /** Runs a read. What it found is only told while that can't have been overtaken by much. */
-  private async timely(read: () => Promise<Finding>): Promise<Finding> {
+  private async timely(read: () => Promise<JobLookup>): Promise<JobLookup> {
     const begunAt = this.deps.clock.now();
     const finding = await read();
-    return unlessOvertaken(finding, this.deps.clock.now() - begunAt);
+    return unlessStale(finding, this.deps.clock.now() - begunAt);
   }
 
   // ---- submissions ----
@@ -102,7 +108,7 @@
     const catalog = this.deps.catalog();
     const team = this.deps.teams.find((t) => t.name === job.team);
     // An unknown team or a limit that is too small needs no machine types to be told.
-    const never = impossible(job, team, catalog);
+    const never = infeasibility(job, team, catalog);
     if (never !== null) return this.unlessKnown(id, failure(422, never));
     if (!catalog) return this.unlessKnown(id, this.busy('machine types not known yet'));
     const created = await this.create(job);
@@ -113,10 +119,10 @@
   }
 
   private async createdByOthers(id: string, body: string): Promise<Answer> {
-    const request: MeshRequest = { kind: 'submit', jobId: id, body };
+    const request: PeerRequest = { kind: 'submit', jobId: id, body };
     let created = false;
     const looked = await this.timely(async () => {
-      const reply = await this.deps.askOthers(request, this.deps.options.users.forward_ms * 2);
+      const reply = await this.deps.callOthers(request, this.deps.options.users.forward_ms * 2);
       created = reply?.kind === 'status' && reply.created;
       return this.lookedBy(reply);
     });
@@ -141,10 +147,10 @@
     if (!this.deps.submissions.take()) return { kind: 'limited' };
     const value = openValue(job, this.deps.clock.wall());
     const begunAt = this.deps.clock.now();
-    const result = await this.deps.store.txn(
+    const result = await this.deps.store.compareAndSwap(
       [
         { key: KEYS.open(job.id), version: 0 },
-        { key: KEYS.final(job.id), version: 0 },
+        { key: KEYS.archived(job.id), version: 0 },
       ],
       [{ put: KEYS.open(job.id), value }],
       'user',
@@ -163,16 +169,16 @@
     if (result.kind !== 'ok') return { kind: 'unable' };
     // By a slow answer the job may be over already, and its user may have been told so elsewhere.
     const tookMs = this.deps.clock.now() - begunAt;
-    return tookMs <= MAX_FINDING_AGE_MS ? { kind: 'created' } : this.look(job.id);
+    return tookMs <= MAX_LOOKUP_AGE_MS ? { kind: 'created' } : this.look(job.id);
   }
 
   // ---- state ----
 
   /** What this node can say without asking: a final state, or what it knows as the leader. */
-  private view(id: string): LeaderView {
-    const status = this.deps.finals.get(id);
+  private view(id: string): LeaderLookup {
+    const status = this.deps.terminalStates.get(id);
     if (status) return { kind: 'status', status };
-    return this.deps.leader()?.view(id) ?? { kind: 'unknown' };
+    return this.deps.leader()?.lookup(id) ?? { kind: 'unknown' };
   }
 
   /** The answer to a poll that needs nobody else, or null. */
@@ -195,46 +201,47 @@
     });
   }
 
-  private async lookEverywhere(id: string): Promise<Finding> {
+  private async lookEverywhere(id: string): Promise<JobLookup> {
     const told = await this.timely(() => this.askLeader(id));
     return told.kind === 'status' ? told : this.lookWithHelp(id, 'poll');
   }
 
   /** The leader answers from memory, so that a job it doesn't know may exist all the same. */
-  private async askLeader(id: string): Promise<Finding> {
+  private async askLeader(id: string): Promise<JobLookup> {
     const { forward_ms } = this.deps.options.users;
-    const reply = await this.deps.askLeader({ kind: 'poll', jobId: id }, forward_ms);
+    const reply = await this.deps.callLeader({ kind: 'poll', jobId: id }, forward_ms);
     return reply?.kind === 'status' ? { kind: 'status', status: reply } : { kind: 'unable' };
   }
 
   /** A fresh look. Perhaps the state service refuses this node alone; what others find is as fresh. */
-  private async lookWithHelp(id: string, urgency: Urgency): Promise<Finding> {
+  private async lookWithHelp(id: string, urgency: Urgency): Promise<JobLookup> {
     const looked = await this.look(id, urgency);
     if (looked.kind !== 'unable') return looked;
     const { forward_ms } = this.deps.options.users;
     return this.timely(async () =>
-      this.lookedBy(await this.deps.askOthers({ kind: 'look', jobId: id }, forward_ms)),
+      this.lookedBy(await this.deps.callOthers({ kind: 'look', jobId: id }, forward_ms)),
     );
   }
 
-  private lookedBy(reply: MeshReply | null): Finding {
+  private lookedBy(reply: PeerReply | null): JobLookup {
     if (reply?.kind === 'status') return { kind: 'status', status: reply };
     return { kind: reply?.kind === 'unknown' ? 'missing' : 'unable' };
   }
 
-  private look(id: string, urgency: Urgency = 'user'): Promise<Finding> {
+  private look(id: string, urgency: Urgency = 'user'): Promise<JobLookup> {
     return this.timely(() => this.readRecords(id, urgency));
   }
 
   /** A read of the store: the job's record first, which once final only ever moves to the archive. */
-  private async readRecords(id: string, urgency: Urgency): Promise<Finding> {
+  private async readRecords(id: string, urgency: Urgency): Promise<JobLookup> {
     const open = await this.deps.store.get(KEYS.open(id), urgency);
     if (open.kind !== 'ok') return { kind: 'unable' };
-    if (open.value) return { kind: 'status', status: readFinal(open.value.value) ?? this.statusOfOpen(id) };
-    const final = await this.deps.store.get(KEYS.final(id), urgency);
+    if (open.value)
+      return { kind: 'status', status: readTerminal(open.value.value) ?? this.statusOfOpen(id) };
+    const final = await this.deps.store.get(KEYS.archived(id), urgency);
     if (final.kind !== 'ok') return { kind: 'unable' };
     if (!final.value) return { kind: 'missing' };
-    const status = readFinal(final.value.value);
+    const status = readTerminal(final.value.value);
     return status ? { kind: 'status', status } : { kind: 'unable' };
   }
 
@@ -251,48 +258,48 @@
       reply(failure(404, 'no such job'));
       return;
     }
-    const known = this.deps.finals.get(id);
+    const known = this.deps.terminalStates.get(id);
     if (known) {
       reply(this.found(id, known));
       return;
     }
     void this.cancelled(id).then((looked) => {
       // Only a final state answers a cancellation: a job can be created while it is being looked for.
-      if (looked.kind === 'status' && isFinal(looked.status)) reply(this.found(id, looked.status));
+      if (looked.kind === 'status' && isTerminal(looked.status)) reply(this.found(id, looked.status));
       else if (looked.kind === 'missing') reply(failure(404, 'no such job'));
       else reply(this.busy('can not be cancelled now'));
     });
   }
 
-  private async cancelled(id: string): Promise<Finding> {
+  private async cancelled(id: string): Promise<JobLookup> {
     if (this.deps.leader()) return this.cancelAsLeader(id);
-    const request: MeshRequest = { kind: 'cancel', jobId: id };
+    const request: PeerRequest = { kind: 'cancel', jobId: id };
     const first = await this.timely(async () =>
-      this.lookedBy(await this.deps.askLeader(request, CANCEL_FORWARD_MS)),
+      this.lookedBy(await this.deps.callLeader(request, CANCEL_FORWARD_MS)),
     );
     if (first.kind !== 'unable') return first;
     const alone = await this.cancelWithoutLeader(id);
     if (alone.kind !== 'unable') return alone;
     // This node may know of no leader, or of one that was, while another leads.
-    return this.timely(async () => this.lookedBy(await this.deps.askOthers(request, CANCEL_FORWARD_MS)));
+    return this.timely(async () => this.lookedBy(await this.deps.callOthers(request, CANCEL_FORWARD_MS)));
   }
 
-  private async cancelAsLeader(id: string): Promise<Finding> {
+  private async cancelAsLeader(id: string): Promise<JobLookup> {
     const term = this.deps.leader()?.term;
     const first = await this.cancelHere(id);
     if (first) return first;
     // Not known here: over already, never accepted, or created a moment ago by another node.
     const open = await this.deps.store.get(KEYS.open(id), 'user');
     if (open.kind !== 'ok') return { kind: 'unable' };
-    if (!open.value || readFinal(open.value.value)) return this.look(id);
+    if (!open.value || readTerminal(open.value.value)) return this.look(id);
     const leader = this.deps.leader();
     // Of another term, it may have loaded its jobs after this one was over: it must not be brought back.
     if (!leader || leader.term !== term) return { kind: 'unable' };
-    leader.created(id, open.value.value);
+    leader.observeOpenRecord(id, open.value.value);
     return (await this.cancelHere(id)) ?? { kind: 'unable' };
   }
 
-  private cancelHere(id: string): Promise<Finding | null> {
+  private cancelHere(id: string): Promise<JobLookup | null> {
     return new Promise((resolve) => {
       const leader = this.deps.leader();
       const taken = leader?.cancel(id, (status) => {
@@ -303,19 +310,19 @@
   }
 
   /** Only while no node holds the leader key: a leader would go on telling what it knows. */
-  private async cancelWithoutLeader(id: string): Promise<Finding> {
-    const step = await this.deps.actAlone('user');
+  private async cancelWithoutLeader(id: string): Promise<JobLookup> {
+    const step = await this.deps.beginLeaderlessWrite('user');
     if (!step) return { kind: 'unable' };
     const open = await this.deps.store.get(KEYS.open(id), 'user');
     if (open.kind !== 'ok' || !open.value || !readOpen(open.value.value)) {
       step.abandon();
       // Over already, or archived.
-      const isOver = open.kind === 'ok' && (!open.value || readFinal(open.value.value) !== null);
+      const isOver = open.kind === 'ok' && (!open.value || readTerminal(open.value.value) !== null);
       return isOver ? this.look(id) : { kind: 'unable' };
     }
     const result = await step.commit(
       [{ key: KEYS.open(id), version: open.value.version }],
-      [{ put: KEYS.open(id), value: finalValue('cancelled', 0) }],
+      [{ put: KEYS.open(id), value: terminalValue('cancelled', 0) }],
       'user',
     );
     if (result.kind !== 'ok') return { kind: 'unable' };
@@ -324,11 +331,11 @@
 
   // ---- requests handed over by other nodes ----
 
-  onMesh(
-    request: Exclude<MeshRequest, { kind: 'promise' | 'ping' | 'workers' | 'polls' }>,
-    reply: (reply: MeshReply) => void,
+  onPeerRequest(
+    request: Exclude<PeerRequest, { kind: 'promise' | 'ping' | 'workers' | 'polls' }>,
+    reply: (reply: PeerReply) => void,
   ): void {
-    const answer = (looked: Finding): void => {
+    const answer = (looked: JobLookup): void => {
       if (looked.kind === 'status') reply({ kind: 'status', created: false, ...looked.status });
       else reply({ kind: looked.kind === 'missing' ? 'unknown' : 'unable' });
     };
--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -1,4 +1,4 @@
-import type { BegunNotes } from '../jobs/begun.ts';
+import type { StartWatermarks } from '../jobs/begun.ts';
 import type { Job } from '../jobs/job.ts';
 import { ASSIGNED } from '../jobs/job.ts';
 import { fetchTime } from '../scheduling/view.ts';
@@ -11,7 +11,7 @@
 import type { Gangs } from './gangs.ts';
 
 const ATTEMPTS_PER_TERM = 2 ** 24;
-const BEGUN_STEP = 16;
+const START_WATERMARK_STEP = 16;
 /** A worker couldn't fetch the job's description yet. */
 const UNKNOWN_JOB_PAUSE_MS = 2000;
 
@@ -22,8 +22,8 @@
   constructor(
     private readonly cluster: Cluster,
     private readonly gangs: Gangs,
-    private readonly endings: Completion,
-    private readonly begun: BegunNotes,
+    private readonly completion: Completion,
+    private readonly startWatermarks: StartWatermarks,
     private readonly deps: LeaderDeps,
   ) {}
 
@@ -38,20 +38,20 @@
   }
 
   start(job: Job, machine: Machine, number: number): Attempt | null {
-    const task = job.takePending(!this.cluster.allAccounted());
+    const task = job.takePending(!this.cluster.allReconciled());
     if (task < 0) return null;
-    this.begin(job, task);
+    this.requestStartWatermark(job, task);
     const a = newAttempt(machine, job, job.id, task, number, this.now());
     machine.attempts.set(attemptKey(a.jobId, task, number), a);
-    machine.pushAfter = 0;
-    this.cluster.toPush.add(machine);
+    machine.commandNotBefore = 0;
+    this.cluster.commandsDue.add(machine);
     const rate = this.deps.catalog.types[machine.type]?.fetchGbPerS ?? 0;
     if (!machine.images.has(job.spec.image) && rate > 0) {
       const from = Math.max(this.now(), machine.fetchingUntil);
       machine.fetchingUntil = from + fetchTime(job.spec.imageGb, rate) * 1000;
       machine.images.set(job.spec.image, machine.fetchingUntil);
     }
-    this.cluster.hold(a);
+    this.cluster.track(a);
     job.waitingSince = this.now();
     if (job.spec.gang) this.gangs.join(job, a);
     return a;
@@ -62,14 +62,14 @@
    * nobody can be running, and need not wait for machines that it can't reach. Said ahead in steps, a job costs
    * few changes, and all jobs that begin in a round share one.
    */
-  private begin(job: Job, task: number): void {
-    if (task < job.begunAsked) return;
-    const step = Math.max(BEGUN_STEP, Math.ceil(job.spec.tasks / 8));
+  private requestStartWatermark(job: Job, task: number): void {
+    if (task < job.requestedStartWatermark) return;
+    const step = Math.max(START_WATERMARK_STEP, Math.ceil(job.spec.tasks / 8));
     const begun = job.spec.gang ? job.spec.tasks : Math.min(job.spec.tasks, task + step);
-    job.begunAsked = begun;
-    this.begun.note(job.id, begun, () => {
-      job.begun = begun;
-      for (const a of this.cluster.liveOf.get(job) ?? []) this.cluster.toPush.add(a.machine);
+    job.requestedStartWatermark = begun;
+    this.startWatermarks.raise(job.id, begun, () => {
+      job.durableStartWatermark = begun;
+      for (const a of this.cluster.liveAttempts.get(job) ?? []) this.cluster.commandsDue.add(a.machine);
     });
   }
 
@@ -95,15 +95,15 @@
       a.stopGraceS = 0;
       return;
     }
-    if (this.cluster.liveOf.get(job)?.has(a)) {
+    if (this.cluster.liveAttempts.get(job)?.has(a)) {
       // Our own start has arrived, whichever way.
-      a.machine.heardUs(this.now());
+      a.machine.acknowledged(this.now());
       return;
     }
     // A task that an earlier leader started.
-    this.cluster.hold(a);
+    this.cluster.track(a);
     if (!job.adopt(a.task)) this.stopOlder(job, a);
-    if (job.ending !== null) a.stopGraceS = 0;
+    if (job.pendingOutcome !== null) a.stopGraceS = 0;
     if (job.spec.gang) this.gangs.adopt(job, a);
   }
 
@@ -116,7 +116,7 @@
       this.cluster.stop(a, 0);
       return;
     }
-    for (const other of this.cluster.liveOf.get(job) ?? []) {
+    for (const other of this.cluster.liveAttempts.get(job) ?? []) {
       if (other === a || other.task !== a.task) continue;
       this.cluster.stop(other.number < a.number ? other : a, 0);
     }
@@ -140,9 +140,9 @@
     this.cluster.dirty = true;
     const job = a.job;
     if (!job) return;
-    const others = this.cluster.letGo(a);
+    const others = this.cluster.release(a);
     if (others < 0) {
-      if (a.cause === 'done') this.endings.taskDone(job, a.task);
+      if (a.exitReason === 'done') this.completion.taskDone(job, a.task);
       return;
     }
     if (a.runningSince !== null) job.running = Math.max(0, job.running - 1);
@@ -151,7 +151,7 @@
         job: job.id,
         task: a.task,
         machine: a.machine.name,
-        cause: a.cause,
+        cause: a.exitReason,
         saved,
         after: this.now() - a.assignedAt,
       },
@@ -159,17 +159,17 @@
     );
     if (a.machine.liveCount === 0) a.machine.idleSince = this.now();
     this.forgetFetch(a.machine, job);
-    if (a.cause === 'done') {
+    if (a.exitReason === 'done') {
       recordSuccess(job.failures, a.machine.index);
       if (this.cluster.gangs.has(job)) for (let task = 0; task < job.spec.tasks; task++) job.markDone(task);
-      this.endings.taskDone(job, a.task);
-    } else if (job.state[a.task] === ASSIGNED && others === 0) {
-      job.giveBack(a.task, this.now());
-      if (a.cause === 'error') this.onError(job, a);
-      else if (a.cause === 'unknown') this.delay(job, UNKNOWN_JOB_PAUSE_MS);
+      this.completion.taskDone(job, a.task);
+    } else if (job.taskStates[a.task] === ASSIGNED && others === 0) {
+      job.requeue(a.task, this.now());
+      if (a.exitReason === 'error') this.onError(job, a);
+      else if (a.exitReason === 'jobUnknown') this.delay(job, UNKNOWN_JOB_PAUSE_MS);
     }
     if (job.spec.gang) this.gangs.leave(job, a);
-    if (job.final) this.cluster.forgetIfEmpty(job);
+    if (job.terminalState) this.cluster.removeIfCompleted(job);
   }
 
   /** A fetch is given up with the last task that waits for it: the machine is no warmer for it. */
@@ -197,10 +197,10 @@
     this.delay(job, retryDelayMs(job.failures));
     const failing = isFailing(job.failures);
     // A job that fails everywhere is tried anywhere.
-    if (failing) job.avoid.clear();
-    else job.avoid.add(machine.index);
+    if (failing) job.excludedMachines.clear();
+    else job.excludedMachines.add(machine.index);
     this.deps.host.log.info(
-      { job: job.id, machine: machine.name, strikes: job.failures.strikes, failing },
+      { job: job.id, machine: machine.name, strikes: job.failures.failureCount, failing },
       'a task failed',
     );
   }
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -1,7 +1,7 @@
 import type { Archive } from '../jobs/archive.ts';
-import type { BegunNotes } from '../jobs/begun.ts';
+import type { StartWatermarks } from '../jobs/begun.ts';
 import type { Job } from '../jobs/job.ts';
-import { chunkValue, finalValue } from '../jobs/records.ts';
+import { chunkValue, terminalValue } from '../jobs/records.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
@@ -14,14 +14,14 @@
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly begun: BegunNotes,
+    private readonly startWatermarks: StartWatermarks,
     private readonly archive: Archive,
     private readonly deps: LeaderDeps,
   ) {}
 
   taskDone(job: Job, task: number): void {
     job.markDone(task);
-    if (job.ending !== null) return;
+    if (job.pendingOutcome !== null) return;
     this.dirtyJobs.add(job);
     if (this.flushDueAt === Infinity) {
       const { finish_batch_ms } = this.deps.options.scheduling;
@@ -30,28 +30,28 @@
   }
 
   finishIfDone(job: Job): void {
-    if (job.ending === null && job.allDone) this.finish(job, 'done');
+    if (job.pendingOutcome === null && job.allDone) this.finish(job, 'done');
   }
 
   finish(job: Job, outcome: 'done' | 'cancelled'): void {
     const { writer, host, settings } = this.deps;
-    job.ending = outcome;
-    this.cluster.over.add(job.id);
+    job.pendingOutcome = outcome;
+    this.cluster.completedJobs.add(job.id);
     this.cluster.dirty = true;
     host.log.debug({ job: job.id, outcome }, 'job ends');
     if (outcome === 'cancelled') this.cluster.stopAll(job, 0);
     // In the place of the open record: one change, and one key that tells what a job is.
-    const value = finalValue(outcome, job.doneCount);
+    const value = terminalValue(outcome, job.doneCount);
     const changes = [{ put: KEYS.open(job.id), value }];
     const chunks: { delete: string }[] = [];
-    for (const chunk of job.storedChunks) chunks.push({ delete: KEYS.finished(job.id, chunk) });
+    for (const chunk of job.storedChunks) chunks.push({ delete: KEYS.completions(job.id, chunk) });
     const together = chunks.length + changes.length < settings.settings.state.txn_ops;
-    writer.push(
+    writer.enqueue(
       {
         changes: together ? [...changes, ...chunks] : changes,
         done: () => {
-          host.post(() => {
-            this.ended(job, outcome, value);
+          host.enqueue(() => {
+            this.onTerminalDurable(job, outcome, value);
           });
         },
       },
@@ -59,19 +59,19 @@
       'ends',
     );
     if (together) return;
-    for (const change of chunks) writer.push({ changes: [change], done: () => undefined }, 'background');
+    for (const change of chunks) writer.enqueue({ changes: [change], done: () => undefined }, 'background');
   }
 
-  private ended(job: Job, outcome: 'done' | 'cancelled', value: unknown): void {
+  private onTerminalDurable(job: Job, outcome: 'done' | 'cancelled', value: unknown): void {
     const { host } = this.deps;
-    job.final = outcome;
-    this.begun.drop(job.id);
+    job.terminalState = outcome;
+    this.startWatermarks.drop(job.id);
     this.archive.add(job.id, value);
-    host.final(job.id, job.status());
-    for (const settled of job.whenFinal) settled();
-    job.whenFinal.length = 0;
+    host.onTerminalState(job.id, job.status());
+    for (const settled of job.onTerminal) settled();
+    job.onTerminal.length = 0;
     host.log.info({ job: job.id, outcome }, 'job over');
-    this.cluster.forgetIfEmpty(job);
+    this.cluster.removeIfCompleted(job);
   }
 
   /**
@@ -84,9 +84,9 @@
     if (now < this.flushDueAt) return;
     const calm = writer.backlog === 0;
     for (const job of this.dirtyJobs) {
-      if (job.ending === null && !job.allDone && !calm) continue;
+      if (job.pendingOutcome === null && !job.allDone && !calm) continue;
       this.dirtyJobs.delete(job);
-      if (job.ending !== null) continue;
+      if (job.pendingOutcome !== null) continue;
       if (job.allDone) {
         this.finish(job, 'done');
         continue;
@@ -101,11 +101,11 @@
   private writeChunk(job: Job, chunk: number): void {
     const bits = job.chunkBits(chunk);
     job.storedChunks.add(chunk);
-    this.deps.writer.push(
+    this.deps.writer.enqueue(
       {
-        changes: [{ put: KEYS.finished(job.id, chunk), value: chunkValue(bits) }],
+        changes: [{ put: KEYS.completions(job.id, chunk), value: chunkValue(bits) }],
         done: () => {
-          this.deps.host.post(() => {
+          this.deps.host.enqueue(() => {
             job.markChunkDurable(chunk, bits);
           });
         },
--- a/src/leader/context.ts
+++ b/src/leader/context.ts
@@ -5,10 +5,10 @@
 import type { Options } from '../config/options.ts';
 import type { Catalog } from '../fleet/catalog.ts';
 import type { Cloud } from '../fleet/cloud.ts';
-import type { TeamLimits } from '../jobs/admission.ts';
+import type { TeamQuota } from '../jobs/admission.ts';
 import type { LeaderWriter } from '../store/writer.ts';
 import type { JobStatus } from '../wire/user.ts';
-import type { Command, Report } from '../wire/worker.ts';
+import type { Command, Heartbeat } from '../wire/worker.ts';
 import type { Machine } from '../workers/machine.ts';
 
 /** What the leader does to the world; all of it goes through here, so tests can watch. */
@@ -16,25 +16,25 @@
   clock: Clock;
   log: Logger;
   /** True while no other node can hold the leader key. */
-  surelyLeading(): boolean;
+  hasValidLease(): boolean;
   /** Sends orders straight to a worker; null without an answer. `executed` false: it refused them. */
-  order(
+  sendCommands(
     machine: Machine,
     commands: Command[],
-  ): Promise<{ report: Report; executed: boolean } | 'not_sent' | 'silent'>;
-  inspect(machine: Machine): Promise<Report | null>;
-  final(id: string, status: JobStatus): void;
-  isFinal(id: string): boolean;
+  ): Promise<{ report: Heartbeat; executed: boolean } | 'not_sent' | 'silent'>;
+  inspect(machine: Machine): Promise<Heartbeat | null>;
+  onTerminalState(id: string, status: JobStatus): void;
+  isTerminal(id: string): boolean;
   /** The final record of a job may be in the store, though its write isn't confirmed yet. */
-  endMayBeWritten(id: string): boolean;
+  outcomeMayBeWritten(id: string): boolean;
   /** Something changed: schedule a batch. */
-  post(command: () => void): void;
+  enqueue(command: () => void): void;
   pause(ms: number): Promise<void>;
   superseded(): void;
   /** This node hears next to no worker; if others do, one of them should lead. */
-  hearsNobody(): void;
+  lostAllWorkers(): void;
   /** Milliseconds since a worker last reported to this controller itself, not by way of a follower. */
-  directReportAgeMs(): number;
+  directHeartbeatAgeMs(): number;
   /** How late this process gets to its work. */
   lagMs(): number;
 }
@@ -43,11 +43,11 @@
   host: LeaderHost;
   settings: Settings;
   options: Options;
-  teams: readonly TeamLimits[];
+  teams: readonly TeamQuota[];
   zones: NameIndex;
   catalog: Catalog;
   cloud: Cloud;
   writer: LeaderWriter;
   term: number;
-  graceMs: number;
+  heartbeatGraceMs: number;
 }
--- a/src/leader/gangs.ts
+++ b/src/leader/gangs.ts
@@ -52,15 +52,15 @@
     const gang = this.cluster.gangs.get(job);
     if (!gang?.members.delete(a)) return;
     if (gang.members.size === 0) this.cluster.gangs.delete(job);
-    else if (a.cause !== 'done' && !gang.ending) this.end(job, gang);
+    else if (a.exitReason !== 'done' && !gang.ending) this.end(job, gang);
   }
 
   /** A gang of which tasks are missing after everything is known can't go on. */
   checkOnce(): void {
-    if (this.checked || !this.cluster.allAccounted()) return;
+    if (this.checked || !this.cluster.allReconciled()) return;
     this.checked = true;
     for (const [job, gang] of this.cluster.gangs) {
-      if (!gang.ending && gang.members.size < job.spec.tasks && job.ending === null) {
+      if (!gang.ending && gang.members.size < job.spec.tasks && job.pendingOutcome === null) {
         this.log.info({ job: job.id }, 'gang incomplete after the takeover');
         this.end(job, gang);
       }
--- a/src/leader/guest-work.ts
+++ b/src/leader/guest-work.ts
@@ -1,9 +1,9 @@
 import type { Job } from '../jobs/job.ts';
 import type { IdleTask } from '../scheduling/idle-work.ts';
-import { fits, roomOf, takeRoom, type Room } from '../scheduling/view.ts';
+import { fits, resourcesOf, allocate, type Resources } from '../scheduling/view.ts';
 import type { Machine } from '../workers/machine.ts';
 import { slackOf } from './job-slack.ts';
-import { OUTLIVED_SHARE, type PlanningDeps } from './planning-sources.ts';
+import { OUTLIVED_SHARE, type SnapshotDeps } from './planning-sources.ts';
 
 /** Work that nobody waits for may cost as much again after each such time. */
 const IDLE_PATIENCE_MS = 600_000;
@@ -11,11 +11,11 @@
 const STOPPABLE_SLACK_S = 60;
 
 /** Work of teams without a guarantee: what it is worth, and what of it can be stopped for its machine's price. */
-export class GuestWork {
-  constructor(private readonly deps: PlanningDeps) {}
+export class BestEffortWork {
+  constructor(private readonly deps: SnapshotDeps) {}
 
   /** Work of the lowest rank of a team without a guarantee. */
-  isGuest(job: Job): boolean {
+  isBestEffort(job: Job): boolean {
     const team = this.deps.teams[job.team]!;
     return job.spec.priority === 0 && team.cpus === 0 && team.gpus === 0;
   }
@@ -47,23 +47,23 @@
     for (const a of m.attempts.values()) {
       if (a.released) continue;
       const { job } = a;
-      if (!job || !this.isGuest(job) || job.spec.gang || a.stopGraceS !== null) return null;
+      if (!job || !this.isBestEffort(job) || job.spec.gang || a.stopGraceS !== null) return null;
       if (a.runningSince === null || slackOf(job, false, this.deps).slackS < STOPPABLE_SLACK_S) return null;
       const ranS = (now - a.runningSince) / 1000;
-      const { checkpointS, saveS, estimateS } = job.spec;
+      const { checkpointIntervalS, checkpointDurationS, estimateS } = job.spec;
       tasks.push({
         worth: this.worthOf(job),
         remainS: Math.max(estimateS - ranS, ranS * OUTLIVED_SHARE),
-        lossS: checkpointS > 0 ? saveS : ranS,
+        lossS: checkpointIntervalS > 0 ? checkpointDurationS : ranS,
       });
     }
     return tasks.length > 0 ? tasks : null;
   }
 
   /** Takes what guests use out of the used room of a machine: they make no machine needed. */
-  takeFrom(used: Room, machine: Machine | undefined): void {
+  takeFrom(used: Resources, machine: Machine | undefined): void {
     for (const a of machine?.attempts.values() ?? []) {
-      if (!a.released && a.job && this.isGuest(a.job)) takeRoom(used, roomOf(a.job.spec));
+      if (!a.released && a.job && this.isBestEffort(a.job)) allocate(used, resourcesOf(a.job.spec));
     }
   }
 }
--- a/src/leader/job-groups.ts
+++ b/src/leader/job-groups.ts
@@ -1,13 +1,13 @@
 import type { Job } from '../jobs/job.ts';
 import { MeanWork } from '../scheduling/mean-work.ts';
 import { shareGuarantees, type GuaranteeLeft } from '../scheduling/urgency.ts';
-import { fits, roomOf, type GroupView } from '../scheduling/view.ts';
+import { fits, resourcesOf, type TaskGroup } from '../scheduling/view.ts';
 import type { JobRequest } from '../wire/user.ts';
 import { isFailing } from '../workers/failure-attribution.ts';
 import type { Cluster } from './cluster.ts';
-import type { GuestWork } from './guest-work.ts';
+import type { BestEffortWork } from './guest-work.ts';
 import { slackOf } from './job-slack.ts';
-import type { PlanningDeps, PlanningSources } from './planning-sources.ts';
+import type { SnapshotDeps, SnapshotSources } from './planning-sources.ts';
 
 /** With so many tasks a job that has waited long begins. */
 const FIRST_TASKS = 4;
@@ -22,22 +22,22 @@
 const PROBE_RENTS_AFTER_MS = 60_000;
 
 /** The jobs that wait, as a round sees them: a group of equal tasks for each. */
-export class JobGroups {
-  private readonly c: Cluster;
+export class TaskGroups {
+  private readonly cluster: Cluster;
 
   constructor(
-    private readonly sources: PlanningSources,
-    private readonly deps: PlanningDeps,
-    private readonly guests: GuestWork,
+    private readonly sources: SnapshotSources,
+    private readonly deps: SnapshotDeps,
+    private readonly bestEffort: BestEffortWork,
   ) {
-    this.c = sources.cluster;
+    this.cluster = sources.cluster;
   }
 
   /** Jobs that fit their team's guarantee together with the team's earlier unfinished ones. */
   guaranteedJobs(): Set<Job> {
     const found = new Set<Job>();
     const used = this.deps.teams.map(() => ({ cpus: 0, gpus: 0 }));
-    const ordered = [...this.c.jobs.values()].filter((j) => j.ending === null);
+    const ordered = [...this.cluster.jobs.values()].filter((j) => j.pendingOutcome === null);
     ordered.sort((a, b) => a.createdWall - b.createdWall);
     for (const job of ordered) {
       const team = this.deps.teams[job.team]!;
@@ -54,43 +54,43 @@
 
   /** The only zone in which a job may be, or -1: its own, or the one in which room is being made for it. */
   private zoneOf(job: Job, now: number): number {
-    const { spec, roomMade } = job;
+    const { spec, reservation } = job;
     if (spec.zone !== null) return this.deps.zones.index(spec.zone);
     // Choosing another zone meanwhile, a gang stopped others in both, again and again.
-    return spec.oneZone && roomMade && now <= roomMade.until ? roomMade.zone : -1;
+    return spec.oneZone && reservation && now <= reservation.until ? reservation.zone : -1;
   }
 
   /** The groups of all jobs that wait. */
-  groups(): GroupView[] {
+  groups(): TaskGroup[] {
     const now = this.deps.host.clock.now();
-    const accounted = this.c.allAccounted();
+    const reconciled = this.cluster.allReconciled();
     const guaranteed = this.guaranteedJobs();
-    const groups: GroupView[] = [];
+    const groups: TaskGroup[] = [];
     const { scheduling } = this.deps.options;
     const work = new MeanWork();
-    for (const [index, job] of this.c.jobList) {
-      if (job.ending !== null || job.pendingCount === 0 || now < job.notBefore) continue;
-      const able = accounted ? job.pendingCount : job.surelyPending();
+    for (const [index, job] of this.cluster.jobsByIndex) {
+      if (job.pendingOutcome !== null || job.pendingCount === 0 || now < job.notBefore) continue;
+      const able = reconciled ? job.pendingCount : job.startableCount();
       if (able === 0) continue;
-      const live = this.c.liveOf.get(job)?.size ?? 0;
-      if (job.spec.gang && (this.c.gangs.has(job) || live > 0)) continue;
+      const live = this.cluster.liveAttempts.get(job)?.size ?? 0;
+      if (job.spec.gang && (this.cluster.gangs.has(job) || live > 0)) continue;
       const probe = isFailing(job.failures);
       if (probe && live > 0) continue;
       const spec = job.spec;
       const waitedMs = now - job.waitingSince;
       // Under a backlog who is late soonest goes first, whoever comes: nothing bounds the wait for a first task. A few
       // first tasks go before everything else of their rank; the rest takes its turn.
-      const starving = !spec.gang && job.untouched && waitedMs > scheduling.begin_after_s * 1000;
+      const starving = !spec.gang && job.neverStarted && waitedMs > scheduling.begin_after_s * 1000;
       let pending = starving ? Math.min(able, FIRST_TASKS) : able;
       // One task shows whether the job still fails; of a gang all are needed for that.
       if (probe && !spec.gang) pending = 1;
-      const { slackS, patienceS, perTask } = slackOf(job, guaranteed.has(job), this.deps);
-      const guest = this.guests.isGuest(job);
+      const { slackS, maxQueueingDelayS, perTask } = slackOf(job, guaranteed.has(job), this.deps);
+      const bestEffort = this.bestEffort.isBestEffort(job);
       // Nothing is expected of its class at any time.
-      const idle = guest && slackS === Infinity;
+      const idle = bestEffort && slackS === Infinity;
       const liveByZone = new Map<number, number>();
       if (spec.oneZone || spec.spread) {
-        for (const a of this.c.liveOf.get(job) ?? []) {
+        for (const a of this.cluster.liveAttempts.get(job) ?? []) {
           liveByZone.set(a.machine.zone, (liveByZone.get(a.machine.zone) ?? 0) + 1);
         }
       }
@@ -100,7 +100,7 @@
         pending,
         gang: spec.gang,
         priority: spec.priority,
-        need: roomOf(spec),
+        need: resourcesOf(spec),
         types: spec.types ? new Set(spec.types.map((t) => this.deps.catalog.typeIndex(t))) : null,
         zone: this.zoneOf(job, now),
         spot: spec.spot,
@@ -109,19 +109,21 @@
         zoneHint: job.zoneHint,
         zoneCap: spec.spread ? Math.ceil(spec.tasks / 2) : Infinity,
         liveByZone,
-        quick: this.sources.forecast.watches(spec.className),
+        latencySensitive: this.sources.forecast.watches(spec.className),
         expected: false,
         waitedMs: probe ? 0 : starving ? LONGEST_MS + waitedMs : waitedMs,
         probe,
-        guest: guest && !starving,
-        rentPriceMost: idle ? this.guests.worthOf(job) : Infinity,
-        rents: !probe || now - job.notBefore > PROBE_RENTS_AFTER_MS,
+        bestEffort: bestEffort && !starving,
+        maxProvisionPrice: idle ? this.bestEffort.worthOf(job) : Infinity,
+        mayProvision: !probe || now - job.notBefore > PROBE_RENTS_AFTER_MS,
         image: spec.image,
         imageGb: spec.imageGb,
-        avoid: now - job.failures.lastStrikeAt > AVOID_MS ? NO_MACHINES : job.avoid,
-        only: job.aim && now <= job.aim.until ? job.aim.machine : -1,
-        roomMade: job.roomMade && now <= job.roomMade.until ? job.roomMade.machines : NO_MACHINES,
-        patienceS,
+        excludedMachines: now - job.failures.lastFailureAt > AVOID_MS ? NO_MACHINES : job.excludedMachines,
+        nominatedMachine:
+          job.nominatedMachine && now <= job.nominatedMachine.until ? job.nominatedMachine.machine : -1,
+        reservedMachines:
+          job.reservation && now <= job.reservation.until ? job.reservation.machines : NO_MACHINES,
+        maxQueueingDelayS,
         slackS,
         guaranteed: false,
         size: 0,
@@ -135,13 +137,13 @@
 
   private guaranteesLeft(): GuaranteeLeft[] {
     return this.deps.teams.map((team, i) => ({
-      cpus: team.cpus > 0 ? team.cpus - this.c.usage[i]!.cpus : null,
-      gpus: team.gpus - this.c.usage[i]!.gpus,
+      cpus: team.cpus > 0 ? team.cpus - this.cluster.usage[i]!.cpus : null,
+      gpus: team.gpus - this.cluster.usage[i]!.gpus,
     }));
   }
 
   /** Room to keep at hand for classes that must start soon: groups like any other, but nothing is placed. */
-  expectedGroups(): GroupView[] {
+  expectedGroups(): TaskGroup[] {
     const { scheduling } = this.deps.options;
     const bootOf = (job: JobRequest): number => {
       let best: { price: number; bootS: number } | null = null;
@@ -163,7 +165,7 @@
       pending: e.tasks,
       gang: false,
       priority: 0,
-      need: roomOf(e.like),
+      need: resourcesOf(e.like),
       types: e.like.types ? new Set(e.like.types.map((t) => this.deps.catalog.typeIndex(t))) : null,
       zone: -1,
       spot: e.like.spot,
@@ -171,19 +173,19 @@
       zoneHint: -1,
       zoneCap: Infinity,
       liveByZone: new Map(),
-      quick: true,
+      latencySensitive: true,
       expected: true,
       waitedMs: 0,
       probe: false,
-      rents: true,
-      guest: false,
-      rentPriceMost: Infinity,
+      mayProvision: true,
+      bestEffort: false,
+      maxProvisionPrice: Infinity,
       image: e.like.image,
       imageGb: 0,
-      avoid: new Set(),
-      only: -1,
-      roomMade: NO_MACHINES,
-      patienceS: scheduling.spare_patience_s,
+      excludedMachines: new Set(),
+      nominatedMachine: -1,
+      reservedMachines: NO_MACHINES,
+      maxQueueingDelayS: scheduling.spare_patience_s,
       slackS: Infinity,
       guaranteed: false,
       size: 0,
--- a/src/leader/job-slack.ts
+++ b/src/leader/job-slack.ts
@@ -1,12 +1,12 @@
 import type { Job } from '../jobs/job.ts';
-import type { PlanningDeps } from './planning-sources.ts';
+import type { SnapshotDeps } from './planning-sources.ts';
 
 /** How much time a job has by what is expected of its class. */
 export interface JobSlack {
   /** Seconds to spare; Infinity: nothing is expected, -1: all of it is missed. */
   slackS: number;
   /** How much longer than a machine's boot it would rather wait than have one rented, in seconds. */
-  patienceS: number;
+  maxQueueingDelayS: number;
   /** The next expectation is of each task, not of the whole job. */
   perTask: boolean;
 }
@@ -15,7 +15,7 @@
  * Seconds that a job can still wait without missing the next thing expected of its class, or -1 if it has
  * missed them all. Estimates are often too low, so a part is added.
  */
-export function slackOf(job: Job, guaranteed: boolean, deps: PlanningDeps): JobSlack {
+export function slackOf(job: Job, guaranteed: boolean, deps: SnapshotDeps): JobSlack {
   const { spec } = job;
   const ageS = (deps.host.clock.wall() - job.createdWall) / 1000;
   const runS = spec.estimateS * deps.options.scheduling.estimate_margin;
@@ -40,7 +40,7 @@
   }
   const { patience_share, patience_max_s } = deps.options.fleet;
   // Once late, money decides.
-  const patienceS =
+  const maxQueueingDelayS =
     watched && ownS === Infinity ? patience_max_s / 2 : Math.min(patience_max_s, ownS * patience_share);
-  return { slackS: watched && slackS === Infinity ? -1 : slackS, patienceS, perTask };
+  return { slackS: watched && slackS === Infinity ? -1 : slackS, maxQueueingDelayS, perTask };
 }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -5,50 +5,50 @@
 import type { LeaderDeps } from './context.ts';
 import { Completion } from './completion.ts';
 import { Gangs } from './gangs.ts';
-import { WorkerCommands } from './worker-commands.ts';
-import { Rounds } from './rounds.ts';
-import { PlanningViews } from './planning-views.ts';
+import { CommandDispatcher } from './worker-commands.ts';
+import { SchedulingRounds } from './rounds.ts';
+import { SchedulingSnapshots } from './planning-views.ts';
 import { MachineMonitor } from './machine-monitor.ts';
-import { Fleet } from '../fleet/fleet.ts';
+import { MachineProvisioner } from '../fleet/fleet.ts';
 import { Archive } from '../jobs/archive.ts';
-import { BegunNotes } from '../jobs/begun.ts';
+import { StartWatermarks } from '../jobs/begun.ts';
 import { Job } from '../jobs/job.ts';
-import type { LeaderView } from '../jobs/knowledge.ts';
-import { readChunk, readFinal, readOpen } from '../jobs/records.ts';
+import type { LeaderLookup } from '../jobs/knowledge.ts';
+import { readChunk, readTerminal, readOpen } from '../jobs/records.ts';
 import { ArrivalForecast } from '../scheduling/forecast.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Item, WatchEvent } from '../wire/state.ts';
 import type { JobStatus } from '../wire/user.ts';
-import type { Command, Report } from '../wire/worker.ts';
+import type { Command, Heartbeat } from '../wire/worker.ts';
 import { Machine, type MachineIdentity } from '../workers/machine.ts';
-import { applyReport, commandsFor, isNewer, loseAll, noteAnswer } from '../workers/reconcile.ts';
+import { applyHeartbeat, commandsFor, isNewer, releaseAll, noteResponse } from '../workers/reconcile.ts';
 import { MachineRegistry } from '../workers/machine-registry.ts';
 
-const QUICK_IMAGES = 64;
+const MAX_LATENCY_SENSITIVE_IMAGES = 64;
 const COUNT_KEPT_MS = 500;
 const PAGE_BYTES = 4000;
 /** Final records that a new leader may have to read past: a few pages of a listing. */
-const FINALS_KEPT = 2000;
+const TERMINAL_RECORDS_KEPT = 2000;
 
 /** Everything one leadership knows. It starts empty and is thrown away whole when the leadership ends. */
 export class Leader {
   private readonly cluster: Cluster;
   private readonly gangs: Gangs;
-  private readonly begun: BegunNotes;
+  private readonly startWatermarks: StartWatermarks;
   private readonly archive: Archive;
-  private readonly endings: Completion;
+  private readonly completion: Completion;
   private readonly attempts: Attempts;
-  private readonly orders: WorkerCommands;
-  private readonly rounds: Rounds;
-  private readonly watch: MachineMonitor;
-  private readonly roster: MachineRegistry;
-  private readonly fleet: Fleet;
+  private readonly dispatcher: CommandDispatcher;
+  private readonly rounds: SchedulingRounds;
+  private readonly monitor: MachineMonitor;
+  private readonly registry: MachineRegistry;
+  private readonly provisioner: MachineProvisioner;
   private readonly forecast: ArrivalForecast;
-  private readonly quickImages = new Set<string>();
-  private loaded = false;
+  private readonly latencySensitiveImages = new Set<string>();
+  private recovered = false;
   private counted = { at: -Infinity, machines: 0 };
   private readonly startedAt: number;
-  private answeredEarly = -Infinity;
+  private lastAnswerBeforeRegistration = -Infinity;
   private stopped = false;
   private readonly log: Logger;
 
@@ -59,7 +59,7 @@
     this.cluster = new Cluster(deps.teams.length);
     const waits = settings.settings.objectives.filter((o) => o.kind === 'wait' && o.class);
     this.forecast = new ArrivalForecast(new Set(waits.map((o) => o.class!)));
-    this.fleet = new Fleet({
+    this.provisioner = new MachineProvisioner({
       clock: host.clock,
       log: this.log,
       cloud: deps.cloud,
@@ -67,66 +67,71 @@
       zones: deps.zones,
       options,
       term: deps.term,
-      surelyLeading: () => host.surelyLeading(),
-      post: (command) => {
-        host.post(command);
+      hasValidLease: () => host.hasValidLease(),
+      enqueue: (command) => {
+        host.enqueue(command);
       },
       pause: (ms) => host.pause(ms),
-      returning: (names) => {
-        this.markReturning(names);
+      onTerminating: (names) => {
+        this.markTerminating(names);
       },
-      gone: (names) => {
-        for (const name of names) this.machineGone(name);
+      onTerminated: (names) => {
+        for (const name of names) this.onMachineTerminated(name);
       },
     });
-    const views = new PlanningViews(
-      { cluster: this.cluster, fleet: this.fleet, forecast: this.forecast, quickImages: this.quickImages },
+    const views = new SchedulingSnapshots(
+      {
+        cluster: this.cluster,
+        provisioner: this.provisioner,
+        forecast: this.forecast,
+        latencySensitiveImages: this.latencySensitiveImages,
+      },
       deps,
     );
     this.gangs = new Gangs(this.cluster, this.log);
     const pageBytes = Math.min(PAGE_BYTES, settings.settings.state.value_kb * 900);
-    const post = (command: () => void): void => {
-      host.post(command);
+    const enqueue = (command: () => void): void => {
+      host.enqueue(command);
     };
-    this.begun = new BegunNotes({
+    this.startWatermarks = new StartWatermarks({
       pageBytes,
-      push: (job) => {
-        writer.push(job, 'starts');
+      enqueueWrite: (job) => {
+        writer.enqueue(job, 'starts');
       },
-      post,
+      enqueue,
     });
     this.archive = new Archive({
-      keep: FINALS_KEPT,
+      keep: TERMINAL_RECORDS_KEPT,
       txnOps: settings.settings.state.txn_ops,
       idle: () => writer.idle,
-      push: (job) => {
-        writer.push(job, 'background');
+      enqueueWrite: (job) => {
+        writer.enqueue(job, 'background');
       },
-      post,
+      enqueue,
     });
-    this.endings = new Completion(this.cluster, this.begun, this.archive, deps);
-    this.attempts = new Attempts(this.cluster, this.gangs, this.endings, this.begun, deps);
-    this.orders = new WorkerCommands(this.cluster, deps, (report) => {
-      this.onDirectReport(report);
+    this.completion = new Completion(this.cluster, this.startWatermarks, this.archive, deps);
+    this.attempts = new Attempts(this.cluster, this.gangs, this.completion, this.startWatermarks, deps);
+    this.dispatcher = new CommandDispatcher(this.cluster, deps, (report) => {
+      this.onDirectResponse(report);
     });
-    this.rounds = new Rounds(this.cluster, this.fleet, views, this.attempts, deps);
-    this.watch = new MachineMonitor(
+    this.rounds = new SchedulingRounds(this.cluster, this.provisioner, views, this.attempts, deps);
+    this.monitor = new MachineMonitor(
       this.cluster,
-      this.fleet,
+      this.provisioner,
       this.attempts,
-      this.orders,
+      this.dispatcher,
       deps,
       this.startedAt,
       (a, reason) => {
-        this.rounds.stopOrderly(a, reason);
+        this.rounds.stopGracefully(a, reason);
       },
     );
-    this.roster = new MachineRegistry({
+    this.registry = new MachineRegistry({
       pageBytes,
-      push: (job, urgent) => {
-        writer.push(job, urgent ? 'starts' : 'background');
+      enqueueWrite: (job, urgent) => {
+        writer.enqueue(job, urgent ? 'starts' : 'background');
       },
-      post,
+      enqueue,
     });
   }
 
@@ -136,11 +141,11 @@
 
   /** Machines that are up as far as is known, heard or not; null until the state is read. */
   get machineCount(): number | null {
-    if (!this.loaded) return null;
+    if (!this.recovered) return null;
     const now = this.now();
     // Asked with each report, and counted now and then.
     if (now - this.counted.at > COUNT_KEPT_MS)
-      this.counted = { at: now, machines: this.cluster.machines.size + this.fleet.runningUnheard };
+      this.counted = { at: now, machines: this.cluster.machines.size + this.provisioner.runningUnregistered };
     return this.counted.machines;
   }
 
@@ -153,7 +158,7 @@
   /** Whoever waits for the end of a job is told that this leadership won't see it, so that nobody waits in vain. */
   private releaseWaiting(): void {
     for (const job of this.cluster.jobs.values()) {
-      for (const settled of job.whenFinal.splice(0)) settled();
+      for (const settled of job.onTerminal.splice(0)) settled();
     }
   }
 
@@ -164,37 +169,37 @@
   // ---- taking over ----
 
   /** Takes over what the state service holds. */
-  load(found: Omit<StoredState, 'revision'>): void {
+  recover(found: Omit<StoredState, 'revision'>): void {
     const malformed = (key: string): void => {
       this.log.error({ key }, 'a record is malformed');
     };
     const stale = (item: Item): void => {
-      this.deps.writer.push({ changes: [{ delete: item.key }], done: () => undefined }, 'background');
+      this.deps.writer.enqueue({ changes: [{ delete: item.key }], done: () => undefined }, 'background');
     };
-    for (const item of found.open) this.loadRecord(item, malformed);
-    this.loadBegun(found.begun, malformed);
-    for (const item of found.finished) {
+    for (const item of found.open) this.recoverRecord(item, malformed);
+    this.recoverStartWatermarks(found.startWatermarks, malformed);
+    for (const item of found.completions) {
       const [, id, chunk] = item.key.split('/');
       const job = this.cluster.jobs.get(id ?? '');
       const bits = readChunk(item.value);
       if (job && bits) job.markChunkDurable(Number(chunk), bits);
       else if (!job) stale(item);
     }
-    for (const id of this.roster.load(found.roster, malformed)) {
+    for (const id of this.registry.restore(found.machineRegistry, malformed)) {
       const machine = this.cluster.machines.get(id.name) ?? this.addMachine(id);
-      machine.rostered = true;
+      machine.registered = true;
     }
-    this.loaded = true;
+    this.recovered = true;
     this.cluster.dirty = true;
     this.log.info(
       { jobs: this.cluster.jobs.size, roster: this.cluster.machines.size, term: this.term },
       'state read, reaching the machines of the roster',
     );
-    for (const job of this.cluster.jobs.values()) this.endings.finishIfDone(job);
+    for (const job of this.cluster.jobs.values()) this.completion.finishIfDone(job);
   }
 
-  private loadRecord(item: Item, malformed: (key: string) => void): void {
-    if (readFinal(item.value)) {
+  private recoverRecord(item: Item, malformed: (key: string) => void): void {
+    if (readTerminal(item.value)) {
       this.archive.add(item.key.slice(KEYS.openPrefix.length), item.value);
       return;
     }
@@ -203,21 +208,21 @@
     else malformed(item.key);
   }
 
-  private loadBegun(pages: readonly Item[], malformed: (key: string) => void): void {
+  private recoverStartWatermarks(pages: readonly Item[], malformed: (key: string) => void): void {
     const { jobs } = this.cluster;
-    const { begun, unreadable } = this.begun.load(pages, (id) => jobs.has(id), malformed);
+    const { watermarks, unreadable } = this.startWatermarks.restore(pages, (id) => jobs.has(id), malformed);
     for (const job of jobs.values()) {
       // What can't be read may have noted all tasks of any job.
-      const inherited = unreadable ? job.spec.tasks : begun.get(job.id);
-      if (inherited !== undefined) job.inherit(inherited, this.now());
+      const inherited = unreadable ? job.spec.tasks : watermarks.get(job.id);
+      if (inherited !== undefined) job.restore(inherited, this.now());
     }
   }
 
   private mayPlace(): boolean {
     return (
-      this.loaded &&
+      this.recovered &&
       this.now() - this.startedAt >= this.deps.options.scheduling.takeover_wait_s * 1000 &&
-      this.deps.host.surelyLeading()
+      this.deps.host.hasValidLease()
     );
   }
 
@@ -227,8 +232,8 @@
    */
   private mayRent(): boolean {
     const waitMs = this.deps.options.fleet.takeover_rent_s * 1000;
-    if (!this.loaded || !this.fleet.listed || this.now() - this.startedAt < waitMs) return false;
-    return this.cluster.allAccounted() && this.deps.host.surelyLeading();
+    if (!this.recovered || !this.provisioner.listed || this.now() - this.startedAt < waitMs) return false;
+    return this.cluster.allReconciled() && this.deps.host.hasValidLease();
   }
 
   // ---- jobs ----
@@ -248,24 +253,25 @@
     const job = new Job(record.job, team, record.createdWall, clock.now() - ageMs);
     this.cluster.addJob(job);
     this.forecast.note(job.spec, record.createdWall);
-    if (this.forecast.watches(job.spec.className)) this.noteQuickImage(job.spec.image);
+    if (this.forecast.watches(job.spec.className)) this.noteLatencySensitiveImage(job.spec.image);
     this.log.debug({ job: id, tasks: job.spec.tasks, class: job.spec.className }, 'job taken in');
   }
 
   /** The images used lately by classes that must start soon; the oldest is dropped. */
-  private noteQuickImage(image: string): void {
-    this.quickImages.delete(image);
-    this.quickImages.add(image);
-    const oldest = this.quickImages.values().next();
-    if (this.quickImages.size > QUICK_IMAGES && !oldest.done) this.quickImages.delete(oldest.value);
+  private noteLatencySensitiveImage(image: string): void {
+    this.latencySensitiveImages.delete(image);
+    this.latencySensitiveImages.add(image);
+    const oldest = this.latencySensitiveImages.values().next();
+    if (this.latencySensitiveImages.size > MAX_LATENCY_SENSITIVE_IMAGES && !oldest.done)
+      this.latencySensitiveImages.delete(oldest.value);
   }
 
   onStoreEvents(events: readonly WatchEvent[]): void {
     for (const e of events) {
       const id = e.key.slice(KEYS.openPrefix.length);
       // Events come in order: after that of its end no older one of the job follows.
-      if (e.deleted || readFinal(e.value)) this.cluster.over.delete(id);
-      else if (!this.cluster.over.has(id)) this.addJob(id, e.value);
+      if (e.deleted || readTerminal(e.value)) this.cluster.completedJobs.delete(id);
+      else if (!this.cluster.completedJobs.has(id)) this.addJob(id, e.value);
     }
   }
 
@@ -273,26 +279,27 @@
   onStoreListed(items: readonly Item[]): void {
     const listed = new Set(items.map((item) => item.key.slice(KEYS.openPrefix.length)));
     // Ended, written and moved to the archive meanwhile.
-    for (const id of this.cluster.over) if (!listed.has(id)) this.cluster.over.delete(id);
+    for (const id of this.cluster.completedJobs) if (!listed.has(id)) this.cluster.completedJobs.delete(id);
     this.onStoreEvents(items.map((item) => ({ ...item, deleted: false })));
   }
 
   /** Found open in the store by this node; the watch would bring it a little later. */
-  created(id: string, value: unknown): void {
-    if (this.loaded && !this.cluster.over.has(id) && !this.deps.host.isFinal(id)) this.addJob(id, value);
+  observeOpenRecord(id: string, value: unknown): void {
+    if (this.recovered && !this.cluster.completedJobs.has(id) && !this.deps.host.isTerminal(id))
+      this.addJob(id, value);
   }
 
   /** The job is to end, and its final record isn't known to be durable. */
-  isEnding(id: string): boolean {
-    return this.cluster.jobs.get(id)?.endUnconfirmed ?? false;
+  isOutcomeUnconfirmed(id: string): boolean {
+    return this.cluster.jobs.get(id)?.outcomeUnconfirmed ?? false;
   }
 
   /** What this leader can say of a job as of now. */
-  view(id: string): LeaderView {
-    if (!this.loaded || !this.deps.host.surelyLeading()) return { kind: 'unknown' };
+  lookup(id: string): LeaderLookup {
+    if (!this.recovered || !this.deps.host.hasValidLease()) return { kind: 'unknown' };
     const job = this.cluster.jobs.get(id);
     if (!job) return { kind: 'unknown' };
-    if (job.endUnconfirmed && this.deps.host.endMayBeWritten(id)) return { kind: 'uncertain' };
+    if (job.outcomeUnconfirmed && this.deps.host.outcomeMayBeWritten(id)) return { kind: 'uncertain' };
     return { kind: 'status', status: job.status() };
   }
 
@@ -302,85 +309,88 @@
    */
   cancel(id: string, settled: (status: JobStatus | null) => void): boolean {
     const job = this.cluster.jobs.get(id);
-    if (!this.loaded || !job || !this.deps.host.surelyLeading()) return false;
-    if (job.final !== null) {
+    if (!this.recovered || !job || !this.deps.host.hasValidLease()) return false;
+    if (job.terminalState !== null) {
       settled(job.status());
       return true;
     }
-    job.whenFinal.push(() => {
-      settled(job.final === null ? null : job.status());
+    job.onTerminal.push(() => {
+      settled(job.terminalState === null ? null : job.status());
     });
-    if (job.ending === null) this.endings.finish(job, 'cancelled');
+    if (job.pendingOutcome === null) this.completion.finish(job, 'cancelled');
     return true;
   }
 
   // ---- machines ----
 
   private addMachine(id: MachineIdentity): Machine {
-    const answeredBefore = Math.max(this.startedAt + this.deps.graceMs, this.answeredEarly);
+    const answeredBefore = Math.max(
+      this.startedAt + this.deps.heartbeatGraceMs,
+      this.lastAnswerBeforeRegistration,
+    );
     const type = this.deps.catalog.typeIndex(id.machineType);
     const zone = this.deps.zones.index(id.zone);
     return this.cluster.addMachine((index) => new Machine(index, id, type, zone, this.now(), answeredBefore));
   }
 
   /** A worker's own report. Returns the commands of the answer, or null if it must not be answered with 200. */
-  onReport(report: Report): Command[] | null {
-    if (report.token > this.term) {
+  onHeartbeat(report: Heartbeat): Command[] | null {
+    if (report.fencingToken > this.term) {
       this.deps.host.superseded();
       return null;
     }
     // Until the state is read no cancellation is known: an answer would renew the lease of tasks that must be gone
     // within `cancel_s`, without stopping them. Their worker tries again a second later.
-    if (!this.loaded) return null;
-    const machine = this.takeReport(report, false);
+    if (!this.recovered) return null;
+    const machine = this.applyMessage(report, false);
     if (!machine) {
       // Answered all the same, so its lease may be renewed before its machine is known here.
-      this.answeredEarly = this.now();
+      this.lastAnswerBeforeRegistration = this.now();
       return [];
     }
-    if (machine.lapsing) return null;
-    const commands = commandsFor(machine, this.orders.mayStartOn(machine));
-    noteAnswer(machine, commands);
+    if (machine.awaitingLeaseExpiry) return null;
+    const commands = commandsFor(machine, this.dispatcher.mayStartOn(machine));
+    noteResponse(machine, commands);
     return commands;
   }
 
   /** What a worker answered to orders or to a question. Answers still come after the end of this leadership. */
-  private onDirectReport(report: Report): void {
+  private onDirectResponse(report: Heartbeat): void {
     if (this.stopped) return;
-    if (report.token > this.term) {
+    if (report.fencingToken > this.term) {
       this.deps.host.superseded();
       return;
     }
     // Only of machines that are still there: an answer can be older than the machine's end.
-    if (this.cluster.machines.has(report.machine)) this.takeReport(report, true);
+    if (this.cluster.machines.has(report.machine)) this.applyMessage(report, true);
   }
 
-  private takeReport(report: Report, direct: boolean): Machine | null {
+  private applyMessage(report: Heartbeat, direct: boolean): Machine | null {
     const now = this.now();
-    const machine = this.cluster.machines.get(report.machine) ?? this.newcomer(report);
+    const machine = this.cluster.machines.get(report.machine) ?? this.admitNewMachine(report);
     if (!machine) return null;
-    if (!isNewer(machine, report) || this.writtenOff(machine, report)) {
+    if (!isNewer(machine, report) || this.isStale(machine, report)) {
       // Sent before the newest message that was heard, so the lease that its answer renews counts from before that.
-      if (!direct) machine.answeredAt = Math.max(machine.answeredAt, machine.heardAt);
+      if (!direct) machine.leaseRenewedBefore = Math.max(machine.leaseRenewedBefore, machine.lastMessageAt);
       return machine;
     }
-    this.fleet.up(report.machine);
+    this.provisioner.onMachineUp(report.machine);
     const { lease_s, report_s } = this.deps.settings.settings.workers;
     machine.noteContact(report, direct, this.term, now, {
       leaseMs: lease_s * 1000,
       reportMs: report_s * 1000,
     });
     this.attempts.apply(
-      applyReport(machine, report, direct, { now, jobOf: (id) => this.cluster.jobs.get(id) ?? null }),
+      applyHeartbeat(machine, report, direct, { now, jobOf: (id) => this.cluster.jobs.get(id) ?? null }),
     );
     // Whatever the answer says, the lease of this worker may be renewed by it.
-    if (!direct) machine.answeredAt = Math.max(machine.answeredAt, now);
-    if (report.token === this.term && !machine.accounted) {
-      machine.accounted = true;
+    if (!direct) machine.leaseRenewedBefore = Math.max(machine.leaseRenewedBefore, now);
+    if (report.fencingToken === this.term && !machine.reconciled) {
+      machine.reconciled = true;
       this.cluster.dirty = true;
     }
-    if (!machine.rostered && !machine.rosterQueued) this.enroll(machine);
-    if (this.orders.needsPush(machine)) this.cluster.toPush.add(machine);
+    if (!machine.registered && !machine.registrationQueued) this.register(machine);
+    if (this.dispatcher.hasDueCommands(machine)) this.cluster.commandsDue.add(machine);
     return machine;
   }
 
@@ -389,8 +399,8 @@
    * before, or of a worker that has lost everything: it shows no task that still counts. Of a machine that was given
    * up unheard, such a copy once brought back tasks that tied their job to the wrong zone.
    */
-  private writtenOff(machine: Machine, report: Report): boolean {
-    return machine.accounted && report.token !== this.term;
+  private isStale(machine: Machine, report: Heartbeat): boolean {
+    return machine.reconciled && report.fencingToken !== this.term;
   }
 
   /**
@@ -398,60 +408,60 @@
    * yet, and will report again once it has; or a copy of an old report, of a machine that is gone: what holds
    * tasks is in the roster. Taken for a machine, such a copy held up work until its lease was over.
    */
-  private newcomer(report: Report): Machine | null {
-    if (report.token !== this.term || this.fleet.wasReturned(report.machine)) return null;
+  private admitNewMachine(report: Heartbeat): Machine | null {
+    if (report.fencingToken !== this.term || this.provisioner.wasTerminated(report.machine)) return null;
     const { machine: name, address, machineType, zone, spot } = report;
     this.log.info({ machine: name, type: machineType, zone }, 'machine up');
     this.cluster.dirty = true;
     const machine = this.addMachine({ name, address, machineType, zone, spot });
     // It came up after it had been given up: the cloud may take it back at any moment.
-    machine.returning = this.fleet.isReturning(name);
+    machine.terminating = this.provisioner.isTerminating(name);
     return machine;
   }
 
-  private enroll(machine: Machine): void {
-    machine.rosterQueued = true;
-    this.roster.enroll(machine.id, () => {
-      machine.rostered = true;
+  private register(machine: Machine): void {
+    machine.registrationQueued = true;
+    this.registry.register(machine.id, () => {
+      machine.registered = true;
       this.cluster.dirty = true;
-      this.cluster.toPush.add(machine);
+      this.cluster.commandsDue.add(machine);
     });
   }
 
   /** A machine that the fleet gives back takes no new tasks from that moment. */
-  private markReturning(names: readonly string[]): void {
+  private markTerminating(names: readonly string[]): void {
     for (const name of names) {
       const m = this.cluster.machines.get(name);
-      if (m) m.returning = true;
+      if (m) m.terminating = true;
     }
   }
 
   /** The machine and everything on it are gone for certain. */
-  private machineGone(name: string): void {
+  private onMachineTerminated(name: string): void {
     const machine = this.cluster.machines.get(name);
     if (!machine) return;
-    this.attempts.apply(loseAll(machine));
+    this.attempts.apply(releaseAll(machine));
     this.cluster.machines.delete(name);
-    this.cluster.toPush.delete(machine);
+    this.cluster.commandsDue.delete(machine);
     this.cluster.dirty = true;
-    this.roster.remove(name);
+    this.registry.remove(name);
   }
 
   // ---- batches ----
 
   /** Runs after each batch of commands: writes, a round if something changed, orders to workers. */
   afterBatch(): void {
-    if (this.stopped || !this.loaded) return;
-    this.endings.flush();
-    this.watch.tick();
+    if (this.stopped || !this.recovered) return;
+    this.completion.flush();
+    this.monitor.tick();
     if (this.mayPlace()) {
       this.gangs.checkOnce();
       this.rounds.run(true);
     } else if (this.mayRent()) {
       this.rounds.run(false);
     }
-    this.roster.flush(this.deps.writer.backlog === 0);
-    this.orders.pushDue();
+    this.registry.flush(this.deps.writer.backlog === 0);
+    this.dispatcher.dispatchDue();
     this.archive.tick();
   }
 }
--- a/src/leader/machine-views.ts
+++ b/src/leader/machine-views.ts
@@ -1,14 +1,14 @@
 import {
   fetchTime,
-  mergeLeaving,
-  roomOf,
-  takeRoom,
-  type MachineView,
-  type Room,
+  mergeReleases,
+  resourcesOf,
+  allocate,
+  type MachineSnapshot,
+  type Resources,
 } from '../scheduling/view.ts';
-import { isFailing, judgeMachine } from '../workers/failure-attribution.ts';
+import { isFailing, machineHealth } from '../workers/failure-attribution.ts';
 import type { Machine } from '../workers/machine.ts';
-import { OUTLIVED_SHARE, type PlanningDeps, type PlanningSources } from './planning-sources.ts';
+import { OUTLIVED_SHARE, type SnapshotDeps, type SnapshotSources } from './planning-sources.ts';
 
 /** Reports that a machine may leave out and still be given work; one may have been overtaken by a direct answer. */
 const MOST_REPORTS_MISSED = 2.5;
@@ -18,38 +18,38 @@
 const PENALTY_STEPS = 5;
 
 /** The share of a machine that belongs to each of its accelerators. */
-function perAccelerator(size: Room): Room | null {
+function perAccelerator(size: Resources): Resources | null {
   if (size.gpus === 0) return null;
   return { cpus: size.cpus / size.gpus, gpus: 1, memory: size.memory / size.gpus };
 }
 
 /** The machines as a round sees them: those that can take work now, and those that boot. */
-export class MachineViews {
+export class MachineSnapshots {
   constructor(
-    private readonly sources: PlanningSources,
-    private readonly deps: PlanningDeps,
+    private readonly sources: SnapshotSources,
+    private readonly deps: SnapshotDeps,
   ) {}
 
   /** All machines that a round may use. */
-  all(): MachineView[] {
+  all(): MachineSnapshot[] {
     return [...this.present(), ...this.booting()];
   }
 
-  private freeOf(m: Machine): Room {
+  private freeOf(m: Machine): Resources {
     const type = this.deps.catalog.types[m.type];
-    if (!type || m.hasForeign) return { cpus: 0, gpus: 0, memory: 0 };
-    const free = roomOf(type);
-    for (const a of m.attempts.values()) if (!a.released && a.job) takeRoom(free, a.job.spec);
+    if (!type || m.hasUnknownTasks) return { cpus: 0, gpus: 0, memory: 0 };
+    const free = resourcesOf(type);
+    for (const a of m.attempts.values()) if (!a.released && a.job) allocate(free, a.job.spec);
     return free;
   }
 
   /** When the running tasks of a machine are expected to leave, by their owners' estimates. */
-  private leavingOf(m: Machine, now: number): MachineView['leaving'] {
-    const leaving: MachineView['leaving'] = [];
+  private leavingOf(m: Machine, now: number): MachineSnapshot['releases'] {
+    const leaving: MachineSnapshot['releases'] = [];
     for (const a of m.attempts.values()) {
       if (a.released || !a.job) continue;
       const { spec } = a.job;
-      const room = roomOf(spec);
+      const room = resourcesOf(spec);
       let inS: number;
       if (a.stopGraceS !== null) inS = a.stopGraceS;
       else {
@@ -59,7 +59,7 @@
       }
       leaving.push({ inS, room });
     }
-    return mergeLeaving(leaving.sort((x, y) => x.inS - y.inS));
+    return mergeReleases(leaving.sort((x, y) => x.inS - y.inS));
   }
 
   /** Cost steps of a machine that failed tasks of jobs which are not known to fail everywhere. */
@@ -71,24 +71,24 @@
 
   private warmth(m: Machine): number {
     let warm = 0;
-    for (const image of m.images.keys()) if (this.sources.quickImages.has(image)) warm += 1;
+    for (const image of m.images.keys()) if (this.sources.latencySensitiveImages.has(image)) warm += 1;
     return warm;
   }
 
-  private present(): MachineView[] {
-    const views: MachineView[] = [];
+  private present(): MachineSnapshot[] {
+    const views: MachineSnapshot[] = [];
     const now = this.deps.host.clock.now();
     for (const m of this.sources.cluster.machines.values()) {
       const type = this.deps.catalog.types[m.type];
-      if (!type || m.returning || m.takenAt !== null) continue;
-      if (m.session === 0 || m.sessionOver) continue;
+      if (!type || m.terminating || m.reclaimedAt !== null) continue;
+      if (m.incarnation === 0 || m.leaseExpired) continue;
       const reportMs = this.deps.settings.settings.workers.report_s * 1000;
-      if (now - m.heardAt > reportMs * MOST_SILENT_REPORTS) continue;
+      if (now - m.lastMessageAt > reportMs * MOST_SILENT_REPORTS) continue;
       // Answers to orders and questions renew no lease: what is started on a machine that reaches nobody dies with it.
-      if (now - m.reportedAt > reportMs * MOST_REPORTS_MISSED) continue;
+      if (now - m.lastHeartbeatAt > reportMs * MOST_REPORTS_MISSED) continue;
       // Work must not wait on a machine that may be no more than a late copy of a report, or that hears nothing.
-      if (m.token !== this.deps.term || m.unheard > 0) continue;
-      if (judgeMachine(m.failures, m.index, now) !== 'healthy') continue;
+      if (m.fencingToken !== this.deps.term || m.missedAcknowledgements > 0) continue;
+      if (machineHealth(m.failures, m.index, now) !== 'healthy') continue;
       const fetchingS = m.fetchingUntil > now ? (m.fetchingUntil - now) / 1000 : 0;
       views.push({
         machine: m.index,
@@ -97,10 +97,10 @@
         spot: m.id.spot,
         free: this.freeOf(m),
         perAccelerator: perAccelerator(type),
-        leaving: this.leavingOf(m, now),
+        releases: this.leavingOf(m, now),
         load: m.liveCount,
         // Up, but not yet written to the roster: that takes a moment, no new machine.
-        bootsInS: m.rostered ? 0 : 1,
+        bootsInS: m.registered ? 0 : 1,
         fetchS: (image, gb) => {
           const readyAt = m.images.get(image);
           // Several images share the rate.
@@ -108,7 +108,7 @@
           return Math.max(0, readyAt - now) / 1000;
         },
         warm: this.warmth(m),
-        parked: false,
+        surplus: false,
         penalty: this.failurePenalty(m),
         price: m.id.spot ? type.spotPrice : type.price,
       });
@@ -116,25 +116,25 @@
     return views;
   }
 
-  private booting(): MachineView[] {
-    const views: MachineView[] = [];
+  private booting(): MachineSnapshot[] {
+    const views: MachineSnapshot[] = [];
     const now = this.deps.host.clock.now();
-    for (const b of this.sources.fleet.booting()) {
-      if (this.sources.cluster.darkZones.has(b.zone)) continue;
+    for (const b of this.sources.provisioner.booting()) {
+      if (this.sources.cluster.unreachableZones.has(b.zone)) continue;
       const type = this.deps.catalog.types[b.type]!;
       views.push({
         machine: -1 - b.index,
         type: b.type,
         zone: b.zone,
         spot: b.spot,
-        free: roomOf(type),
+        free: resourcesOf(type),
         perAccelerator: perAccelerator(type),
-        leaving: [],
+        releases: [],
         load: 0,
         bootsInS: Math.max(1, type.bootS - (now - b.rentedAt) / 1000),
         fetchS: (_image, gb) => fetchTime(gb, type.fetchGbPerS),
         warm: 0,
-        parked: false,
+        surplus: false,
         penalty: 0,
         price: b.spot ? type.spotPrice : type.price,
       });
--- a/src/leader/planning-sources.ts
+++ b/src/leader/planning-sources.ts
@@ -3,25 +3,25 @@
 import type { Options } from '../config/options.ts';
 import type { Settings } from '../config/settings.ts';
 import type { Catalog } from '../fleet/catalog.ts';
-import type { Fleet } from '../fleet/fleet.ts';
-import type { TeamLimits } from '../jobs/admission.ts';
+import type { MachineProvisioner } from '../fleet/fleet.ts';
+import type { TeamQuota } from '../jobs/admission.ts';
 import type { ArrivalForecast } from '../scheduling/forecast.ts';
 import type { Cluster } from './cluster.ts';
 
 /** What a round is made of. */
-export interface PlanningSources {
+export interface SnapshotSources {
   readonly cluster: Cluster;
-  readonly fleet: Fleet;
+  readonly provisioner: MachineProvisioner;
   readonly forecast: ArrivalForecast;
-  readonly quickImages: ReadonlySet<string>;
+  readonly latencySensitiveImages: ReadonlySet<string>;
 }
 
 /** What planning needs besides: clock, settings and names. */
-export interface PlanningDeps {
+export interface SnapshotDeps {
   host: { clock: Clock };
   settings: Settings;
   options: Options;
-  teams: readonly TeamLimits[];
+  teams: readonly TeamQuota[];
   zones: NameIndex;
   catalog: Catalog;
   term: number;
--- a/src/leader/rounds.ts
+++ b/src/leader/rounds.ts
@@ -1,29 +1,29 @@
-import type { Fleet, IdleMachine } from '../fleet/fleet.ts';
+import type { MachineProvisioner, IdleMachine } from '../fleet/fleet.ts';
 import type { Job } from '../jobs/job.ts';
-import { pickVictims, type VictimView } from '../scheduling/preempt.ts';
+import { selectVictims, type PreemptionCandidate } from '../scheduling/preempt.ts';
 import { worthKeeping } from '../scheduling/idle-work.ts';
 import { runRound } from '../scheduling/round.ts';
 import {
-  roomOf,
-  takeRoom,
-  type GroupView,
-  type MachineView,
+  resourcesOf,
+  allocate,
+  type TaskGroup,
+  type MachineSnapshot,
   type RoundResult,
-  type TeamRoom,
+  type QuotaHeadroom,
 } from '../scheduling/view.ts';
-import { judgeMachine } from '../workers/failure-attribution.ts';
+import { machineHealth } from '../workers/failure-attribution.ts';
 import type { Attempt, Machine } from '../workers/machine.ts';
 import type { Attempts } from './attempts.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
 import { BUSY_MS } from '../base/event-loop-lag.ts';
-import type { PlanningViews } from './planning-views.ts';
+import type { SchedulingSnapshots } from './planning-views.ts';
 
-const MOST_MADE_ROOM = 8;
+const MAX_PREEMPTING_GROUPS = 8;
 /** Time for orders and reports around a stop or a start. */
 const SETTLE_S = 2;
 /** How long the room that is made for a gang is kept, besides the time that the stopped tasks save. */
-const KEEP_ROOM_S = 6;
+const RESERVATION_S = 6;
 /** Rounds take at most about this share of the time, however slow the processor is. */
 const MOST_SHARE = 0.3;
 const BUSY_SHARE = 0.1;
@@ -36,19 +36,19 @@
 const FIRST_GROUPS = 16;
 
 /** Runs the flow rounds and carries out what they find. */
-export class Rounds {
+export class SchedulingRounds {
   private lastStart = -Infinity;
   private tookMs = 0;
   private count = 0;
   private mostGroups = FIRST_GROUPS;
   private placingSince = Infinity;
   /** Machines on which nothing but guests' work runs, and since when. */
-  private readonly guestsOnlySince = new WeakMap<Machine, number>();
+  private readonly bestEffortOnlySince = new WeakMap<Machine, number>();
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly fleet: Fleet,
-    private readonly views: PlanningViews,
+    private readonly provisioner: MachineProvisioner,
+    private readonly snapshots: SchedulingSnapshots,
     private readonly attempts: Attempts,
     private readonly deps: LeaderDeps,
   ) {}
@@ -68,15 +68,15 @@
     this.lastStart = start;
     this.count += 1;
     this.cluster.dirty = false;
-    const groups = this.views.groups();
-    const machines = this.views.machineViews();
-    this.views.park(machines, groups);
-    this.views.addNextWave(machines, groups);
-    const teamRoom = this.views.teamRooms();
+    const groups = this.snapshots.groups();
+    const machines = this.snapshots.machineSnapshots();
+    this.snapshots.markSurplus(machines, groups);
+    this.snapshots.addNextWave(machines, groups);
+    const teamRoom = this.snapshots.quotaHeadroom();
     const result = this.solve(groups, machines, teamRoom, start + scheduling.round_limit_ms);
-    this.fleet.want(result.rents);
+    this.provisioner.setDemand(result.demand);
     for (const [index, zone] of result.zones) {
-      const job = this.cluster.jobList.get(index);
+      const job = this.cluster.jobsByIndex.get(index);
       if (job) job.zoneHint = zone;
     }
     if (place) this.placingSince = Math.min(this.placingSince, start);
@@ -106,22 +106,22 @@
   }
 
   private solve(
-    groups: GroupView[],
-    machines: MachineView[],
-    teamRoom: readonly TeamRoom[],
+    groups: TaskGroup[],
+    machines: MachineSnapshot[],
+    teamRoom: readonly QuotaHeadroom[],
     deadline: number,
   ): RoundResult {
     const { scheduling } = this.deps.options;
     const { types } = this.deps.catalog;
     return runRound(
-      [...groups, ...this.views.expectedGroups()],
+      [...groups, ...this.snapshots.expectedGroups()],
       machines,
-      this.fleet.rentable(this.cluster.darkZones),
+      this.provisioner.rentable(this.cluster.unreachableZones),
       // Expected tasks have no team yet.
       [...teamRoom, { cpus: Infinity, gpus: Infinity }],
       (type) => {
         const t = types[type];
-        return t ? roomOf(t) : null;
+        return t ? resourcesOf(t) : null;
       },
       {
         reserveAfterMs: scheduling.reserve_after_s * 1000,
@@ -139,27 +139,27 @@
   }
 
   private carryOut(
-    groups: readonly GroupView[],
-    machines: readonly MachineView[],
-    teamRoom: TeamRoom[],
+    groups: readonly TaskGroup[],
+    machines: readonly MachineSnapshot[],
+    teamRoom: QuotaHeadroom[],
     result: RoundResult,
   ): void {
     const byJob = new Map(groups.map((g) => [g.job, g]));
     const viewOf = new Map(machines.map((m) => [m.machine, m]));
-    const victims = new Victims(this.views);
+    const victims = new PreemptionCandidates(this.snapshots);
     const gangNumbers = new Map<number, number>();
     for (const p of result.placements) {
-      const job = this.cluster.jobList.get(p.job)!;
-      const machine = this.cluster.byIndex[p.machine]!;
+      const job = this.cluster.jobsByIndex.get(p.job)!;
+      const machine = this.cluster.machinesByIndex[p.machine]!;
       const view = viewOf.get(p.machine)!;
       const group = byJob.get(p.job)!;
-      if (this.makeWarmRoom(job, group, view, machines, teamRoom, victims)) continue;
+      if (this.preemptForCachedImage(job, group, view, machines, teamRoom, victims)) continue;
       for (let i = 0; i < p.count; i++) {
         const number = (job.spec.gang ? gangNumbers.get(p.job) : undefined) ?? this.attempts.nextNumber();
         gangNumbers.set(p.job, number);
         if (!this.attempts.start(job, machine, number)) break;
         // What is placed takes room in what the rest of this round sees.
-        takeRoom(view.free, group.need);
+        allocate(view.free, group.need);
         view.load += 1;
         teamRoom[group.team]!.cpus -= group.need.cpus;
         teamRoom[group.team]!.gpus -= group.need.gpus;
@@ -168,11 +168,11 @@
     }
     // Whoever was left out may need what is idle now: it was once returned, and rented anew a moment later.
     if (result.leftOut === 0) {
-      this.fleet.spare(this.idleMachines(result.held));
-      this.clearDearMachines(machines, result);
+      this.provisioner.offerIdle(this.idleMachines(result.held));
+      this.consolidate(machines, result);
     }
     if (result.unplaced.size + result.awaiting.size > 0) {
-      this.makeRoom(groups, result, machines, teamRoom, victims);
+      this.preempt(groups, result, machines, teamRoom, victims);
     }
   }
 
@@ -182,49 +182,51 @@
     // While a new leader may not place, machines are idle for no reason of theirs.
     const from = this.placingSince;
     for (const m of this.cluster.machines.values()) {
-      if (m.returning || m.liveCount > 0 || !m.accounted || held.has(m.index)) continue;
+      if (m.terminating || m.liveCount > 0 || !m.reconciled || held.has(m.index)) continue;
       // Not given back on mere suspicion: it is idle only because nothing is placed on it.
-      if (judgeMachine(m.failures, m.index, now) === 'suspected') continue;
+      if (machineHealth(m.failures, m.index, now) === 'quarantined') continue;
       idle.push({ name: m.name, type: m.type, idleMs: now - Math.max(m.idleSince, from) });
     }
     return idle;
   }
 
   /** Stops guests' work on machines beyond the present need that are too dear to be kept up for it. */
-  private clearDearMachines(machines: readonly MachineView[], result: RoundResult): void {
+  private consolidate(machines: readonly MachineSnapshot[], result: RoundResult): void {
     const now = this.now();
     const used = new Set(result.placements.map((p) => p.machine));
     for (const view of machines) {
-      const m = this.cluster.byIndex[view.machine];
+      const m = this.cluster.machinesByIndex[view.machine];
       if (!m) continue;
       const needed =
-        !view.parked || used.has(m.index) || result.held.has(m.index) || result.reserved.has(m.index);
-      const tasks = needed || !m.accounted ? null : this.views.idleTasks(m);
+        !view.surplus || used.has(m.index) || result.held.has(m.index) || result.reserved.has(m.index);
+      const tasks = needed || !m.reconciled ? null : this.snapshots.idleTasks(m);
       if (!tasks) {
-        this.guestsOnlySince.delete(m);
+        this.bestEffortOnlySince.delete(m);
         continue;
       }
-      const since = this.guestsOnlySince.get(m) ?? now;
-      this.guestsOnlySince.set(m, since);
+      const since = this.bestEffortOnlySince.get(m) ?? now;
+      this.bestEffortOnlySince.set(m, since);
       if (now - since < this.deps.options.fleet.idle_s * 1000 || worthKeeping(view.price, tasks)) continue;
-      for (const a of m.live()) this.stopOrderly(a, 'machine too dear for it alone');
+      for (const a of m.live()) this.stopGracefully(a, 'machine too dear for it alone');
     }
   }
 
-  private makeRoom(
-    groups: readonly GroupView[],
+  private preempt(
+    groups: readonly TaskGroup[],
     result: RoundResult,
-    machines: readonly MachineView[],
-    teamRoom: readonly TeamRoom[],
-    victims: Victims,
+    machines: readonly MachineSnapshot[],
+    teamRoom: readonly QuotaHeadroom[],
+    victims: PreemptionCandidates,
   ): void {
     if (!this.deps.options.scheduling.preempt) return;
-    const guaranteed = this.views.guaranteedJobs();
-    const waitingOf = (g: GroupView): number =>
-      g.only >= 0 || g.probe ? 0 : (result.unplaced.get(g.job) ?? 0) + (result.awaiting.get(g.job) ?? 0);
+    const guaranteed = this.snapshots.guaranteedJobs();
+    const waitingOf = (g: TaskGroup): number =>
+      g.nominatedMachine >= 0 || g.probe
+        ? 0
+        : (result.unplaced.get(g.job) ?? 0) + (result.awaiting.get(g.job) ?? 0);
     const pressing = groups.filter((g) => waitingOf(g) > 0).sort((a, b) => b.priority - a.priority);
     // A swarm of waiting jobs must not make a round long: the others get their turn in the next.
-    for (const group of pressing.slice(0, MOST_MADE_ROOM)) {
+    for (const group of pressing.slice(0, MAX_PREEMPTING_GROUPS)) {
       // With room on its way, a guarantee alone is no reason to stop others.
       const guaranteeAfterMs = result.unplaced.has(group.job)
         ? this.deps.options.scheduling.guarantee_after_s * 1000
@@ -232,7 +234,7 @@
       let counted = new Set<number>();
       const pick = (zone: number): Attempt[] | null => {
         counted = new Set();
-        return pickVictims(
+        return selectVictims(
           { ...group, zone },
           waitingOf(group),
           machines,
@@ -247,15 +249,15 @@
       let chosen = pick(result.zones.get(group.job) ?? group.zone);
       if (chosen?.length === 0 && result.zones.has(group.job)) {
         chosen = pick(group.zone);
-        const job = this.cluster.jobList.get(group.job);
+        const job = this.cluster.jobsByIndex.get(group.job);
         if (job && chosen?.[0]) job.zoneHint = chosen[0].machine.zone;
       }
-      const job = this.cluster.jobList.get(group.job);
+      const job = this.cluster.jobsByIndex.get(group.job);
       if (job && group.gang && (chosen === null || chosen.length > 0))
-        this.keepRoom(job, counted, chosen ?? []);
+        this.reserve(job, counted, chosen ?? []);
       if (!chosen) continue;
-      const id = this.cluster.jobList.get(group.job)?.id ?? '?';
-      for (const a of chosen) this.stopOrderly(a, `preempted for ${id}`);
+      const id = this.cluster.jobsByIndex.get(group.job)?.id ?? '?';
+      for (const a of chosen) this.stopGracefully(a, `preempted for ${id}`);
       if (chosen.length > 0) victims.clear();
     }
   }
@@ -264,54 +266,58 @@
    * What was stopped for a gang must not make room for others: small tasks took it before the last of its machines
    * was free, and were stopped again in turn.
    */
-  private keepRoom(job: Job, machines: ReadonlySet<number>, stopped: readonly Attempt[]): void {
-    const saveS = Math.max(0, ...stopped.map((a) => a.job?.spec.saveS ?? 0));
-    const until = this.now() + (saveS + KEEP_ROOM_S) * 1000;
+  private reserve(job: Job, machines: ReadonlySet<number>, stopped: readonly Attempt[]): void {
+    const saveS = Math.max(0, ...stopped.map((a) => a.job?.spec.checkpointDurationS ?? 0));
+    const until = this.now() + (saveS + RESERVATION_S) * 1000;
     const first = stopped[0];
-    if (first) job.roomMade = { machines, zone: first.machine.zone, until };
-    else if (job.roomMade) job.roomMade = { ...job.roomMade, machines };
+    if (first) job.reservation = { machines, zone: first.machine.zone, until };
+    else if (job.reservation) job.reservation = { ...job.reservation, machines };
   }
 
   /**
    * A single task that must start soon and would spend its time fetching: if tasks of lower rank that can save
    * hold a machine with its image, they make room there. True if the task waits for that room.
    */
-  private makeWarmRoom(
+  private preemptForCachedImage(
     job: Job,
-    group: GroupView,
-    chosen: MachineView,
-    machines: readonly MachineView[],
-    teamRoom: readonly TeamRoom[],
-    victims: Victims,
+    group: TaskGroup,
+    chosen: MachineSnapshot,
+    machines: readonly MachineSnapshot[],
+    teamRoom: readonly QuotaHeadroom[],
+    victims: PreemptionCandidates,
   ): boolean {
-    if (!group.quick || group.probe || job.spec.tasks !== 1 || group.only >= 0) return false;
+    if (!group.latencySensitive || group.probe || job.spec.tasks !== 1 || group.nominatedMachine >= 0)
+      return false;
     if (!this.deps.options.scheduling.preempt) return false;
-    const fetchS = (m: MachineView): number => m.fetchS(group.image, group.imageGb);
+    const fetchS = (m: MachineSnapshot): number => m.fetchS(group.image, group.imageGb);
     const slackS = group.slackS - SETTLE_S;
     if (fetchS(chosen) <= slackS) return false;
     const warm = machines.filter((m) => m.bootsInS === 0 && m.load > 0 && fetchS(m) === 0);
-    const savable = (index: number): VictimView<Attempt>[] =>
+    const savable = (index: number): PreemptionCandidate<Attempt>[] =>
       victims.on(index, NOBODY).filter((v) => {
         const spec = v.item.job?.spec;
-        return v.stopping || (spec !== undefined && spec.checkpointS > 0 && spec.saveS < slackS);
+        return (
+          v.stopping ||
+          (spec !== undefined && spec.checkpointIntervalS > 0 && spec.checkpointDurationS < slackS)
+        );
       });
-    const picked = pickVictims(group, 1, warm, savable, teamRoom, Infinity, new Map());
+    const picked = selectVictims(group, 1, warm, savable, teamRoom, Infinity, new Map());
     const first = picked?.[0];
     if (!picked || !first) return false;
     let saveS = 0;
     for (const a of picked) {
-      this.stopOrderly(a, `warm room for ${job.id}`);
-      saveS = Math.max(saveS, a.job?.spec.saveS ?? 0);
+      this.stopGracefully(a, `warm room for ${job.id}`);
+      saveS = Math.max(saveS, a.job?.spec.checkpointDurationS ?? 0);
     }
     victims.clear();
-    job.aim = { machine: first.machine.index, until: this.now() + (saveS + SETTLE_S) * 1000 };
+    job.nominatedMachine = { machine: first.machine.index, until: this.now() + (saveS + SETTLE_S) * 1000 };
     return true;
   }
 
   /** Stops a task so that it can save; of a gang all tasks at the same time. */
-  stopOrderly(a: Attempt, reason: string): void {
+  stopGracefully(a: Attempt, reason: string): void {
     const job = a.job!;
-    const graceS = job.spec.checkpointS > 0 ? job.spec.saveS + 2 : 0;
+    const graceS = job.spec.checkpointIntervalS > 0 ? job.spec.checkpointDurationS + 2 : 0;
     const gang = job.spec.gang ? this.cluster.gangs.get(job) : undefined;
     this.deps.host.log.info(
       { job: job.id, task: a.task, machine: a.machine.name, reason },
@@ -329,20 +335,20 @@
 const NOBODY: ReadonlySet<Job> = new Set();
 
 /** The tasks on machines as candidates to be stopped, looked up once a round and machine. */
-class Victims {
-  private readonly found = new Map<number, VictimView<Attempt>[]>();
+class PreemptionCandidates {
+  private readonly found = new Map<number, PreemptionCandidate<Attempt>[]>();
   private guaranteed: ReadonlySet<Job> | null = null;
 
-  constructor(private readonly views: PlanningViews) {}
+  constructor(private readonly views: SchedulingSnapshots) {}
 
-  on(machine: number, guaranteed: ReadonlySet<Job>): VictimView<Attempt>[] {
+  on(machine: number, guaranteed: ReadonlySet<Job>): PreemptionCandidate<Attempt>[] {
     if (this.guaranteed !== guaranteed) {
       this.found.clear();
       this.guaranteed = guaranteed;
     }
     let list = this.found.get(machine);
     if (!list) {
-      list = this.views.victims(machine, guaranteed);
+      list = this.views.preemptionCandidates(machine, guaranteed);
       this.found.set(machine, list);
     }
     return list;
--- a/src/leader/stored-state.ts
+++ b/src/leader/stored-state.ts
@@ -1,13 +1,13 @@
-import type { StoreClient } from '../store/client.ts';
+import type { KeyValueStore } from '../store/client.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Item, WatchEvent } from '../wire/state.ts';
 
 /** What earlier leaders and submissions left in the state service. */
 export interface StoredState {
   open: readonly Item[];
-  finished: readonly Item[];
-  begun: readonly Item[];
-  roster: readonly Item[];
+  completions: readonly Item[];
+  startWatermarks: readonly Item[];
+  machineRegistry: readonly Item[];
   /** Changes of job records after this revision come by the watch. */
   revision: number;
 }
@@ -21,7 +21,7 @@
   listed(items: readonly Item[]): void;
 }
 
-type Reader = Pick<StoreClient, 'list' | 'watch'>;
+type Reader = Pick<KeyValueStore, 'list' | 'watch'>;
 type Pause = (ms: number) => Promise<void>;
 
 const WATCH_MS = 20_000;
@@ -34,23 +34,23 @@
 export async function readStoredState(store: Reader): Promise<StoredState | null> {
   const [open, finished, begun, roster] = await Promise.all([
     store.list(KEYS.openPrefix, 'lease'),
-    store.list(KEYS.finishedPrefix, 'lease'),
-    store.list(KEYS.begunPrefix, 'lease'),
-    store.list(KEYS.machinePrefix, 'lease'),
+    store.list(KEYS.completionsPrefix, 'lease'),
+    store.list(KEYS.startWatermarksPrefix, 'lease'),
+    store.list(KEYS.machineRegistryPrefix, 'lease'),
   ]);
   if (open.kind !== 'ok' || finished.kind !== 'ok' || begun.kind !== 'ok' || roster.kind !== 'ok')
     return null;
   return {
     open: open.value.items,
-    finished: finished.value.items,
-    begun: begun.value.items,
-    roster: roster.value.items,
+    completions: finished.value.items,
+    startWatermarks: begun.value.items,
+    machineRegistry: roster.value.items,
     revision: open.value.revision,
   };
 }
 
 /** Tells of all changes of job records after a revision, for as long as the listener wants to know. */
-export async function followJobRecords(
+export async function watchJobRecords(
   store: Reader,
   from: number,
   listener: JobRecordListener,
--- a/src/leader/worker-commands.ts
+++ b/src/leader/worker-commands.ts
@@ -1,6 +1,6 @@
-import type { Command, Report } from '../wire/worker.ts';
+import type { Command, Heartbeat } from '../wire/worker.ts';
 import { attemptKey, type Attempt, type Machine } from '../workers/machine.ts';
-import { commandsFor, mayBegin } from '../workers/reconcile.ts';
+import { commandsFor, startIsDurable } from '../workers/reconcile.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
 import { BUSY_MS } from '../base/event-loop-lag.ts';
@@ -18,7 +18,7 @@
 const DONE_PAUSE_MS = 300;
 
 /** What the leader sends straight to workers: orders that can't wait for the next report, and questions. */
-export class WorkerCommands {
+export class CommandDispatcher {
   private readonly probing = new Set<Machine>();
   /** Machines that did not answer since the last one that did. */
   private readonly silent = new Set<Machine>();
@@ -27,71 +27,72 @@
     private readonly cluster: Cluster,
     private readonly deps: LeaderDeps,
     /** Takes in what a worker answered. */
-    private readonly take: (report: Report) => void,
+    private readonly onResponse: (report: Heartbeat) => void,
   ) {}
 
   mayStartOn(machine: Machine): boolean {
-    return machine.rostered && !machine.returning && this.deps.host.surelyLeading();
+    return machine.registered && !machine.terminating && this.deps.host.hasValidLease();
   }
 
   /** Machines asked or ordered without an answer since any machine last answered. */
-  get unreached(): number {
+  get unreachedCount(): number {
     return this.silent.size;
   }
 
-  needsPush(m: Machine): boolean {
+  hasDueCommands(m: Machine): boolean {
     for (const a of m.attempts.values()) {
       if (a.released) continue;
-      if (a.stopGraceS !== null ? a.seen : !a.seen && mayBegin(a) && this.mayStartOn(m)) return true;
+      if (a.stopGraceS !== null ? a.observed : !a.observed && startIsDurable(a) && this.mayStartOn(m))
+        return true;
     }
     return false;
   }
 
   /** Sends what is due. Only machines at which something changed are looked at. */
-  pushDue(): void {
+  dispatchDue(): void {
     const now = this.deps.host.clock.now();
     const busy = this.deps.host.lagMs() > BUSY_MS;
-    for (const m of this.cluster.toPush) {
-      if (m.pushing || now < m.pushAfter) continue;
-      if (this.cluster.machines.get(m.name) !== m || !this.needsPush(m)) {
-        this.cluster.toPush.delete(m);
+    for (const m of this.cluster.commandsDue) {
+      if (m.commandInFlight || now < m.commandNotBefore) continue;
+      if (this.cluster.machines.get(m.name) !== m || !this.hasDueCommands(m)) {
+        this.cluster.commandsDue.delete(m);
         continue;
       }
-      if (m.session === 0 || m.sessionOver) continue;
+      if (m.incarnation === 0 || m.leaseExpired) continue;
       // Starts can go with the answer to the next report, which costs less.
-      if (busy && !mustStop(m)) continue;
-      this.push(m, commandsFor(m, this.mayStartOn(m)));
+      if (busy && !hasStopDue(m)) continue;
+      this.dispatch(m, commandsFor(m, this.mayStartOn(m)));
     }
   }
 
-  push(m: Machine, commands: Command[]): void {
-    m.pushing = true;
+  dispatch(m: Machine, commands: Command[]): void {
+    m.commandInFlight = true;
     const launched: Attempt[] = [];
     for (const c of commands) {
       if (c.op !== 'start') continue;
       const a = m.attempts.get(attemptKey(c.jobId, c.task, c.attempt));
       if (a) launched.push(a);
     }
-    for (const a of launched) a.underWay += 1;
+    for (const a of launched) a.inFlight += 1;
     const { host } = this.deps;
-    void host.order(m, commands).then((result) => {
-      host.post(() => {
+    void host.sendCommands(m, commands).then((result) => {
+      host.enqueue(() => {
         const now = host.clock.now();
-        m.pushing = false;
+        m.commandInFlight = false;
         for (const a of launched) {
-          a.underWay -= 1;
-          if (result === 'silent') a.doubt = true;
+          a.inFlight -= 1;
+          if (result === 'silent') a.inDoubt = true;
         }
         if (result === 'silent' || result === 'not_sent') {
-          m.pushAfter = now + FAILED_PAUSE_MS;
-          m.unheard += 1;
+          m.commandNotBefore = now + FAILED_PAUSE_MS;
+          m.missedAcknowledgements += 1;
           this.silent.add(m);
           return;
         }
-        m.pushAfter = now + (result.executed ? DONE_PAUSE_MS : REFUSED_PAUSE_MS);
-        m.heardUs(now);
+        m.commandNotBefore = now + (result.executed ? DONE_PAUSE_MS : REFUSED_PAUSE_MS);
+        m.acknowledged(now);
         this.silent.clear();
-        this.take(result.report);
+        this.onResponse(result.report);
       });
     });
   }
@@ -107,22 +108,22 @@
     const { host } = this.deps;
     void host.inspect(m).then((report) => {
       void host.pause(PROBE_PAUSE_MS).then(() => this.probing.delete(m));
-      host.post(() => {
+      host.enqueue(() => {
         if (!report) {
           m.probesFailed += 1;
           this.silent.add(m);
           return;
         }
-        m.heardUs(host.clock.now());
+        m.acknowledged(host.clock.now());
         this.silent.clear();
         // Another leads by now. The lease, reports and orders end this leadership; what such a worker does is not ours.
-        if (report.token <= this.deps.term) this.take(report);
+        if (report.fencingToken <= this.deps.term) this.onResponse(report);
       });
     });
   }
 }
 
-function mustStop(m: Machine): boolean {
-  for (const a of m.attempts.values()) if (!a.released && a.seen && a.stopGraceS !== null) return true;
+function hasStopDue(m: Machine): boolean {
+  for (const a of m.attempts.values()) if (!a.released && a.observed && a.stopGraceS !== null) return true;
   return false;
 }
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -2,18 +2,21 @@
 import type { Logger } from '../base/log.ts';
 import { DRIFT, type Clock } from '../base/clock.ts';
 import { KEYS } from '../store/keys.ts';
-import type { StoreClient, StoreResult, TxnResult, Urgency } from '../store/client.ts';
-import type { Change, Condition, Item } from '../wire/state.ts';
+import type { KeyValueStore, StoreResult, CompareAndSwapResult, Urgency } from '../store/client.ts';
+import type { Mutation, Condition, Item } from '../wire/state.ts';
 import {
-  countedUntil,
-  PROMISE_MS,
-  PromiseLedger,
-  type PromiseRequest,
-  type StepOutcome,
+  validUntil,
+  PEER_LEASE_MS,
+  PeerLeaseLedger,
+  type PeerLeaseRequest,
+  type LeaderlessWriteOutcome,
 } from './promises.ts';
 
 /** What the election needs of the state service. */
-export type LeaseStore = Pick<StoreClient, 'get' | 'txn' | 'grant' | 'renew' | 'revoke' | 'watch'>;
+export type LeaseStore = Pick<
+  KeyValueStore,
+  'get' | 'compareAndSwap' | 'grantLease' | 'renewLease' | 'revokeLease' | 'watch'
+>;
 
 const leaderRecord = z.object({ node: z.string(), term: z.int(), nonce: z.string() });
 const termRecord = z.object({ n: z.int() });
@@ -26,7 +29,7 @@
 }
 
 export interface ElectionEvents {
-  won(leadership: Leadership): void;
+  acquired(leadership: Leadership): void;
   lost(reason: string): void;
 }
 
@@ -36,11 +39,15 @@
 }
 
 /** A step that needs a leader's absence; it must be ended by one of the two calls. Nothing is promised meanwhile. */
-export interface LeaderlessStep {
+export interface LeaderlessWrite {
   /** The last term that was won. */
   readonly term: number;
   /** Sends the step's transaction, conditional on the leader's absence and the step's term, and ends the step. */
-  commit(conditions: readonly Condition[], changes: readonly Change[], urgency: Urgency): Promise<TxnResult>;
+  commit(
+    conditions: readonly Condition[],
+    changes: readonly Mutation[],
+    urgency: Urgency,
+  ): Promise<CompareAndSwapResult>;
   /** Ends the step without having sent anything. */
   abandon(): void;
 }
@@ -59,7 +66,7 @@
 }
 
 /** How long a renewal that was sent at a given moment surely holds, on our own steady clock. */
-export function validUntil(sentAt: number, ttlMs: number): number {
+export function renewalValidUntil(sentAt: number, ttlMs: number): number {
   return sentAt + ttlMs * (1 - DRIFT) - 20;
 }
 
@@ -69,15 +76,15 @@
  */
 export class Election {
   private leadership: Leadership | null = null;
-  private surelyUntil = -Infinity;
+  private leaseValidUntil = -Infinity;
   private knownLeader: string | null = null;
   private stopped = false;
   private startedAt = 0;
   /** Until when each of the other controllers, and this one, does nothing that needs the leader's absence. */
-  private promisedBy: number[] = [];
-  private readonly ledger: PromiseLedger;
+  private peerLeasesValidUntil: number[] = [];
+  private readonly ledger: PeerLeaseLedger;
   /** Not standing before: others can do what this node can't. */
-  private restUntil = -Infinity;
+  private noCandidacyUntil = -Infinity;
 
   constructor(
     private readonly node: string,
@@ -91,9 +98,10 @@
     private readonly pause: (ms: number) => Promise<void> = (ms) =>
       new Promise((resolve) => setTimeout(resolve, ms)),
     /** Asks all other controllers, always in the same order, to promise. null where promises are not used. */
-    private readonly askPromises: ((request: PromiseRequest) => Promise<readonly boolean[]>) | null = null,
+    private readonly requestPeerLeases:
+      ((request: PeerLeaseRequest) => Promise<readonly boolean[]>) | null = null,
   ) {
-    this.ledger = new PromiseLedger(clock.now());
+    this.ledger = new PeerLeaseLedger(clock.now());
   }
 
   start(): void {
@@ -110,21 +118,21 @@
   }
 
   /** True while no other node can hold the leader key. */
-  surelyLeading(): boolean {
-    return this.leadership !== null && this.clock.now() < this.sureEnd();
+  hasValidLease(): boolean {
+    return this.leadership !== null && this.clock.now() < this.validUntil();
   }
 
   /** Milliseconds since the lease was last sure; 0 while it is. */
-  unsureForMs(): number {
-    return Math.max(0, this.clock.now() - this.sureEnd());
+  msSinceLeaseExpiry(): number {
+    return Math.max(0, this.clock.now() - this.validUntil());
   }
 
-  private sureEnd(): number {
-    return Math.max(this.surelyUntil, this.extendedUntil());
+  private validUntil(): number {
+    return Math.max(this.leaseValidUntil, this.peerLeasesEnd());
   }
 
-  private extendedUntil(): number {
-    return this.promisedBy.length === 0 ? -Infinity : Math.min(...this.promisedBy);
+  private peerLeasesEnd(): number {
+    return this.peerLeasesValidUntil.length === 0 ? -Infinity : Math.min(...this.peerLeasesValidUntil);
   }
 
   /**
@@ -132,12 +140,12 @@
    * leader key is seen absent, so a step that is sent belongs to a term whose lease is over for good; and its
    * transaction can't be carried out once another term has begun.
    */
-  async actAlone(urgency: Urgency): Promise<LeaderlessStep | null> {
-    if (this.leadership || !this.mayTryStep()) return null;
+  async beginLeaderlessWrite(urgency: Urgency): Promise<LeaderlessWrite | null> {
+    if (this.leadership || !this.mayTryWrite()) return null;
     const term = await this.readTerm(urgency);
-    if (!term || this.leadership || !this.ledger.beginStep(this.clock.now())) return null;
-    const end = (outcome: StepOutcome): void => {
-      this.ledger.endStep(term.n, outcome);
+    if (!term || this.leadership || !this.ledger.beginWrite(this.clock.now())) return null;
+    const end = (outcome: LeaderlessWriteOutcome): void => {
+      this.ledger.endWrite(term.n, outcome);
     };
     const found = await this.readLeader(urgency);
     if (found.kind !== 'ok' || found.value !== null) {
@@ -151,7 +159,7 @@
           { key: KEYS.leader, version: 0 },
           { key: KEYS.term, version: term.version },
         ];
-        const result = await this.store.txn([...absent, ...conditions], changes, how);
+        const result = await this.store.compareAndSwap([...absent, ...conditions], changes, how);
         end(outcomeOf(result));
         return result;
       },
@@ -165,23 +173,23 @@
    * Asked by a leader that can't reach the state service: this node promises to begin no step that needs a leader's
    * absence for a while, but only if it can't reach the service either. Where that can be reached, the lease decides.
    */
-  async promise(request: PromiseRequest): Promise<boolean> {
+  async grantPeerLease(request: PeerLeaseRequest): Promise<boolean> {
     // Only who has won a term asks for it.
     if (this.leadership && request.term > this.leadership.term) this.stepDown('a newer leader asks');
-    if (!this.mayPromise(request)) return false;
+    if (!this.mayGrantPeerLease(request)) return false;
     const seen = await this.readLeader('lease');
-    if (seen.kind === 'ok' || !this.mayPromise(request)) return false;
-    this.ledger.promise(request.ms, this.clock.now());
+    if (seen.kind === 'ok' || !this.mayGrantPeerLease(request)) return false;
+    this.ledger.grant(request.ms, this.clock.now());
     return true;
   }
 
-  private mayTryStep(): boolean {
+  private mayTryWrite(): boolean {
     const now = this.clock.now();
-    return this.ledger.mayStep(now) || this.ledger.asksForTerm(now);
+    return this.ledger.mayBeginWrite(now) || this.ledger.needsTerm(now);
   }
 
-  private mayPromise(request: PromiseRequest): boolean {
-    return this.leadership === null && this.ledger.mayPromise(request);
+  private mayGrantPeerLease(request: PeerLeaseRequest): boolean {
+    return this.leadership === null && this.ledger.mayGrant(request);
   }
 
   leader(): string | null {
@@ -194,16 +202,16 @@
     if (!held) return;
     this.leadership = null;
     this.knownLeader = null;
-    this.surelyUntil = -Infinity;
-    this.promisedBy = [];
+    this.leaseValidUntil = -Infinity;
+    this.peerLeasesValidUntil = [];
     this.log.info({ term: held.term, reason }, 'leadership lost');
     this.events.lost(reason);
-    void this.store.revoke(held.lease);
+    void this.store.revokeLease(held.lease);
   }
 
   /** Gives the leadership up and leaves it to others for a while. */
-  yieldFor(ms: number, reason: string): void {
-    this.restUntil = this.clock.now() + ms;
+  stepDownFor(ms: number, reason: string): void {
+    this.noCandidacyUntil = this.clock.now() + ms;
     this.stepDown(reason);
   }
 
@@ -263,7 +271,7 @@
         // Our own earlier self: it is gone, or this is the answer to a transaction we gave up on.
         const lease = found.value.lease;
         this.log.info({ term: holder.term }, 'ending the lease of this node from before');
-        if (lease !== null) await this.store.revoke(lease);
+        if (lease !== null) await this.store.revokeLease(lease);
         await this.pause(20);
         continue;
       }
@@ -281,20 +289,20 @@
   }
 
   private async contend(): Promise<void> {
-    if (this.clock.now() < this.restUntil) return this.pause(200);
-    if (!this.mayTryStep()) return this.pause(50);
+    if (this.clock.now() < this.noCandidacyUntil) return this.pause(200);
+    if (!this.mayTryWrite()) return this.pause(50);
     // When controllers are restarted one after the other, one that has just been is the safest choice.
     const upS = (this.clock.now() - this.startedAt) / 1000;
     await this.pause(Math.min(MOST_DELAY_MS, upS / 2) + this.random() * 20);
-    const step = await this.actAlone('lease');
+    const step = await this.beginLeaderlessWrite('lease');
     if (step) await this.stand(step);
     else await this.pause(50);
   }
 
-  private async stand(step: LeaderlessStep): Promise<void> {
+  private async stand(step: LeaderlessWrite): Promise<void> {
     const next = step.term + 1;
     const sentAt = this.clock.now();
-    const lease = await this.store.grant(this.options.ttlMs);
+    const lease = await this.store.grantLease(this.options.ttlMs);
     if (lease.kind !== 'ok') {
       step.abandon();
       return this.pause(100);
@@ -310,14 +318,14 @@
     );
     // A node that was stopped meanwhile must not lead: nobody would end that leadership.
     if (result.kind !== 'ok' || this.stopped) {
-      await this.store.revoke(lease.value);
+      await this.store.revokeLease(lease.value);
       return this.pause(30);
     }
     this.leadership = { term: next, version: result.revision, lease: lease.value };
-    this.surelyUntil = validUntil(sentAt, this.options.ttlMs);
+    this.leaseValidUntil = renewalValidUntil(sentAt, this.options.ttlMs);
     this.log.info({ term: next }, 'leadership won');
     void this.renewLoop(this.leadership);
-    this.events.won(this.leadership);
+    this.events.acquired(this.leadership);
   }
 
   /**
@@ -340,12 +348,13 @@
 
   private async renew(held: Leadership, state: { failures: number; asking: boolean }): Promise<void> {
     const sentAt = this.clock.now();
-    const renewed = await this.store.renew(held.lease, this.options.ttlMs / 2);
+    const renewed = await this.store.renewLease(held.lease, this.options.ttlMs / 2);
     if (this.leadership !== held) return;
     if (renewed.kind === 'ok') {
       state.failures = 0;
       if (!renewed.value) this.stepDown('lease over');
-      else this.surelyUntil = Math.max(this.surelyUntil, validUntil(sentAt, this.options.ttlMs));
+      else
+        this.leaseValidUntil = Math.max(this.leaseValidUntil, renewalValidUntil(sentAt, this.options.ttlMs));
       return;
     }
     state.failures += 1;
@@ -361,19 +370,19 @@
    * nobody acted without a leader meanwhile.
    */
   private async extend(held: Leadership): Promise<void> {
-    if (!this.askPromises) return;
+    if (!this.requestPeerLeases) return;
     const sentAt = this.clock.now();
-    const continuous = this.surelyLeading();
-    const answers = await this.askPromises({ term: held.term, ms: PROMISE_MS, continuous });
-    if (this.leadership !== held || !this.ledger.hasNoStepIn(held.term)) return;
-    if (continuous && !this.surelyLeading()) return;
-    const before = this.extendedUntil();
-    const until = countedUntil(sentAt, PROMISE_MS);
+    const continuous = this.hasValidLease();
+    const answers = await this.requestPeerLeases({ term: held.term, ms: PEER_LEASE_MS, continuous });
+    if (this.leadership !== held || !this.ledger.hasNoWriteIn(held.term)) return;
+    if (continuous && !this.hasValidLease()) return;
+    const before = this.peerLeasesEnd();
+    const until = validUntil(sentAt, PEER_LEASE_MS);
     // This node itself does nothing of the kind while it leads.
-    this.promisedBy = [...answers, true].map((promised, i) =>
-      promised ? until : (this.promisedBy[i] ?? -Infinity),
+    this.peerLeasesValidUntil = [...answers, true].map((promised, i) =>
+      promised ? until : (this.peerLeasesValidUntil[i] ?? -Infinity),
     );
-    if (this.clock.now() >= this.surelyUntil && before < this.surelyUntil && this.surelyLeading()) {
+    if (this.clock.now() >= this.leaseValidUntil && before < this.leaseValidUntil && this.hasValidLease()) {
       this.log.info(
         { term: held.term, continuous },
         'state service not reached, the others promised not to act without a leader',
@@ -382,7 +391,7 @@
   }
 }
 
-function outcomeOf(result: TxnResult): StepOutcome {
+function outcomeOf(result: CompareAndSwapResult): LeaderlessWriteOutcome {
   if (result.kind === 'ok') return 'executed';
   return result.kind === 'unknown' ? 'unknown' : 'not_executed';
 }
--- a/src/leadership/grace.ts
+++ b/src/leadership/grace.ts
@@ -16,7 +16,7 @@
  * worker's lease runs from there: grace + lease <= cancel, each by a clock that may be slow (docs/safety.md, "From
  * a confirmed cancellation to the last task gone").
  */
-export function reportGraceMs(wantedS: number, times: CancellationTimes): number {
+export function heartbeatGraceMs(wantedS: number, times: CancellationTimes): number {
   const leftS = times.cancelS / (1 + DRIFT) - times.leaseS;
   return Math.max(0, Math.min(wantedS, leftS * SHARE)) * 1000;
 }
--- a/src/mesh/ask.ts
+++ b/src/mesh/ask.ts
@@ -1,21 +1,21 @@
-import type { MeshReply, MeshRequest } from './frames.ts';
+import type { PeerReply, PeerRequest } from './frames.ts';
 
 /** The other controllers, whatever carries the messages. */
 export interface Peers {
   readonly names: readonly string[];
   /** null: no reply in time; the request may still be carried out. */
-  ask(peer: string, request: MeshRequest, timeoutMs: number): Promise<MeshReply | null>;
+  call(peer: string, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
 }
 
 /** Asks all others at once; the first reply that is of use, or null once none is left. */
-export async function askAny(
+export async function callAny(
   peers: Peers,
-  request: MeshRequest,
+  request: PeerRequest,
   timeoutMs: number,
-  useful: (reply: MeshReply) => boolean,
-): Promise<MeshReply | null> {
+  useful: (reply: PeerReply) => boolean,
+): Promise<PeerReply | null> {
   const asked = peers.names.map(async (peer) => {
-    const reply = await peers.ask(peer, request, timeoutMs);
+    const reply = await peers.call(peer, request, timeoutMs);
     if (!reply || !useful(reply)) throw new Error('no use');
     return reply;
   });
--- a/src/mesh/connectivity.ts
+++ b/src/mesh/connectivity.ts
@@ -6,9 +6,9 @@
   /** When the state service last served this node. */
   storeServedAt(): number;
   /** Asks the state service anything; what comes of it shows in `storeServedAt`. */
-  askStore(): Promise<unknown>;
+  probeStore(): Promise<unknown>;
   /** Asks all other controllers; true if any is there. */
-  askPeers(): Promise<boolean>;
+  probePeers(): Promise<boolean>;
 }
 
 /** Within this time of an answer nothing needs to be asked. */
@@ -34,7 +34,7 @@
     return Math.max(this.deps.storeServedAt(), this.peersAt);
   }
 
-  cutOff(): boolean {
+  isIsolated(): boolean {
     return this.deps.clock.now() - this.servedAt() > CUT_OFF_MS;
   }
 
@@ -42,10 +42,10 @@
   async check(): Promise<void> {
     if (this.asking || this.deps.clock.now() - this.deps.storeServedAt() <= FRESH_MS) return;
     this.asking = true;
-    const peers = this.deps.askPeers().then((there) => {
+    const peers = this.deps.probePeers().then((there) => {
       if (there) this.peersAt = this.deps.clock.now();
     });
-    await Promise.all([this.deps.askStore(), peers]);
+    await Promise.all([this.deps.probeStore(), peers]);
     this.asking = false;
   }
 }
