--- a/src/mesh/frames.ts
+++ b/src/mesh/frames.ts
@@ -1,7 +1,7 @@
 import avro from 'avsc';
 
 /** What controllers ask each other. A follower hands a user's request to the leader and returns its answer. */
-export type MeshRequest =
+export type PeerRequest =
   | { kind: 'poll'; jobId: string }
   /** Many polls at once; answered by `answers` in the same order. */
   | { kind: 'polls'; jobIds: string[] }
@@ -22,34 +22,34 @@
   | { kind: 'promise'; term: number; ms: number; continuous: boolean };
 
 /** Stage of a job as the frames between controllers name it. */
-type MeshStage = 'pending' | 'running' | 'done' | 'cancelled';
+type PeerJobStage = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** What a leader says of one job of a batch. */
 export type PollAnswer =
-  | { kind: 'status'; created: boolean; stage: MeshStage; done: number; running: number }
+  | { kind: 'status'; created: boolean; stage: PeerJobStage; done: number; running: number }
   | { kind: 'unknown' }
   | { kind: 'unable' };
 
 /** The leader's answer to one report that was handed on. */
-export interface JudgedReport {
+export interface HeartbeatResponse {
   /** HTTP status. */
   status: number;
   body: string;
 }
 
 /** `unable`: the asked node can't decide now. `unknown`: it doesn't know the job and hasn't looked further. */
-export type MeshReply =
+export type PeerReply =
   | PollAnswer
   | { kind: 'answers'; answers: PollAnswer[] }
   | { kind: 'refused'; status: number; reason: string }
   /** `relay`: more reports are to be handed on. */
-  | { kind: 'judged'; relay: boolean; judged: JudgedReport[] }
+  | { kind: 'judged'; relay: boolean; judged: HeartbeatResponse[] }
   | { kind: 'promised' }
   | { kind: 'here' };
 
 /** One message between controllers. A reply carries the id of its request; ids are unique for each connection. */
-export type MeshFrame =
-  { id: number; request: MeshRequest; reply: null } | { id: number; request: null; reply: MeshReply };
+export type PeerFrame =
+  { id: number; request: PeerRequest; reply: null } | { id: number; request: null; reply: PeerReply };
 
 const frameType = avro.Type.forSchema({
   type: 'record',
@@ -166,7 +166,7 @@
 
 interface RawAnswer {
   kind: PollAnswer['kind'];
-  stage: MeshStage;
+  stage: PeerJobStage;
   done: number;
   running: number;
 }
@@ -174,7 +174,7 @@
 interface RawFrame {
   id: number;
   request: {
-    kind: MeshRequest['kind'];
+    kind: PeerRequest['kind'];
     jobId: string;
     body: string;
     term: number;
@@ -185,15 +185,15 @@
     reports: string[];
   } | null;
   reply: {
-    kind: MeshReply['kind'];
+    kind: PeerReply['kind'];
     created: boolean;
-    stage: MeshStage;
+    stage: PeerJobStage;
     done: number;
     running: number;
     status: number;
     reason: string;
     relay: boolean;
-    judged: JudgedReport[];
+    judged: HeartbeatResponse[];
     answers: RawAnswer[];
   } | null;
 }
@@ -216,7 +216,7 @@
   status: 0,
   reason: '',
   relay: false,
-  judged: [] as JudgedReport[],
+  judged: [] as HeartbeatResponse[],
   answers: [] as RawAnswer[],
 } as const;
 const NO_ANSWER = { stage: 'pending', done: 0, running: 0 } as const;
@@ -224,12 +224,12 @@
 /** Frames are a 4-byte length and the record. Jobs are at most 64 KiB, so anything longer is not ours. */
 export const MAX_FRAME = 128 * 1024;
 
-function encodeReply(reply: MeshReply): NonNullable<RawFrame['reply']> {
+function encodeReply(reply: PeerReply): NonNullable<RawFrame['reply']> {
   if (reply.kind !== 'answers') return { ...NO_REPLY, ...reply };
   return { ...NO_REPLY, kind: reply.kind, answers: reply.answers.map((a) => ({ ...NO_ANSWER, ...a })) };
 }
 
-function decodeJudged({ status, body }: JudgedReport): JudgedReport {
+function decodeJudged({ status, body }: HeartbeatResponse): HeartbeatResponse {
   return { status, body };
 }
 
@@ -239,7 +239,7 @@
 }
 
 /** Encodes a frame as Avro binary behind its length, a big-endian 32-bit integer. */
-export function encodeFrame(frame: MeshFrame): Buffer {
+export function encodeFrame(frame: PeerFrame): Buffer {
   const raw: RawFrame = {
     id: frame.id,
     request: frame.request ? { ...NO_REQUEST, ...frame.request } : null,
@@ -251,7 +251,7 @@
   return Buffer.concat([head, body]);
 }
 
-function decodeBody(body: Buffer): MeshFrame {
+function decodeBody(body: Buffer): PeerFrame {
   const raw = frameType.fromBuffer(body) as RawFrame;
   const { id, request, reply } = raw;
   if (request && !reply) {
@@ -302,9 +302,9 @@
 export class FrameReader {
   private pending: Buffer = Buffer.alloc(0);
 
-  push(chunk: Buffer): MeshFrame[] {
+  push(chunk: Buffer): PeerFrame[] {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
-    const frames: MeshFrame[] = [];
+    const frames: PeerFrame[] = [];
     while (this.pending.length >= 4) {
       const length = this.pending.readUInt32BE(0);
       if (length > MAX_FRAME) throw new Error(`frame of ${length} bytes`);
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -1,10 +1,10 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import type { Logger } from '../base/log.ts';
 import type { Peers } from './ask.ts';
-import { encodeFrame, FrameReader, type MeshFrame, type MeshReply, type MeshRequest } from './frames.ts';
+import { encodeFrame, FrameReader, type PeerFrame, type PeerReply, type PeerRequest } from './frames.ts';
 
 interface Waiting {
-  resolve: (reply: MeshReply | null) => void;
+  resolve: (reply: PeerReply | null) => void;
   timer: NodeJS.Timeout;
 }
 
@@ -14,7 +14,7 @@
 }
 
 /** Reads frames off a connection; a bad frame ends that connection and harms nothing else. */
-function readFrames(socket: Socket, log: Logger, onFrame: (frame: MeshFrame) => void): void {
+function readFrames(socket: Socket, log: Logger, onFrame: (frame: PeerFrame) => void): void {
   const reader = new FrameReader();
   socket.on('data', (chunk) => {
     try {
@@ -29,7 +29,7 @@
 /** One outgoing connection to a peer, made when needed and made anew after it failed. */
 class PeerLink {
   private socket: Socket | null = null;
-  private heardAt = -Infinity;
+  private lastFrameAt = -Infinity;
   private nextId = 1;
   private readonly waiting = new Map<number, Waiting>();
 
@@ -39,7 +39,7 @@
   ) {}
 
   /** null: no reply in time; the request may still be carried out. */
-  ask(request: MeshRequest, timeoutMs: number): Promise<MeshReply | null> {
+  call(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     return new Promise((resolve) => {
       const id = this.nextId++;
       const askedAt = performance.now();
@@ -48,7 +48,7 @@
         resolve(null);
         // A silent link may lead into a cut; the next request starts with a fresh one. A slow answer alone must
         // not end what else is asked there.
-        if (this.heardAt < askedAt) this.drop();
+        if (this.lastFrameAt < askedAt) this.drop();
       }, timeoutMs);
       this.waiting.set(id, { resolve, timer });
       this.open().write(encodeFrame({ id, request, reply: null }));
@@ -61,7 +61,7 @@
     socket.setNoDelay(true);
     this.socket = socket;
     readFrames(socket, this.log, (frame) => {
-      this.heardAt = performance.now();
+      this.lastFrameAt = performance.now();
       if (!frame.reply) return;
       const waiter = this.waiting.get(frame.id);
       if (!waiter) return;
@@ -94,17 +94,17 @@
 }
 
 /** Serves the requests of other controllers. `reply` may be called later; on a closed connection it does nothing. */
-export type MeshHandler = (request: MeshRequest, reply: (reply: MeshReply) => void) => void;
+export type PeerRequestHandler = (request: PeerRequest, reply: (reply: PeerReply) => void) => void;
 
 /** The controllers among themselves: requests and replies over kept-open connections. */
-export class Mesh implements Peers {
+export class PeerRpc implements Peers {
   readonly names: readonly string[];
   private readonly links = new Map<string, PeerLink>();
   private server: Server | null = null;
 
   constructor(
     peers: readonly { name: string; address: string }[],
-    private readonly handler: MeshHandler,
+    private readonly handler: PeerRequestHandler,
     private readonly log: Logger,
   ) {
     this.names = peers.map((peer) => peer.name);
@@ -139,8 +139,8 @@
     return typeof address === 'object' && address ? address.port : 0;
   }
 
-  ask(peer: string, request: MeshRequest, timeoutMs: number): Promise<MeshReply | null> {
-    return this.links.get(peer)?.ask(request, timeoutMs) ?? Promise.resolve(null);
+  call(peer: string, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
+    return this.links.get(peer)?.call(request, timeoutMs) ?? Promise.resolve(null);
   }
 
   close(): void {
--- a/src/relay/report-relay.ts
+++ b/src/relay/report-relay.ts
@@ -1,6 +1,6 @@
 import { BatchPacer, type PacerTimers } from '../base/batch-pacer.ts';
 import { failure, type Answer } from '../http/server.ts';
-import type { JudgedReport } from '../mesh/frames.ts';
+import type { HeartbeatResponse } from '../mesh/frames.ts';
 
 /** Least time between two batches to the leader, in milliseconds. */
 const BATCH_GAP_MS = 20;
@@ -12,17 +12,17 @@
 const ASK_GAP_MS = 1000;
 
 /** What the leader answers to a batch: whether more reports are to be handed on, and one answer for each. */
-export interface BatchAnswer {
+export interface RelayReply {
   relay: boolean;
-  judged: readonly JudgedReport[];
+  judged: readonly HeartbeatResponse[];
 }
 
 /** What the relay needs of the node it runs on. */
-export interface ReportRelayDeps extends PacerTimers {
+export interface HeartbeatRelayDeps extends PacerTimers {
   /** The controller that leads as far as is known here; null: none. */
   leader(): string | null;
   /** Hands reports to a leader; null: it doesn't lead, can't be reached or didn't answer in time. */
-  send(leader: string, reports: string[], timeoutMs: number): Promise<BatchAnswer | null>;
+  send(leader: string, reports: string[], timeoutMs: number): Promise<RelayReply | null>;
   /** How long reports are still handed on to a new leader that hasn't said whether it wants that. */
   keepMs: number;
 }
@@ -39,14 +39,14 @@
  *
  * A leader asks for it only while it has more workers than it can serve alone; otherwise workers are sent to it.
  */
-export class ReportRelay {
+export class HeartbeatRelay {
   private waiting: Waiting[] = [];
   private bytes = 0;
   private readonly pacer: BatchPacer;
-  private wantedUntil = -Infinity;
+  private relayUntil = -Infinity;
   private askedAt = -Infinity;
 
-  constructor(private readonly deps: ReportRelayDeps) {
+  constructor(private readonly deps: HeartbeatRelayDeps) {
     this.pacer = new BatchPacer(deps, BATCH_GAP_MS, () => {
       this.flush();
     });
@@ -57,8 +57,8 @@
     const now = this.deps.now();
     const leader = this.deps.leader();
     if (leader === null) return false;
-    if (now >= this.wantedUntil) {
-      this.askWhetherWanted(leader, now);
+    if (now >= this.relayUntil) {
+      this.askWhetherToRelay(leader, now);
       return false;
     }
     this.waiting.push({ body, arrivedAt: now, reply });
@@ -68,7 +68,7 @@
     return true;
   }
 
-  private askWhetherWanted(leader: string, now: number): void {
+  private askWhetherToRelay(leader: string, now: number): void {
     if (now - this.askedAt < ASK_GAP_MS) return;
     this.askedAt = now;
     void this.deps.send(leader, [], MOST_AGE_MS).then((answer) => {
@@ -76,8 +76,8 @@
     });
   }
 
-  private learn(answer: BatchAnswer | null): void {
-    if (answer) this.wantedUntil = answer.relay ? this.deps.now() + this.deps.keepMs : -Infinity;
+  private learn(answer: RelayReply | null): void {
+    if (answer) this.relayUntil = answer.relay ? this.deps.now() + this.deps.keepMs : -Infinity;
   }
 
   private flush(): void {
@@ -100,7 +100,7 @@
     });
   }
 
-  private answerFor(report: Waiting, leader: string, judged: JudgedReport | undefined): Answer {
+  private answerFor(report: Waiting, leader: string, judged: HeartbeatResponse | undefined): Answer {
     // Another leads by now, or this process stood still: whatever was said is not passed on.
     const stale = this.deps.now() - report.arrivedAt > MOST_AGE_MS || this.deps.leader() !== leader;
     return judged === undefined || stale ? noLeader() : { status: judged.status, body: judged.body };
--- a/src/relay/worker-shares.ts
+++ b/src/relay/worker-shares.ts
@@ -1,5 +1,5 @@
 /** Reports a second that a whole core answers beside its other work as leader. */
-export interface CarryLimits {
+export interface CapacityLimits {
   reportsPerCoreS: number;
   /** Share of a core. */
   cores: number;
@@ -11,7 +11,7 @@
  * How many workers a leader can serve alone. Its sockets don't count: workers beyond them take turns, which costs less
  * than to have followers hand all reports on.
  */
-export function workersCarried(limits: CarryLimits): number {
+export function workerCapacity(limits: CapacityLimits): number {
   return Math.max(1, Math.floor(limits.cores * limits.reportsPerCoreS * limits.reportS));
 }
 
@@ -22,7 +22,7 @@
 /** A follower that serves nearly as many as the leader is no relief. */
 const CLEARLY_FEWER = 0.8;
 /** A follower that handed nothing on for so long may be gone. */
-const HEARD_MS = 2000;
+const FOLLOWER_ALIVE_MS = 2000;
 
 /** Counts events in windows of a fixed length. */
 class WindowCount {
@@ -64,21 +64,21 @@
 
 interface Follower {
   reports: WindowCount;
-  heardAt: number;
+  lastRelayAt: number;
 }
 
 /**
  * Shares workers out among the controllers, on the leader: with more machines than it can serve alone, followers are
  * asked to hand reports on, and workers beyond its own share are sent to the follower that serves fewest.
  */
-export class WorkerShares {
+export class WorkerBalancer {
   private relaying = false;
   private readonly own: WindowCount;
   private readonly followers = new Map<string, Follower>();
 
   constructor(
     private readonly now: () => number,
-    private readonly carried: number,
+    private readonly capacity: number,
     private readonly windowMs: number,
   ) {
     this.own = new WindowCount(now(), windowMs);
@@ -86,7 +86,7 @@
 
   /** True while followers are to hand reports on. */
   relay(machines: number): boolean {
-    this.relaying = machines > this.carried * (this.relaying ? BACK_TO_ONE : 1);
+    this.relaying = machines > this.capacity * (this.relaying ? BACK_TO_ONE : 1);
     return this.relaying;
   }
 
@@ -95,9 +95,9 @@
     const now = this.now();
     const known = this.followers.get(follower) ?? {
       reports: new WindowCount(now, this.windowMs),
-      heardAt: now,
+      lastRelayAt: now,
     };
-    known.heardAt = now;
+    known.lastRelayAt = now;
     known.reports.add(now, reports);
     this.followers.set(follower, known);
   }
@@ -108,13 +108,13 @@
     this.own.add(now, 1);
     if (!this.relay(machines)) return null;
     const served = this.own.sofar(now);
-    if (served <= this.carried * OWN_SHARE) return null;
+    if (served <= this.capacity * OWN_SHARE) return null;
     let best: string | null = null;
     let bestReports: WindowCount | null = null;
     let fewest = served * CLEARLY_FEWER;
     for (const [name, follower] of this.followers) {
       const count = follower.reports.most(now);
-      if (now - follower.heardAt > HEARD_MS || count >= fewest) continue;
+      if (now - follower.lastRelayAt > FOLLOWER_ALIVE_MS || count >= fewest) continue;
       best = name;
       bestReports = follower.reports;
       fewest = count;
--- a/src/scheduling/extract.ts
+++ b/src/scheduling/extract.ts
@@ -3,14 +3,14 @@
 import {
   fits,
   groupFits,
-  takeRoom,
-  teamFits,
-  type GroupView,
-  type MachineView,
+  allocate,
+  quotaFits,
+  type TaskGroup,
+  type MachineSnapshot,
   type Placement,
-  type Room,
+  type Resources,
   type RoundResult,
-  type TeamRoom,
+  type QuotaHeadroom,
 } from './view.ts';
 
 export interface Edge {
@@ -20,8 +20,8 @@
 }
 
 interface Member {
-  view: MachineView;
-  room: Room;
+  view: MachineSnapshot;
+  room: Resources;
   added: number;
   /** Images that tasks placed in this round bring to it. */
   images: Set<string>;
@@ -38,7 +38,7 @@
    * costs a step, but an image is fetched once for all tasks on a machine: one task of a job on each of forty
    * machines once made forty fetches, and machines that fetched the images of four jobs at the same time.
    */
-  place(target: Target, group: GroupView, count: number, placed: Placement[]): number {
+  place(target: Target, group: TaskGroup, count: number, placed: Placement[]): number {
     let list = this.lists.get(target);
     if (!list) {
       list = target.views.map((view) => ({ view, room: { ...view.free }, added: 0, images: new Set() }));
@@ -61,7 +61,7 @@
       // What follows on the same machine costs less than the first there, as long as steps don't add up to more.
       const more = fetch > 0 ? Math.max(1, Math.floor(fetch)) : 1;
       const n = Math.min(left, more, groupFits(group, best.room, best.view.perAccelerator));
-      takeRoom(best.room, group.need, n);
+      allocate(best.room, group.need, n);
       best.added += n;
       best.images.add(group.image);
       left -= n;
@@ -74,10 +74,10 @@
 
 /** Takes the placements out of the flow, in order of urgency, as far as room and limits really allow. */
 export function extract(
-  groups: readonly GroupView[],
+  groups: readonly TaskGroup[],
   edges: readonly Edge[],
   net: FlowNetwork,
-  teamRoom: readonly TeamRoom[],
+  teamRoom: readonly QuotaHeadroom[],
   costs: { rentRound: number; fetchSteps: number },
   result: RoundResult,
 ): number[] {
@@ -101,7 +101,7 @@
       } else if (target.kind === 'later') {
         later += flow;
       } else {
-        const count = Math.min(flow, teamFits(group.need, teams[group.team]!));
+        const count = Math.min(flow, quotaFits(group.need, teams[group.team]!));
         if (count <= 0) continue;
         const found = members.place(target, group, count, placed);
         teams[group.team]!.cpus -= group.need.cpus * found;
@@ -128,7 +128,7 @@
   for (const [option, amount] of demand) {
     // A small part of a further machine isn't worth one: those tasks find room when others end.
     const spared = amount > 1 ? costs.rentRound : 1e-6;
-    result.rents.set(option, Math.max(1, Math.ceil(amount - spared)));
+    result.demand.set(option, Math.max(1, Math.ceil(amount - spared)));
   }
   return dropped;
 }
--- a/src/scheduling/mean-work.ts
+++ b/src/scheduling/mean-work.ts
@@ -1,11 +1,11 @@
-import type { GroupView } from './view.ts';
+import type { TaskGroup } from './view.ts';
 
 /** The work that waits, of each job against what the jobs of its class have on average. */
 export class MeanWork {
-  private readonly noted: { group: GroupView; className: string; work: number; perTask: boolean }[] = [];
+  private readonly noted: { group: TaskGroup; className: string; work: number; perTask: boolean }[] = [];
 
   /** `work`: in seconds of tasks. `perTask`: what is expected is expected of each task, so size doesn't matter. */
-  note(group: GroupView, className: string, work: number, perTask: boolean): void {
+  note(group: TaskGroup, className: string, work: number, perTask: boolean): void {
     this.noted.push({ group, className, work, perTask });
   }
 
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -1,6 +1,13 @@
 import { allowed, fetchOn, fitting, type Needs, type Target } from './targets.ts';
 import { BAND, urgency } from './urgency.ts';
-import { fits, groupFits, teamFits, type GroupView, type MachineView, type TeamRoom } from './view.ts';
+import {
+  fits,
+  groupFits,
+  quotaFits,
+  type TaskGroup,
+  type MachineSnapshot,
+  type QuotaHeadroom,
+} from './view.ts';
 import { pickZone } from './zones.ts';
 
 export interface CostOptions {
@@ -38,7 +45,7 @@
 
 /** One group's part of the network. It is the same in every pass of a round, and is made once. */
 export interface GroupPlan {
-  group: GroupView;
+  group: TaskGroup;
   wanted: number;
   press: number;
   /** The zone that was chosen for a group that must stay together, or -1. */
@@ -47,16 +54,16 @@
 }
 
 /** Tasks of the group that its team's limit takes; a gang goes whole or not at all. */
-export function wantedOf(group: GroupView, teamRoom: readonly TeamRoom[]): number {
-  const limit = teamFits(group.need, teamRoom[group.team]!);
+export function wantedOf(group: TaskGroup, teamRoom: readonly QuotaHeadroom[]): number {
+  const limit = quotaFits(group.need, teamRoom[group.team]!);
   if (group.gang) return limit >= group.pending ? group.pending : 0;
   return Math.min(group.pending, limit);
 }
 
 /** A task's cost on a machine besides its load: the image, the price of a type it doesn't need, known faults. */
 function machineCost(
-  group: GroupView,
-  m: MachineView,
+  group: TaskGroup,
+  m: MachineSnapshot,
   each: number,
   cheapest: number,
   options: CostOptions,
@@ -64,11 +71,11 @@
   // One fetch serves all of the group's tasks that go there.
   const fetch = m.fetchS(group.image, group.imageGb) / Math.max(1, Math.min(each, group.pending));
   const dearer = Math.max(0, m.price - cheapest);
-  const parked = m.parked && !group.quick ? PARK_STEPS : 0;
+  const parked = m.surplus && !group.latencySensitive ? PARK_STEPS : 0;
   // Machines with the images of classes that must start soon are left to those, as far as others will do.
   const lacking = Math.max(0, MOST_WARM - m.warm);
   const affinity =
-    (group.expected ? lacking : group.quick ? 0 : Math.min(MOST_WARM, m.warm)) * options.warmSteps;
+    (group.expected ? lacking : group.latencySensitive ? 0 : Math.min(MOST_WARM, m.warm)) * options.warmSteps;
   return (fetch * options.fetchSteps + dearer * options.priceSteps + m.penalty + affinity + parked) * STEP;
 }
 
@@ -85,7 +92,7 @@
     private readonly options: CostOptions,
   ) {}
 
-  private usableFor(group: GroupView, need: number): Target[] {
+  private usableFor(group: TaskGroup, need: number): Target[] {
     const types = group.types ? [...group.types].join() : '*';
     const key = `${types}/${group.zone}/${group.spot}/${need}`;
     let found = this.usable.get(key);
@@ -98,7 +105,7 @@
     return found;
   }
 
-  plan(group: GroupView, teamRoom: readonly TeamRoom[]): GroupPlan | null {
+  plan(group: TaskGroup, teamRoom: readonly QuotaHeadroom[]): GroupPlan | null {
     const wanted = wantedOf(group, teamRoom);
     if (wanted === 0) return null;
     const need = this.needs.index(group.need);
@@ -112,7 +119,7 @@
     for (const t of usable) if (t.kind !== 'later') cheapest = Math.min(cheapest, t.price);
     for (const target of usable) {
       if (target.holder >= 0 && target.holder !== group.job) continue;
-      if (group.only >= 0 && target.views[0]?.machine !== group.only) continue;
+      if (group.nominatedMachine >= 0 && target.views[0]?.machine !== group.nominatedMachine) continue;
       const bid = this.bid(group, target, fitting(target, this.needs, need), wanted, press, cheapest);
       if (bid) plan.bids.push(bid);
     }
@@ -120,7 +127,7 @@
   }
 
   private bid(
-    group: GroupView,
+    group: TaskGroup,
     target: Target,
     each: number,
     wanted: number,
@@ -130,23 +137,23 @@
     const { options } = this;
     if (target.kind === 'now') {
       const first = target.views[0]!;
-      if (group.avoid.has(first.machine)) return null;
-      const room = group.guest ? groupFits(group, first.free, first.perAccelerator) : each;
+      if (group.excludedMachines.has(first.machine)) return null;
+      const room = group.bestEffort ? groupFits(group, first.free, first.perAccelerator) : each;
       if (room === 0) return null;
       // An idle machine beyond the present need had better go back than be kept up for it.
-      if (first.parked && first.load === 0 && first.price / room > group.rentPriceMost) return null;
+      if (first.surplus && first.load === 0 && first.price / room > group.maxProvisionPrice) return null;
       const count = Math.min(wanted, room * target.views.length);
       return { target, each: room, count, cost: clamp(machineCost(group, first, each, cheapest, options)) };
     }
-    if (target.kind === 'rent' && !group.rents) return null;
+    if (target.kind === 'rent' && !group.mayProvision) return null;
     const fetchS = fetchOn(target, group.image, group.imageGb);
     const count = Math.min(wanted, each);
     if (!target.option)
       return { target, each, count, cost: BAND + press + clamp((fetchS + target.inS) * STEP) };
     const { price, bootS, size } = target.option;
-    const waitS = bootS + fetchS + group.patienceS + options.rentBiasS;
+    const waitS = bootS + fetchS + group.maxQueueingDelayS + options.rentBiasS;
     const perTask = price / fits(group.need, size);
-    if (perTask > group.rentPriceMost) return null;
+    if (perTask > group.maxProvisionPrice) return null;
     const cost = BAND + press + clamp(perTask * options.rentSteps + waitS * STEP);
     return { target, each, count, cost };
   }
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -1,21 +1,21 @@
 import {
   fits,
-  takeRoom,
-  teamFits,
-  type GroupView,
-  type MachineView,
-  type Room,
-  type TeamRoom,
+  allocate,
+  quotaFits,
+  type TaskGroup,
+  type MachineSnapshot,
+  type Resources,
+  type QuotaHeadroom,
 } from './view.ts';
 
-export interface VictimView<T> {
+export interface PreemptionCandidate<T> {
   item: T;
   priority: number;
   team: number;
   /** Its job is run in excess of its own team's guarantee. */
   beyondGuarantee: boolean;
   stopping: boolean;
-  need: Room;
+  need: Resources;
   /** Seconds of work that stopping it loses. */
   lossS: number;
 }
@@ -24,7 +24,11 @@
  * May this task be stopped for that group? By rank at once. To give a team its guarantee only after a while:
  * machines that end their tasks or that are rented mostly bring it sooner, and stopping loses work.
  */
-export function mayPreempt(group: GroupView, victim: VictimView<unknown>, guaranteeAfterMs: number): boolean {
+export function mayPreempt(
+  group: TaskGroup,
+  victim: PreemptionCandidate<unknown>,
+  guaranteeAfterMs: number,
+): boolean {
   if (victim.priority < group.priority) return true;
   if (group.waitedMs < guaranteeAfterMs) return false;
   return group.guaranteed && victim.beyondGuarantee && victim.team !== group.team;
@@ -35,22 +39,22 @@
  * already being made counts first, so that a round that comes while tasks save doesn't stop more; null: it is
  * enough. Empty: stopping others can't make enough.
  */
-export function pickVictims<T>(
-  group: GroupView,
+export function selectVictims<T>(
+  group: TaskGroup,
   waiting: number,
-  machines: readonly MachineView[],
-  victimsOn: (machine: number) => VictimView<T>[],
-  teamRoom: readonly TeamRoom[],
+  machines: readonly MachineSnapshot[],
+  victimsOn: (machine: number) => PreemptionCandidate<T>[],
+  teamRoom: readonly QuotaHeadroom[],
   guaranteeAfterMs: number,
   reserved: ReadonlyMap<number, number>,
   /** Takes the machines that the group will find its room on, those with room already included. */
   counted: Set<number> = new Set(),
 ): T[] | null {
-  let want = Math.min(waiting, teamFits(group.need, teamRoom[group.team]!));
+  let want = Math.min(waiting, quotaFits(group.need, teamRoom[group.team]!));
   if (group.gang && want < group.pending) return [];
   const plans: { machine: number; items: T[]; count: number; loss: number; zone: number }[] = [];
   for (const m of machines) {
-    if (m.bootsInS > 0 || group.avoid.has(m.machine)) continue;
+    if (m.bootsInS > 0 || group.excludedMachines.has(m.machine)) continue;
     // A machine kept free for another job would take that job's tasks, and the stopped ones would come to nothing.
     const holder = reserved.get(m.machine);
     if (holder !== undefined && holder !== group.job) continue;
@@ -59,7 +63,7 @@
     if (group.types && !group.types.has(m.type)) continue;
     const free = { ...m.free };
     const victims = victimsOn(m.machine);
-    for (const v of victims) if (v.stopping) takeRoom(free, v.need, -1);
+    for (const v of victims) if (v.stopping) allocate(free, v.need, -1);
     const already = fits(group.need, free);
     if (already > 0) {
       // Free room, or room that is being made: the next rounds will use it.
@@ -73,7 +77,7 @@
     let loss = 0;
     for (const v of candidates) {
       if (fits(group.need, free) > 0) break;
-      takeRoom(free, v.need, -1);
+      allocate(free, v.need, -1);
       items.push(v.item);
       loss += v.lossS + 2;
     }
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -5,12 +5,12 @@
 import { BAND, urgency } from './urgency.ts';
 import {
   fits,
-  type GroupView,
-  type MachineView,
-  type OptionView,
-  type Room,
+  type TaskGroup,
+  type MachineSnapshot,
+  type ProvisioningOption,
+  type Resources,
   type RoundResult,
-  type TeamRoom,
+  type QuotaHeadroom,
 } from './view.ts';
 
 export interface RoundOptions extends CostOptions {
@@ -36,21 +36,21 @@
  * jobs took the rest for ever.
  */
 function reserve(
-  groups: readonly GroupView[],
-  machines: readonly MachineView[],
-  sizeOf: (type: number) => Room | null,
+  groups: readonly TaskGroup[],
+  machines: readonly MachineSnapshot[],
+  sizeOf: (type: number) => Resources | null,
   options: RoundOptions,
 ): Map<number, number> {
   const reserved = new Map<number, number>();
   // Others were stopped there for it: who waits long would take it, being free, and more be stopped elsewhere.
-  for (const group of groups) for (const machine of group.roomMade) reserved.set(machine, group.job);
+  for (const group of groups) for (const machine of group.reservedMachines) reserved.set(machine, group.job);
   const waiting = groups.filter((g) => !g.expected && g.waitedMs >= options.reserveAfterMs);
   waiting.sort((a, b) => b.waitedMs - a.waitedMs);
   for (const group of waiting.slice(0, MOST_KEEPING)) {
     const found: { machine: number; zone: number; room: number; missing: number }[] = [];
     const byZone = new Map<number, number>();
     for (const m of machines) {
-      if (m.bootsInS > 0 || reserved.has(m.machine) || group.avoid.has(m.machine)) continue;
+      if (m.bootsInS > 0 || reserved.has(m.machine) || group.excludedMachines.has(m.machine)) continue;
       if (!allowed(group, m.type, m.zone, m.spot)) continue;
       const size = sizeOf(m.type);
       const room = size ? fits(group.need, size) : 0;
@@ -104,7 +104,7 @@
  * Tasks of a group that must stay together may be in two zones: some of them are old news, such as a copy of a
  * report from before a takeover. Until it is known which, no zone is right, and no room is made for the group.
  */
-function heldInTwoZones(group: GroupView): boolean {
+function heldInTwoZones(group: TaskGroup): boolean {
   return group.oneZone && group.liveByZone.size > 1;
 }
 
@@ -115,17 +115,17 @@
  * right, and the unscheduled node that every group can reach. Placements that don't fit together wait.
  */
 export function runRound(
-  allGroups: readonly GroupView[],
-  machines: readonly MachineView[],
-  rentable: readonly OptionView[],
-  teamRoom: readonly TeamRoom[],
-  sizeOf: (type: number) => Room | null,
+  allGroups: readonly TaskGroup[],
+  machines: readonly MachineSnapshot[],
+  rentable: readonly ProvisioningOption[],
+  teamRoom: readonly QuotaHeadroom[],
+  sizeOf: (type: number) => Resources | null,
   options: RoundOptions,
   expired: () => boolean = () => false,
 ): RoundResult {
   const result: RoundResult = {
     placements: [],
-    rents: new Map(),
+    demand: new Map(),
     awaiting: new Map(),
     unplaced: new Map(),
     held: new Set(),
@@ -146,7 +146,7 @@
   result.leftOut = keyed.length - groups.length;
   result.reserved = reserve(groups, machines, sizeOf, options);
   for (const group of groups) {
-    if (group.only >= 0) result.reserved.set(group.only, group.job);
+    if (group.nominatedMachine >= 0) result.reserved.set(group.nominatedMachine, group.job);
   }
   const needs = new Needs();
   for (const group of groups) needs.index(group.need);
@@ -177,7 +177,7 @@
 function solveOnce(
   plans: readonly GroupPlan[],
   targets: readonly Target[],
-  teamRoom: readonly TeamRoom[],
+  teamRoom: readonly QuotaHeadroom[],
   options: RoundOptions,
   result: RoundResult,
   expired: () => boolean,
--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -1,11 +1,11 @@
 import {
   fetchTime,
   fits,
-  takeRoom,
-  type GroupView,
-  type MachineView,
-  type OptionView,
-  type Room,
+  allocate,
+  type TaskGroup,
+  type MachineSnapshot,
+  type ProvisioningOption,
+  type Resources,
 } from './view.ts';
 
 /** What a group's tasks can flow to. Machines that are equal to all groups of a round share one. */
@@ -19,12 +19,12 @@
   /** The job these machines are kept free for, or -1. */
   holder: number;
   /** now: the equal machines. */
-  views: MachineView[];
+  views: MachineSnapshot[];
   /** later: parts of machines' rooms that come at about the same time. */
   parts: Part[];
   /** later: seconds until they come, on average. */
   inS: number;
-  option: OptionView | null;
+  option: ProvisioningOption | null;
   /** Tasks one machine takes (now) or all parts take (later, rent) of the group that fits best. */
   slots: number;
   /** Tasks that could go there. */
@@ -34,7 +34,7 @@
 }
 
 interface Part {
-  view: MachineView;
+  view: MachineSnapshot;
   /** Index into `leaving`; -1: the room of a machine that is yet to come up. */
   step: number;
 }
@@ -57,11 +57,11 @@
 
 /** Equal needs of several groups are counted once. */
 export class Needs {
-  readonly list: Room[] = [];
+  readonly list: Resources[] = [];
   private readonly byKey = new Map<string, number>();
-  private least: Room = { cpus: Infinity, gpus: Infinity, memory: Infinity };
+  private least: Resources = { cpus: Infinity, gpus: Infinity, memory: Infinity };
 
-  index(need: Room): number {
+  index(need: Resources): number {
     const key = `${need.cpus}/${need.gpus}/${need.memory}`;
     let found = this.byKey.get(key);
     if (found === undefined) {
@@ -79,14 +79,14 @@
   }
 
   /** False: nobody's task fits in there. */
-  anyFits(room: Room): boolean {
+  anyFits(room: Resources): boolean {
     return fits(this.least, room) > 0;
   }
 }
 
 /** What tells machines with free room apart, as far as the groups of this round can see. */
 function likeness(
-  m: MachineView,
+  m: MachineSnapshot,
   images: ReadonlyMap<string, number>,
   holder: number,
   alone: boolean,
@@ -95,15 +95,15 @@
   for (const [image, gb] of images) fetches = (Math.imul(fetches, 31) + Math.round(m.fetchS(image, gb))) | 0;
   const { cpus, gpus, memory } = m.free;
   const self = alone ? m.machine : '';
-  return `${m.type}/${m.zone}/${m.spot}/${cpus}/${gpus}/${memory}/${m.load}/${m.warm}/${m.parked}/${m.penalty}/${holder}/${fetches}/${self}`;
+  return `${m.type}/${m.zone}/${m.spot}/${cpus}/${gpus}/${memory}/${m.load}/${m.warm}/${m.surplus}/${m.penalty}/${holder}/${fetches}/${self}`;
 }
 
 /** Makes the middle of the graph: classes of equal machines, room to come by time, machines to be rented. */
 export function makeTargets(
-  groups: readonly GroupView[],
+  groups: readonly TaskGroup[],
   needs: Needs,
-  machines: readonly MachineView[],
-  rentable: readonly OptionView[],
+  machines: readonly MachineSnapshot[],
+  rentable: readonly ProvisioningOption[],
   reserved: ReadonlyMap<number, number>,
 ): Target[] {
   const targets: Target[] = [];
@@ -112,10 +112,10 @@
   const alone = new Set<number>();
   for (const g of groups) {
     images.set(g.image, g.imageGb);
-    for (const machine of g.avoid) alone.add(machine);
-    if (g.only >= 0) alone.add(g.only);
+    for (const machine of g.excludedMachines) alone.add(machine);
+    if (g.nominatedMachine >= 0) alone.add(g.nominatedMachine);
   }
-  const add = (kind: Target['kind'], like: MachineView | OptionView, holder: number): Target => {
+  const add = (kind: Target['kind'], like: MachineSnapshot | ProvisioningOption, holder: number): Target => {
     const { type, zone, spot, price } = like;
     const target: Target = {
       node: -1,
@@ -138,7 +138,7 @@
   };
   const later = new Map<number, Target>();
   const apart = machines.length <= FEW_MACHINES;
-  const addPart = (view: MachineView, inS: number, step: number): void => {
+  const addPart = (view: MachineSnapshot, inS: number, step: number): void => {
     const place = (view.type * 1024 + view.zone) * 2 + (view.spot ? 1 : 0);
     const key = place * (BUCKETS_S.length + 1) + bucketOf(inS);
     let target = apart ? undefined : later.get(key);
@@ -164,7 +164,7 @@
         target.views.push(m);
       }
     }
-    m.leaving.forEach((step, at) => {
+    m.releases.forEach((step, at) => {
       addPart(m, step.inS, at);
     });
   }
@@ -185,7 +185,7 @@
   return count;
 }
 
-function fittingParts(parts: readonly Part[], need: Room): number {
+function fittingParts(parts: readonly Part[], need: Resources): number {
   const stride = Math.max(1, parts.length / MOST_COUNTED);
   let count = 0;
   let counted = 0;
@@ -197,9 +197,9 @@
       continue;
     }
     const room = { ...view.free };
-    for (let s = 0; s < step; s++) takeRoom(room, view.leaving[s]!.room, -1);
+    for (let s = 0; s < step; s++) allocate(room, view.releases[s]!.room, -1);
     const before = fits(need, room);
-    takeRoom(room, view.leaving[step]!.room, -1);
+    allocate(room, view.releases[step]!.room, -1);
     count += Math.max(0, fits(need, room) - before);
   }
   return Math.round((count * parts.length) / Math.max(1, counted));
@@ -217,7 +217,7 @@
 }
 
 /** Whether the group may use machines of this kind at all. */
-export function allowed(group: GroupView, type: number, zone: number, spot: boolean): boolean {
+export function allowed(group: TaskGroup, type: number, zone: number, spot: boolean): boolean {
   if (spot && !group.spot) return false;
   if (group.zone >= 0 && group.zone !== zone) return false;
   return group.types === null || group.types.has(type);
--- a/src/scheduling/urgency.ts
+++ b/src/scheduling/urgency.ts
@@ -1,4 +1,4 @@
-import type { GroupView } from './view.ts';
+import type { TaskGroup } from './view.ts';
 
 /** Costs on present machines stay below one band, those of room that is yet to come below the second. */
 export const BAND = 100_000;
@@ -8,14 +8,14 @@
 const HALF_S = 60;
 
 /** From 0, not pressing, to 1: about to be late. What is late already makes way for what is not, for a while. */
-function pressure(group: GroupView, reserveAfterMs: number): number {
+function pressure(group: TaskGroup, reserveAfterMs: number): number {
   if (group.waitedMs > reserveAfterMs * STARVING) return 1;
   if (group.slackS < 0 || group.probe) return 0;
   // Among jobs that all can't be in time, those that need least room: more of them are.
   return HALF_S / (HALF_S + group.slackS) / (1 + group.size);
 }
 
-export function urgency(group: GroupView, reserveAfterMs: number): number {
+export function urgency(group: TaskGroup, reserveAfterMs: number): number {
   if (group.expected) return 0;
   // Rank first, then a team's guarantee, then who will be late soonest, then who waited longest.
   return (
@@ -38,7 +38,7 @@
  * backlog first come first served: small jobs that could have been in time waited behind large ones that could not.
  */
 export function shareGuarantees(
-  groups: readonly GroupView[],
+  groups: readonly TaskGroup[],
   left: GuaranteeLeft[],
   reserveAfterMs: number,
 ): void {
--- a/src/scheduling/view.ts
+++ b/src/scheduling/view.ts
@@ -1,18 +1,18 @@
 /** What a round sees. Everything is a dense index; no slice's own objects reach the graph. */
-export interface Room {
+export interface Resources {
   cpus: number;
   gpus: number;
   memory: number;
 }
 
-export interface GroupView {
+export interface TaskGroup {
   job: number;
   team: number;
   /** Tasks to place; for a gang all of them. */
   pending: number;
   gang: boolean;
   priority: number;
-  need: Room;
+  need: Resources;
   /** Allowed machine types by index, or null. */
   types: Set<number> | null;
   /** The only allowed zone, or -1. */
@@ -26,27 +26,27 @@
   /** Tasks of the job that are or may be on machines, by zone. */
   liveByZone: Map<number, number>;
   /** Of a class whose tasks must start soon. */
-  quick: boolean;
+  latencySensitive: boolean;
   /** Tasks that are only expected: they hold room and rent, but nothing is placed for them. */
   expected: boolean;
   waitedMs: number;
   /** A further attempt of a job that has failed everywhere: nothing is stopped or kept free for it. */
   probe: boolean;
   /** Machines may be rented for it. */
-  rents: boolean;
+  mayProvision: boolean;
   /** Work of the lowest rank of a team without a guarantee: it leaves each free accelerator its share of a machine. */
-  guest: boolean;
+  bestEffort: boolean;
   /** Greatest hourly price per task at which a machine is rented for it. */
-  rentPriceMost: number;
+  maxProvisionPrice: number;
   image: string;
   imageGb: number;
-  avoid: ReadonlySet<number>;
+  excludedMachines: ReadonlySet<number>;
   /** The only machine it takes for now, since room is being made there; or -1. */
-  only: number;
+  nominatedMachine: number;
   /** Machines on which room was made for it a moment ago: they are kept for it. */
-  roomMade: ReadonlySet<number>;
+  reservedMachines: ReadonlySet<number>;
   /** How much longer than a rented machine's boot the job would rather wait for room on a present one. */
-  patienceS: number;
+  maxQueueingDelayS: number;
   /** How long it can still wait without being late; Infinity: nothing is expected of it, -1: it is late. */
   slackS: number;
   /** Its tasks fit into what is left of its team's guarantee. */
@@ -55,16 +55,16 @@
   size: number;
 }
 
-export interface MachineView {
+export interface MachineSnapshot {
   machine: number;
   type: number;
   zone: number;
   spot: boolean;
-  free: Room;
+  free: Resources;
   /** Room of the machine for each of its accelerators; null: it has none. */
-  perAccelerator: Room | null;
+  perAccelerator: Resources | null;
   /** Room that running tasks are expected to leave, soonest first; each entry adds to those before. */
-  leaving: { inS: number; room: Room }[];
+  releases: { inS: number; room: Resources }[];
   /** Tasks on it. */
   load: number;
   /** 0 for a machine that is up; else seconds until it is expected. */
@@ -74,18 +74,18 @@
   /** Images on it that classes which must start soon have used lately. */
   warm: number;
   /** Beyond the present need: taken last, so that it can be given back. Quick classes don't mind. */
-  parked: boolean;
+  surplus: boolean;
   /** Extra cost in steps, for machines known as slow or faulty. */
   penalty: number;
   price: number;
 }
 
-export interface OptionView {
+export interface ProvisioningOption {
   option: number;
   type: number;
   zone: number;
   spot: boolean;
-  size: Room;
+  size: Resources;
   /** Machines that may be rented in this round. */
   max: number;
   price: number;
@@ -93,7 +93,7 @@
   fetchGbPerS: number;
 }
 
-export interface TeamRoom {
+export interface QuotaHeadroom {
   cpus: number;
   gpus: number;
 }
@@ -107,7 +107,7 @@
 export interface RoundResult {
   placements: Placement[];
   /** Machines wanted by option. */
-  rents: Map<number, number>;
+  demand: Map<number, number>;
   /** Tasks by job that wait for machines still booting. */
   awaiting: Map<number, number>;
   /** Tasks by job that found no place at all. */
@@ -124,7 +124,7 @@
 
 const EPSILON = 1e-6;
 
-export function fits(need: Room, free: Room): number {
+export function fits(need: Resources, free: Resources): number {
   let count = Infinity;
   if (need.cpus > 0) count = Math.min(count, (free.cpus + EPSILON) / need.cpus);
   if (need.gpus > 0) count = Math.min(count, (free.gpus + EPSILON) / need.gpus);
@@ -134,18 +134,18 @@
 
 /** How many of a group's tasks fit into the free room of a machine. */
 export function groupFits(
-  group: { need: Room; guest: boolean },
-  free: Room,
-  perAccelerator: Room | null,
+  group: { need: Resources; bestEffort: boolean },
+  free: Resources,
+  perAccelerator: Resources | null,
 ): number {
-  if (!group.guest || perAccelerator === null || group.need.gpus > 0) return fits(group.need, free);
+  if (!group.bestEffort || perAccelerator === null || group.need.gpus > 0) return fits(group.need, free);
   // Guests that filled the processors beside idle accelerators had to be stopped for each task that needs one.
   const left = { ...free };
-  takeRoom(left, { ...perAccelerator, gpus: 0 }, Math.max(0, free.gpus));
+  allocate(left, { ...perAccelerator, gpus: 0 }, Math.max(0, free.gpus));
   return fits(group.need, left);
 }
 
-export function takeRoom(free: Room, need: Room, count = 1): void {
+export function allocate(free: Resources, need: Resources, count = 1): void {
   free.cpus -= need.cpus * count;
   free.gpus -= need.gpus * count;
   free.memory -= need.memory * count;
@@ -159,14 +159,14 @@
  * Room that tasks leave at about the same time as one entry, at the later time; `leaving` is sorted by time. A sweep of
  * short tasks has dozens on each machine, and each entry costs a round a part of its network.
  */
-export function mergeLeaving(leaving: MachineView['leaving']): MachineView['leaving'] {
-  const merged: MachineView['leaving'] = [];
+export function mergeReleases(leaving: MachineSnapshot['releases']): MachineSnapshot['releases'] {
+  const merged: MachineSnapshot['releases'] = [];
   let startS = -Infinity;
   for (const { inS, room } of leaving) {
     const last = merged.at(-1);
     if (last && inS - startS <= Math.max(TOGETHER_S, startS * TOGETHER_SHARE)) {
       last.inS = inS;
-      takeRoom(last.room, room, -1);
+      allocate(last.room, room, -1);
       continue;
     }
     startS = inS;
@@ -176,7 +176,7 @@
 }
 
 /** Just the amounts of something that has them: a job's need of a task, a machine type's size. */
-export function roomOf({ cpus, gpus, memory }: Room): Room {
+export function resourcesOf({ cpus, gpus, memory }: Resources): Resources {
   return { cpus, gpus, memory };
 }
 
@@ -186,6 +186,6 @@
 }
 
 /** How many tasks a team's limit still takes. */
-export function teamFits(need: Room, room: TeamRoom): number {
+export function quotaFits(need: Resources, room: QuotaHeadroom): number {
   return fits({ ...need, memory: 0 }, { ...room, memory: 0 });
 }
--- a/src/scheduling/zones.ts
+++ b/src/scheduling/zones.ts
@@ -1,4 +1,4 @@
-import type { GroupView } from './view.ts';
+import type { TaskGroup } from './view.ts';
 import { allowed, fitting, type Needs, type Target } from './targets.ts';
 
 /** Much more than any other part of a zone's score: all tasks of the group find room there at once. */
@@ -36,7 +36,7 @@
  * there would otherwise come to nothing.
  */
 export function pickZone(
-  group: GroupView,
+  group: TaskGroup,
   need: number,
   wanted: number,
   needs: Needs,
@@ -56,7 +56,7 @@
       zones.set(t.zone, zone);
     }
     if (t.kind === 'now') {
-      const there = t.views.filter((v) => !group.avoid.has(v.machine)).length * count;
+      const there = t.views.filter((v) => !group.excludedMachines.has(v.machine)).length * count;
       zone.now.push({ count: there, fetchS: t.views[0]!.fetchS(group.image, group.imageGb) });
     } else if (t.option) zone.rent += count / (1 + t.price);
     else if (t.inS <= SOON_S) zone.soon += count;
--- a/src/sim/node.ts
+++ b/src/sim/node.ts
@@ -4,7 +4,7 @@
 import type { Options } from '../config/options.ts';
 import type { Settings } from '../config/settings.ts';
 import type { HttpResult, HttpSender } from '../http/client.ts';
-import type { MeshReply, MeshRequest } from '../mesh/frames.ts';
+import type { PeerReply, PeerRequest } from '../mesh/frames.ts';
 import type { Exchange, Host, SimNetwork } from './network.ts';
 import type { EventQueue } from './queue.ts';
 import type { Random } from './random.ts';
@@ -120,7 +120,7 @@
   }
 
   private servePeer(body: string, reply: Exchange['reply']): void {
-    this.controller?.onPeer(JSON.parse(body) as MeshRequest, (answer) => {
+    this.controller?.onPeerRequest(JSON.parse(body) as PeerRequest, (answer) => {
       reply({ status: 200, body: JSON.stringify(answer) });
     });
   }
@@ -154,7 +154,7 @@
       },
       peers: {
         names: this.world.nodes.filter((n) => n !== this).map((n) => n.name),
-        ask: (peer, request, timeoutMs) => this.askPeer(peer, request, timeoutMs),
+        call: (peer, request, timeoutMs) => this.askPeer(peer, request, timeoutMs),
       },
     };
   }
@@ -208,11 +208,11 @@
     return { send, close: () => undefined };
   }
 
-  private async askPeer(peer: string, request: MeshRequest, timeoutMs: number): Promise<MeshReply | null> {
+  private async askPeer(peer: string, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     const host = this.world.nodes.find((n) => n.name === peer);
     if (!host) return null;
     const message = { method: 'MESH', path: '/', body: JSON.stringify(request) };
     const result = await this.seen(this.world.network.exchange(this, host, message, timeoutMs));
-    return result.kind === 'answer' ? (JSON.parse(result.body) as MeshReply) : null;
+    return result.kind === 'answer' ? (JSON.parse(result.body) as PeerReply) : null;
   }
 }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -8,7 +8,7 @@
 /** `overLimit`: for its rate, by the service or by this node's own share. */
 type Refused = { kind: 'refused'; overLimit?: boolean };
 export type StoreResult<T> = { kind: 'ok'; value: T } | Refused | { kind: 'unknown' };
-export type TxnResult =
+export type CompareAndSwapResult =
   | { kind: 'ok'; revision: number }
   | { kind: 'conflict'; failed: string[] }
   | { kind: 'no_lease' }
@@ -38,7 +38,7 @@
 const OVERCOMMITTED = 1.5;
 
 /** The state service by its published protocol, within this node's share of its request budget. */
-export class StoreClient {
+export class KeyValueStore {
   private readonly http: HttpSender;
   private readonly watchHttp: HttpSender;
   /** Of its own, so that renewals of leases wait for nothing else. */
@@ -130,13 +130,13 @@
     }
   }
 
-  async txn(
+  async compareAndSwap(
     conditions: readonly wire.Condition[],
-    changes: readonly wire.Change[],
+    changes: readonly wire.Mutation[],
     urgency: Urgency,
     timeoutMs = WRITE_TIMEOUT_MS,
-  ): Promise<TxnResult> {
-    const body = wire.encodeTxn(conditions, changes);
+  ): Promise<CompareAndSwapResult> {
+    const body = wire.encodeTransaction(conditions, changes);
     const result = await this.call('POST', wire.STATE_PATHS.txn, body, timeoutMs, urgency);
     if (result.kind === 'answer' && result.status === 409) {
       const failed = wire.decodeConflict(result.body);
@@ -150,21 +150,21 @@
     return settled.kind === 'ok' ? { kind: 'ok', revision: settled.value } : settled;
   }
 
-  async grant(ttlMs: number): Promise<StoreResult<number>> {
+  async grantLease(ttlMs: number): Promise<StoreResult<number>> {
     const body = wire.encodeGrant(ttlMs);
     const result = await this.call('POST', wire.STATE_PATHS.leases, body, WRITE_TIMEOUT_MS, 'lease');
     return this.settle(result, wire.decodeGrant);
   }
 
   /** `ok` with false: the lease is over. */
-  async renew(lease: number, timeoutMs: number): Promise<StoreResult<boolean>> {
+  async renewLease(lease: number, timeoutMs: number): Promise<StoreResult<boolean>> {
     const path = wire.STATE_PATHS.renew(lease);
     const result = await this.call('POST', path, '{}', timeoutMs, 'lease', this.leaseHttp);
     if (result.kind === 'answer' && result.status === 404) return { kind: 'ok', value: false };
     return this.settle(result, () => ({ ok: true, value: true }));
   }
 
-  async revoke(lease: number): Promise<boolean> {
+  async revokeLease(lease: number): Promise<boolean> {
     const result = await this.call('DELETE', wire.STATE_PATHS.lease(lease), null, WRITE_TIMEOUT_MS, 'lease');
     return result.kind === 'answer' && (result.status < 300 || result.status === 404);
   }
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -9,12 +9,12 @@
   openPrefix: 'o/',
   open: (id: string) => `o/${id}`,
   /** Where final states are moved to later on. A job's record only ever moves from `open` to here. */
-  final: (id: string) => `f/${id}`,
-  finishedPrefix: 't/',
-  finished: (id: string, chunk: number) => `t/${id}/${chunk}`,
+  archived: (id: string) => `f/${id}`,
+  completionsPrefix: 't/',
+  completions: (id: string, chunk: number) => `t/${id}/${chunk}`,
   /** Pages that say which tasks may have been started, many jobs to a page. */
-  begunPrefix: 'b/',
-  begun: (page: number) => `b/${page}`,
-  machinePrefix: 'm/',
-  machine: (page: number) => `m/${page}`,
+  startWatermarksPrefix: 'b/',
+  startWatermarks: (page: number) => `b/${page}`,
+  machineRegistryPrefix: 'm/',
+  machineRegistry: (page: number) => `m/${page}`,
 };
--- a/src/store/writer.ts
+++ b/src/store/writer.ts
@@ -1,7 +1,7 @@
 import type { Logger } from '../base/log.ts';
-import type { Change, Condition } from '../wire/state.ts';
+import type { Mutation, Condition } from '../wire/state.ts';
 import { RateBudget } from './budget.ts';
-import type { TxnResult } from './client.ts';
+import type { CompareAndSwapResult } from './client.ts';
 import { KEYS } from './keys.ts';
 
 /**
@@ -9,11 +9,11 @@
  * task starts (notes of begun tasks, the roster), finished tasks, and housekeeping. A less urgent write takes
  * only what the more urgent ones leave of a transaction and of the budget. The lease is renewed apart from them.
  */
-const LANES = ['ends', 'starts', 'progress', 'background'] as const;
-export type WriteLane = (typeof LANES)[number];
+const WRITE_PRIORITIES = ['ends', 'starts', 'progress', 'background'] as const;
+export type WritePriority = (typeof WRITE_PRIORITIES)[number];
 
-export interface WriteJob {
-  changes: Change[];
+export interface Write {
+  changes: Mutation[];
   /** Called once the changes are durable. */
   done: () => void;
 }
@@ -22,15 +22,19 @@
  * A write of one key whose value is taken only when its transaction is put together, so that whatever changes
  * until then is in it.
  */
-export interface LateWriteJob {
+export interface DeferredWrite {
   /** Upper bound of the value's size. */
   bytes: number;
-  build(): Change;
+  build(): Mutation;
   done: () => void;
 }
 
 export interface WriterHost {
-  txn(conditions: readonly Condition[], changes: readonly Change[], timeoutMs: number): Promise<TxnResult>;
+  compareAndSwap(
+    conditions: readonly Condition[],
+    changes: readonly Mutation[],
+    timeoutMs: number,
+  ): Promise<CompareAndSwapResult>;
   /** The version of the fence key as it is now, or null if it can't be read. */
   readFence(): Promise<number | null>;
   /** The version of the leader key as it is now (0: none), or null if it can't be read. */
@@ -54,11 +58,11 @@
 const RECHECK_MS = 100;
 
 interface Batch {
-  jobs: (WriteJob | LateWriteJob)[];
-  changes: Change[];
+  jobs: (Write | DeferredWrite)[];
+  changes: Mutation[];
 }
 
-const sizeOf = (job: WriteJob | LateWriteJob): { changes: number; bytes: number } =>
+const sizeOf = (job: Write | DeferredWrite): { changes: number; bytes: number } =>
   'build' in job
     ? { changes: 1, bytes: job.bytes }
     : { changes: job.changes.length, bytes: JSON.stringify(job.changes).length };
@@ -73,7 +77,9 @@
  * more goes into each transaction, since both the budget and the pace of transactions make the next one wait.
  */
 export class LeaderWriter {
-  private readonly queues = new Map<WriteLane, (WriteJob | LateWriteJob)[]>(LANES.map((l) => [l, []]));
+  private readonly queues = new Map<WritePriority, (Write | DeferredWrite)[]>(
+    WRITE_PRIORITIES.map((l) => [l, []]),
+  );
   private readonly pace: RateBudget;
   private busy = false;
   private stopped = false;
@@ -90,7 +96,7 @@
     this.pace = new RateBudget(perSecond, budget.now, Math.max(FENCE_BURST, perSecond));
   }
 
-  push(job: WriteJob | LateWriteJob, lane: WriteLane): void {
+  enqueue(job: Write | DeferredWrite, lane: WritePriority): void {
     this.queues.get(lane)!.push(job);
     if (!this.busy) void this.run();
   }
@@ -114,7 +120,7 @@
   /** The changes that the next transaction should wait for permits for: those of the most urgent lanes. */
   private pressingChanges(): { count: number; urgent: boolean } {
     const most = this.limits.txnOps - 1;
-    const of = (lanes: readonly WriteLane[]): number => {
+    const of = (lanes: readonly WritePriority[]): number => {
       let count = 0;
       for (const lane of lanes) {
         for (const job of this.queues.get(lane)!) {
@@ -125,7 +131,7 @@
       return count;
     };
     const urgent = of(['ends', 'starts']);
-    return urgent > 0 ? { count: urgent, urgent: true } : { count: of(LANES), urgent: false };
+    return urgent > 0 ? { count: urgent, urgent: true } : { count: of(WRITE_PRIORITIES), urgent: false };
   }
 
   /** Waits until the next transaction may go: meanwhile it gathers what comes in. */
@@ -147,12 +153,12 @@
   }
 
   private takeBatch(): Batch {
-    const jobs: (WriteJob | LateWriteJob)[] = [];
-    const changes: Change[] = [];
+    const jobs: (Write | DeferredWrite)[] = [];
+    const changes: Mutation[] = [];
     const permits = Math.max(2, Math.floor(this.budget.available()));
     const most = Math.min(this.limits.txnOps, permits) - 1;
     let bytes = 0;
-    for (const lane of LANES) {
+    for (const lane of WRITE_PRIORITIES) {
       const queue = this.queues.get(lane)!;
       while (queue.length > 0) {
         const next = queue[0]!;
@@ -183,12 +189,12 @@
     this.busy = false;
   }
 
-  private async commit(changes: Change[]): Promise<boolean> {
+  private async commit(changes: Mutation[]): Promise<boolean> {
     const conditions = [
       { key: KEYS.leader, version: this.leaderVersion },
       { key: KEYS.fence, version: this.fence },
     ];
-    const all: Change[] = [...changes, { put: KEYS.fence, value: {} }];
+    const all: Mutation[] = [...changes, { put: KEYS.fence, value: {} }];
     let inDoubt = false;
     let repeats = 0;
     let pauseMs = FIRST_PAUSE_MS;
@@ -198,7 +204,7 @@
       const wait = this.budget.waitMs(permits);
       if (wait > 0) await this.host.pause(wait);
       this.budget.take(permits);
-      const result = await this.host.txn(conditions, all, timeoutMs);
+      const result = await this.host.compareAndSwap(conditions, all, timeoutMs);
       if (this.stopped) return false;
       if (result.kind === 'ok') {
         this.fence = result.revision;
@@ -223,7 +229,7 @@
       if (result.kind === 'unknown') {
         inDoubt = true;
         timeoutMs = Math.min(LAST_TIMEOUT_MS, timeoutMs * 2);
-        const settled = await this.settle();
+        const settled = await this.resolveInDoubt();
         if (settled !== 'unsettled') {
           this.log.info({ settled }, 'store: write without an answer, settled by a look');
           if (settled === 'carried_out') return true;
@@ -248,7 +254,7 @@
    * leadership moves the fence, and only this one transaction is under way: a fence that has moved shows that it
    * was carried out, provided that the leader key is seen standing *after* that.
    */
-  private async settle(): Promise<'carried_out' | 'not_yet' | 'other_leader' | 'unsettled'> {
+  private async resolveInDoubt(): Promise<'carried_out' | 'not_yet' | 'other_leader' | 'unsettled'> {
     const fence = await this.host.readFence();
     if (fence === null || this.stopped) return 'unsettled';
     if (fence === this.fence) return 'not_yet';
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -80,7 +80,7 @@
   return decoded.ok && decoded.value.error === 'no capacity';
 }
 
-export function encodeReturn(names: readonly string[]): string {
+export function encodeTermination(names: readonly string[]): string {
   return JSON.stringify({ hearths: names });
 }
 
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -25,7 +25,7 @@
   key: string;
   version: number;
 }
-export type Change = { put: string; value: unknown; lease?: number } | { delete: string };
+export type Mutation = { put: string; value: unknown; lease?: number } | { delete: string };
 export interface WatchEvent {
   key: string;
   deleted: boolean;
@@ -54,7 +54,7 @@
   };
 }
 
-export function encodeTxn(conditions: readonly Condition[], changes: readonly Change[]): string {
+export function encodeTransaction(conditions: readonly Condition[], changes: readonly Mutation[]): string {
   return JSON.stringify({
     if: conditions.map((c) => ({ k: c.key, stamp: c.version })),
     then: changes.map((c) =>
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -85,8 +85,8 @@
   image: string;
   imageGb: number;
   estimateS: number;
-  checkpointS: number;
-  saveS: number;
+  checkpointIntervalS: number;
+  checkpointDurationS: number;
   deadlineS: number | null;
   stored: StoredJob;
 }
@@ -110,8 +110,8 @@
     image: w.recipe,
     imageGb: w.imageGb,
     estimateS: w.bakeS,
-    checkpointS: w.proofS,
-    saveS: w.coolS,
+    checkpointIntervalS: w.proofS,
+    checkpointDurationS: w.coolS,
     deadlineS: w.dueS ?? null,
     stored: w,
   };
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,22 +1,30 @@
 import * as z from 'zod/mini';
 import { amount, count, decodeText, orNull, type Decoded } from './amounts.ts';
 
-export type Cause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'full' | 'busy' | 'unknown';
-const CAUSE_TERMS: Record<string, Cause> = {
+export type ExitReason =
+  | 'done'
+  | 'stopped'
+  | 'gangPeerLost'
+  | 'gangIncomplete'
+  | 'error'
+  | 'insufficientResources'
+  | 'busy'
+  | 'jobUnknown';
+const EXIT_REASONS: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
-  peers: 'peers',
-  incomplete: 'alone',
+  peers: 'gangPeerLost',
+  incomplete: 'gangIncomplete',
   error: 'error',
-  full: 'full',
+  full: 'insufficientResources',
   busy: 'busy',
-  no_such: 'unknown',
+  no_such: 'jobUnknown',
 };
 
 const STAGES = ['fetching', 'waiting', 'running', 'saving', 'ended'] as const;
 export type TaskPhase = (typeof STAGES)[number];
 
-const wireReport = z.object({
+const wireHeartbeat = z.object({
   hearth: z.string().check(z.minLength(1), z.maxLength(100)),
   address: z.string().check(z.regex(/^[^:\s]+:\d{1,5}$/)),
   oven: z.string(),
@@ -37,36 +45,36 @@
   ),
 });
 
-export interface ReportedTask {
+export interface TaskStatus {
   jobId: string;
   task: number;
   attempt: number;
   phase: TaskPhase;
   /** Set once the task has ended. A cause this version doesn't know counts as an error. */
-  cause: Cause | null;
-  saved: boolean;
+  exitReason: ExitReason | null;
+  checkpointed: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   machine: string;
   address: string;
   machineType: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
-  token: number;
-  noticeS: number | null;
-  tasks: ReportedTask[];
+  incarnation: number;
+  sequence: number;
+  fencingToken: number;
+  interruptionNoticeS: number | null;
+  tasks: TaskStatus[];
 }
 
 const TASK_ID = /^(.+)\/(\d{1,6})$/;
 
-export function decodeReport(text: string): Decoded<Report> {
-  const decoded = decodeText(wireReport, text);
+export function decodeHeartbeat(text: string): Decoded<Heartbeat> {
+  const decoded = decodeText(wireHeartbeat, text);
   if (!decoded.ok) return decoded;
   const w = decoded.value;
-  const tasks: ReportedTask[] = [];
+  const tasks: TaskStatus[] = [];
   for (const t of w.loaves) {
     const match = TASK_ID.exec(t.loaf);
     if (!match) return { ok: false, reason: 'field loaves: malformed task id' };
@@ -76,8 +84,8 @@
       task: Number(match[2]),
       attempt: t.try,
       phase: t.stage,
-      cause: ended ? (CAUSE_TERMS[t.cause ?? ''] ?? 'error') : null,
-      saved: t.saved ?? false,
+      exitReason: ended ? (EXIT_REASONS[t.cause ?? ''] ?? 'error') : null,
+      checkpointed: t.saved ?? false,
     });
   }
   return {
@@ -88,10 +96,10 @@
       machineType: w.oven,
       zone: w.yard,
       spot: w.borrowed,
-      session: w.shift,
-      seq: w.tick,
-      token: w.baton,
-      noticeS: w.warningS ?? null,
+      incarnation: w.shift,
+      sequence: w.tick,
+      fencingToken: w.baton,
+      interruptionNoticeS: w.warningS ?? null,
       tasks,
     },
   };
@@ -106,9 +114,9 @@
   return [start, rest].every((text) => !text.includes(SEQUENCE_NAME) && !text.includes('\\'));
 }
 
-interface LastReport {
+interface LastHeartbeat {
   rest: string;
-  report: Report;
+  heartbeat: Heartbeat;
   usedAt: number;
 }
 
@@ -116,9 +124,9 @@
  * Decodes reports, and remembers the last one of each machine: most reports differ from the one before only in their
  * sequence number, and are then not decoded again. A report that isn't written that way is decoded in full.
  */
-export class ReportDecoder {
+export class HeartbeatDecoder {
   /** By the text before the sequence number, which names machine and session. */
-  private readonly last = new Map<string, LastReport>();
+  private readonly last = new Map<string, LastHeartbeat>();
   private sweptAt = -Infinity;
 
   constructor(
@@ -132,9 +140,9 @@
     return this.last.size;
   }
 
-  decode(text: string): Decoded<Report> {
+  decode(text: string): Decoded<Heartbeat> {
     const sequence = SEQUENCE_FIELD.exec(text);
-    if (!sequence) return decodeReport(text);
+    if (!sequence) return decodeHeartbeat(text);
     const now = this.now();
     this.sweep(now);
     const start = text.slice(0, sequence.index);
@@ -142,11 +150,11 @@
     const known = this.last.get(start);
     if (known?.rest === rest) {
       known.usedAt = now;
-      return { ok: true, value: { ...known.report, seq: Number(sequence[1]) } };
+      return { ok: true, value: { ...known.heartbeat, sequence: Number(sequence[1]) } };
     }
-    const decoded = decodeReport(text);
+    const decoded = decodeHeartbeat(text);
     if (decoded.ok && namesSequenceOnce(start, rest)) {
-      this.last.set(start, { rest, report: decoded.value, usedAt: now });
+      this.last.set(start, { rest, heartbeat: decoded.value, usedAt: now });
     }
     return decoded;
   }
@@ -175,14 +183,14 @@
   }
 }
 
-export function encodeReportAnswer(token: number, commands: readonly Command[]): string {
+export function encodeHeartbeatResponse(token: number, commands: readonly Command[]): string {
   return JSON.stringify({ baton: token, orders: commands.map(encodeCommand) });
 }
 
-export function encodeOrders(token: number, session: number, commands: readonly Command[]): string {
+export function encodeCommands(token: number, session: number, commands: readonly Command[]): string {
   return JSON.stringify({ baton: token, shift: session, orders: commands.map(encodeCommand) });
 }
 
-export function encodeReportTo(node: string | null): string {
+export function encodeRedirect(node: string | null): string {
   return JSON.stringify(node === null ? {} : { foreman: node });
 }
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -1,10 +1,10 @@
 import type { HttpSender } from '../http/client.ts';
-import { decodeReport, encodeOrders, type Command, type Report } from '../wire/worker.ts';
+import { decodeHeartbeat, encodeCommands, type Command, type Heartbeat } from '../wire/worker.ts';
 import type { Machine } from './machine.ts';
 
-export type OrderResult = { report: Report; executed: boolean } | 'not_sent' | 'silent';
+export type CommandResult = { report: Heartbeat; executed: boolean } | 'not_sent' | 'silent';
 
-const ORDER_TIMEOUT_MS = 2500;
+const COMMAND_TIMEOUT_MS = 2500;
 const INSPECT_TIMEOUT_MS = 2000;
 
 /** Speaks to workers at their own addresses. */
@@ -13,27 +13,27 @@
   constructor(private readonly network: { connect(address: string): HttpSender; close(): void }) {}
 
   /** `wanted`: whether the orders may still be sent, asked right before they are. */
-  async order(
+  async sendCommands(
     machine: Machine,
     token: number,
     commands: readonly Command[],
     wanted: () => boolean,
-  ): Promise<OrderResult> {
-    const body = encodeOrders(token, machine.session, commands);
+  ): Promise<CommandResult> {
+    const body = encodeCommands(token, machine.incarnation, commands);
     const client = this.network.connect(machine.id.address);
-    const result = await client.send('POST', '/orders', body, ORDER_TIMEOUT_MS, wanted);
+    const result = await client.send('POST', '/orders', body, COMMAND_TIMEOUT_MS, wanted);
     if (result.kind === 'silent') return result.sent ? 'silent' : 'not_sent';
     if (result.status !== 200 && result.status !== 409) return 'not_sent';
-    const report = decodeReport(result.body);
+    const report = decodeHeartbeat(result.body);
     // An answer that doesn't decode proves nothing about the orders.
     return report.ok ? { report: report.value, executed: result.status === 200 } : 'silent';
   }
 
-  async inspect(machine: Machine): Promise<Report | null> {
+  async inspect(machine: Machine): Promise<Heartbeat | null> {
     const client = this.network.connect(machine.id.address);
     const result = await client.send('GET', '/inspect', null, INSPECT_TIMEOUT_MS);
     if (result.kind !== 'answer' || result.status !== 200) return null;
-    const report = decodeReport(result.body);
+    const report = decodeHeartbeat(result.body);
     return report.ok ? report.value : null;
   }
 
--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -21,9 +21,9 @@
 /** Jobs whose failures prove a machine to be faulty. */
 export const FAULTY_JOBS = 2;
 /** Jobs whose failures, proven or not, keep new tasks away from a machine for a while. */
-export const SUSPECTING_JOBS = 3;
+export const QUARANTINE_JOBS = 3;
 /** How long after its last failure a suspected machine takes no new tasks, in milliseconds. */
-export const SUSPICION_MS = 60_000;
+export const QUARANTINE_MS = 60_000;
 /** Delay of the second retry, in milliseconds; the first one is made at once, on another machine. */
 export const RETRY_BASE_MS = 2000;
 /** Greatest delay between two attempts, in milliseconds. */
@@ -40,8 +40,8 @@
   /** Tasks were done on more than one machine. */
   succeededOnSeveral: boolean;
   /** Failures since the last success, those of simultaneous attempts counted once. */
-  strikes: number;
-  lastStrikeAt: number;
+  failureCount: number;
+  lastFailureAt: number;
 }
 
 /** What is remembered of one machine's failures. */
@@ -52,7 +52,7 @@
   lastAt: number;
 }
 
-export type MachineVerdict = 'healthy' | 'suspected' | 'faulty';
+export type MachineHealth = 'healthy' | 'quarantined' | 'faulty';
 
 export function newJobFailures(): JobFailures {
   return {
@@ -60,8 +60,8 @@
     succeededBefore: false,
     succeededOn: null,
     succeededOnSeveral: false,
-    strikes: 0,
-    lastStrikeAt: -Infinity,
+    failureCount: 0,
+    lastFailureAt: -Infinity,
   };
 }
 
@@ -78,9 +78,9 @@
   now: number,
 ): void {
   job.failedOn.add(machineIndex);
-  if (assignedAt >= job.lastStrikeAt) {
-    job.strikes += 1;
-    job.lastStrikeAt = now;
+  if (assignedAt >= job.lastFailureAt) {
+    job.failureCount += 1;
+    job.lastFailureAt = now;
   }
   machine.jobs.add(job);
   machine.lastAt = now;
@@ -88,7 +88,7 @@
 
 /** Notes that a task of the job was done on this machine. */
 export function recordSuccess(job: JobFailures, machineIndex: number): void {
-  job.strikes = 0;
+  job.failureCount = 0;
   if (job.succeededOn === null) job.succeededOn = machineIndex;
   else if (job.succeededOn !== machineIndex) job.succeededOnSeveral = true;
 }
@@ -101,15 +101,15 @@
 
 /** How long the job's next attempt waits after its last failure, in milliseconds. */
 export function retryDelayMs(job: JobFailures): number {
-  if (job.strikes <= 1) return 0;
-  return Math.min(RETRY_MAX_MS, RETRY_BASE_MS * 2 ** Math.min(16, job.strikes - 2));
+  if (job.failureCount <= 1) return 0;
+  return Math.min(RETRY_MAX_MS, RETRY_BASE_MS * 2 ** Math.min(16, job.failureCount - 2));
 }
 
 function succeededElsewhere(job: JobFailures, machineIndex: number): boolean {
   return job.succeededOnSeveral || (job.succeededOn !== null && job.succeededOn !== machineIndex);
 }
 
-export function judgeMachine(machine: MachineFailures, machineIndex: number, now: number): MachineVerdict {
+export function machineHealth(machine: MachineFailures, machineIndex: number, now: number): MachineHealth {
   let proven = 0;
   let suspecting = 0;
   for (const job of machine.jobs) {
@@ -117,6 +117,6 @@
     else if (job.failedOn.size === 1) suspecting += 1;
   }
   if (proven >= FAULTY_JOBS) return 'faulty';
-  const suspected = proven + suspecting >= SUSPECTING_JOBS && now - machine.lastAt < SUSPICION_MS;
-  return suspected ? 'suspected' : 'healthy';
+  const suspected = proven + suspecting >= QUARANTINE_JOBS && now - machine.lastAt < QUARANTINE_MS;
+  return suspected ? 'quarantined' : 'healthy';
 }
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod/mini';
-import type { Change, Item } from '../wire/state.ts';
+import type { Mutation, Item } from '../wire/state.ts';
 import { KEYS } from '../store/keys.ts';
-import type { WriteJob } from '../store/writer.ts';
+import type { Write } from '../store/writer.ts';
 import type { MachineIdentity } from './machine.ts';
 
 const pageRecord = z.object({
@@ -22,8 +22,8 @@
 export interface MachineRegistryDeps {
   /** Pages stay below this, so that a change rewrites little and a value is never too long. */
   pageBytes: number;
-  push(job: WriteJob, urgent: boolean): void;
-  post(command: () => void): void;
+  enqueueWrite(job: Write, urgent: boolean): void;
+  enqueue(command: () => void): void;
 }
 
 /**
@@ -38,10 +38,10 @@
   constructor(private readonly deps: MachineRegistryDeps) {}
 
   /** Takes over what an earlier leader left. */
-  load(items: readonly Item[], malformed: (key: string) => void): MachineIdentity[] {
+  restore(items: readonly Item[], malformed: (key: string) => void): MachineIdentity[] {
     const found: MachineIdentity[] = [];
     for (const item of items) {
-      const index = Number(item.key.slice(KEYS.machinePrefix.length));
+      const index = Number(item.key.slice(KEYS.machineRegistryPrefix.length));
       const record = pageRecord.safeParse(item.value);
       if (!record.success || !Number.isSafeInteger(index) || index < 0) {
         malformed(item.key);
@@ -71,7 +71,7 @@
   }
 
   /** Calls back once the machine is in the store. */
-  enroll(id: MachineIdentity, done: () => void): void {
+  register(id: MachineIdentity, done: () => void): void {
     let page = this.pageOf.get(id.name);
     if (!page) {
       const size = sizeOf(id);
@@ -102,18 +102,18 @@
       page.dirty = 'no';
       page.writing = true;
       const done = (): void => {
-        this.deps.post(() => {
+        this.deps.enqueue(() => {
           page.writing = false;
           for (const tell of waiting) tell();
         });
       };
-      this.deps.push({ changes: [change(page)], done }, urgent);
+      this.deps.enqueueWrite({ changes: [change(page)], done }, urgent);
     }
   }
 }
 
-function change(page: Page): Change {
-  const key = KEYS.machine(page.index);
+function change(page: Page): Mutation {
+  const key = KEYS.machineRegistry(page.index);
   if (page.entries.size === 0) return { delete: key };
   const m = [...page.entries.values()].map((e) => [e.name, e.address, e.machineType, e.zone, e.spot]);
   return { put: key, value: { m } };
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,5 +1,5 @@
 import type { Job } from '../jobs/job.ts';
-import type { Cause, TaskPhase } from '../wire/worker.ts';
+import type { ExitReason, TaskPhase } from '../wire/worker.ts';
 import { newMachineFailures } from './failure-attribution.ts';
 
 /** One start of a task on a machine, from the decision until the machine has forgotten it. */
@@ -12,22 +12,22 @@
   readonly job: Job | null;
   phase: 'launching' | TaskPhase;
   /** The worker has reported it in this session. */
-  seen: boolean;
+  observed: boolean;
   /** It no longer counts: ended, or surely gone. */
   released: boolean;
-  cause: Cause | null;
+  exitReason: ExitReason | null;
   /** Grace of the stop that was decided, or null. */
   stopGraceS: number | null;
   /** Direct launches that had no answer: they may be executed as long as the session lasts. */
-  doubt: boolean;
+  inDoubt: boolean;
   /** Direct launches on their way. */
-  underWay: number;
+  inFlight: number;
   /** The answer to the worker's last report carried a launch, and may still be on its way. */
-  inAnswer: boolean;
+  startInResponse: boolean;
   /** When the watch first saw that it may still start though its job is cancelled, or null. */
   unwantedSince: number | null;
   /** Only the end of the session keeps it from starting too late. */
-  endWithLease: boolean;
+  awaitingLeaseExpiry: boolean;
   assignedAt: number;
   runningSince: number | null;
 }
@@ -42,39 +42,39 @@
 
 /** What the leader knows of one machine, from its worker's reports. */
 export class Machine {
-  session = 0;
-  seq = 0;
-  token = 0;
+  incarnation = 0;
+  sequence = 0;
+  fencingToken = 0;
   /** When a report (or the answer to an order) last arrived; -Infinity before. */
-  heardAt = -Infinity;
+  lastMessageAt = -Infinity;
   /** When a newer report of its own last arrived: only such reports renew its lease. */
-  reportedAt = -Infinity;
+  lastHeartbeatAt = -Infinity;
   /** Upper bound for when anyone last answered a report of it: its lease counts from before that. */
-  answeredAt: number;
+  leaseRenewedBefore: number;
   /** When the cloud takes the machine away. */
-  takenAt: number | null = null;
+  reclaimedAt: number | null = null;
   /** The lease of the session known here has surely run out: nothing of it counts any more. */
-  sessionOver = false;
+  leaseExpired = false;
   readonly attempts = new Map<string, Attempt>();
   /** Written to the roster: the condition of its first launch. */
-  rostered = false;
-  rosterQueued = false;
+  registered = false;
+  registrationQueued = false;
   /** Nothing that an earlier leader started can be on it without being known. */
-  accounted = false;
-  returning = false;
+  reconciled = false;
+  terminating = false;
   idleSince: number;
   readonly failures = newMachineFailures();
   readonly firstSeenAt: number;
   /** Direct questions in a row without an answer. */
   probesFailed = 0;
   /** Signs in a row that it doesn't hear us: orders without an answer, a session that ended without cause. */
-  unheard = 0;
+  missedAcknowledgements = 0;
   /** The last sign that it both speaks and hears. */
-  contactAt = -Infinity;
+  lastRoundTripAt = -Infinity;
   /** When it first reported a token older than ours, though it had been answered. */
   private behindSince: number | null = null;
-  pushing = false;
-  pushAfter = 0;
+  commandInFlight = false;
+  commandNotBefore = 0;
   /** Images it has or fetches, with the time at which each is expected to be there. */
   readonly images = new Map<string, number>();
   /** When all fetches under way are expected to be over. */
@@ -90,7 +90,7 @@
   ) {
     this.firstSeenAt = now;
     this.idleSince = now;
-    this.answeredAt = answeredBefore;
+    this.leaseRenewedBefore = answeredBefore;
   }
 
   get name(): string {
@@ -98,10 +98,10 @@
   }
 
   /** It answered an order or a question, so the way is open in both directions. */
-  heardUs(now: number): void {
-    this.unheard = 0;
+  acknowledged(now: number): void {
+    this.missedAcknowledgements = 0;
     this.probesFailed = 0;
-    this.contactAt = now;
+    this.lastRoundTripAt = now;
   }
 
   /**
@@ -110,7 +110,7 @@
    * starts that never came. To be called before the report is taken in.
    */
   noteContact(
-    report: { token: number; session: number },
+    heartbeat: { fencingToken: number; incarnation: number },
     direct: boolean,
     term: number,
     now: number,
@@ -118,16 +118,17 @@
   ): void {
     if (direct) return;
     // Sessions end when answers stay away for a lease. Ours were sent: they didn't arrive, or it hung that long.
-    const answered = now - this.answeredAt < times.leaseMs;
-    if (this.session > 0 && report.session > this.session && answered) this.unheard += 1;
-    if (report.token === term) {
+    const answered = now - this.leaseRenewedBefore < times.leaseMs;
+    if (this.incarnation > 0 && heartbeat.incarnation > this.incarnation && answered)
+      this.missedAcknowledgements += 1;
+    if (heartbeat.fencingToken === term) {
       // The first report with our token shows that an answer arrived.
-      if (this.token !== term) this.unheard = 0;
-      if (this.unheard === 0) this.contactAt = now;
+      if (this.fencingToken !== term) this.missedAcknowledgements = 0;
+      if (this.missedAcknowledgements === 0) this.lastRoundTripAt = now;
       return;
     }
     this.behindSince ??= now;
-    if (now - this.behindSince < 2 * times.reportMs) this.contactAt = now;
+    if (now - this.behindSince < 2 * times.reportMs) this.lastRoundTripAt = now;
   }
 
   /** Tasks that take room. */
@@ -144,12 +145,13 @@
   }
 
   /** Its reports are not to be answered, so that its session ends. */
-  get lapsing(): boolean {
-    for (const a of this.attempts.values()) if (a.endWithLease && !a.seen && !a.released) return true;
+  get awaitingLeaseExpiry(): boolean {
+    for (const a of this.attempts.values())
+      if (a.awaitingLeaseExpiry && !a.observed && !a.released) return true;
     return false;
   }
 
-  get hasForeign(): boolean {
+  get hasUnknownTasks(): boolean {
     for (const a of this.attempts.values()) if (!a.released && a.job === null) return true;
     return false;
   }
@@ -175,15 +177,15 @@
     machine,
     job,
     phase: 'launching',
-    seen: false,
+    observed: false,
     released: false,
-    cause: null,
+    exitReason: null,
     stopGraceS: null,
-    doubt: false,
-    underWay: 0,
-    inAnswer: false,
+    inDoubt: false,
+    inFlight: 0,
+    startInResponse: false,
     unwantedSince: null,
-    endWithLease: false,
+    awaitingLeaseExpiry: false,
     assignedAt: now,
     runningSince: null,
   };
--- a/test/controller/routes.test.ts
+++ b/test/controller/routes.test.ts
@@ -6,7 +6,7 @@
 import { AdaptiveLimit } from '../../src/http/limit.ts';
 import type { Answer, Reply } from '../../src/http/server.ts';
 import type { UserRequests } from '../../src/jobs/user-requests.ts';
-import { StoreClient } from '../../src/store/client.ts';
+import { KeyValueStore } from '../../src/store/client.ts';
 import { FakeClock, silent } from '../helpers.ts';
 
 const OK: Answer = { status: 200, body: '{}' };
@@ -33,10 +33,10 @@
     userLimit: limit(),
     pollLimit: limit(),
     workerLimit: limit(),
-    post: (command) => {
+    enqueue: (command) => {
       command();
     },
-    onReport: (_body, reply) => {
+    onHeartbeat: (_body, reply) => {
       reply(OK);
     },
     health: () => OK,
@@ -85,7 +85,7 @@
   const nodes = Array.from(
     { length: limits.nodes },
     () =>
-      new StoreClient(
+      new KeyValueStore(
         () => service,
         limits,
         () => clock.now(),
--- a/test/digest/traffic-digest.ts
+++ b/test/digest/traffic-digest.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { encodeFrame, type MeshReply, type MeshRequest } from '../../src/mesh/frames.ts';
+import { encodeFrame, type PeerReply, type PeerRequest } from '../../src/mesh/frames.ts';
 import { Emulator } from '../../src/sim/emulator.ts';
 import type { SentMessage } from '../../src/sim/network.ts';
 import { silent } from '../helpers.ts';
@@ -14,8 +14,8 @@
   const content: unknown = JSON.parse(message.body);
   const frame =
     message.status === null
-      ? { id: 0, request: content as MeshRequest, reply: null }
-      : { id: 0, request: null, reply: content as MeshReply };
+      ? { id: 0, request: content as PeerRequest, reply: null }
+      : { id: 0, request: null, reply: content as PeerReply };
   return encodeFrame(frame).toString('hex');
 }
 
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -4,12 +4,12 @@
 import { NameIndex } from '../../src/base/name-index.ts';
 import { Catalog } from '../../src/fleet/catalog.ts';
 import type { Cloud } from '../../src/fleet/cloud.ts';
-import { Fleet, type FleetDeps } from '../../src/fleet/fleet.ts';
+import { MachineProvisioner, type MachineProvisionerDeps } from '../../src/fleet/fleet.ts';
 import type { RentRequest } from '../../src/wire/cloud.ts';
 import { BIG, FakeClock, silent } from '../helpers.ts';
 
-function setup(over: Partial<FleetDeps> = {}): {
-  fleet: Fleet;
+function setup(over: Partial<MachineProvisionerDeps> = {}): {
+  fleet: MachineProvisioner;
   asked: RentRequest[];
   settle: () => Promise<void>;
 } {
@@ -22,10 +22,10 @@
       const names = Array.from({ length: request.count }, (_, i) => `${request.request}-${i}`);
       return Promise.resolve({ kind: 'rented', names });
     },
-    giveBack: () => Promise.resolve(true),
+    terminate: () => Promise.resolve(true),
     list: () => Promise.resolve([]),
   };
-  const fleet = new Fleet({
+  const fleet = new MachineProvisioner({
     clock: new FakeClock(),
     log: silent,
     cloud,
@@ -33,13 +33,13 @@
     zones: new NameIndex(['a', 'b']),
     options: defaultOptions(),
     term: 3,
-    surelyLeading: () => true,
-    post: (command) => {
+    hasValidLease: () => true,
+    enqueue: (command) => {
       command();
     },
     pause: () => Promise.resolve(),
-    returning: () => undefined,
-    gone: () => undefined,
+    onTerminating: () => undefined,
+    onTerminated: () => undefined,
     ...over,
   });
   return { fleet, asked, settle: () => new Promise((resolve) => setImmediate(resolve)) };
@@ -55,11 +55,11 @@
     [1, 1],
   );
   assert.ok(fleet.rentable(dark).some((o) => o.zone === 0 && o.max > 1));
-  fleet.want(new Map([[inDark()[0]!.option, 1]]));
+  fleet.setDemand(new Map([[inDark()[0]!.option, 1]]));
   assert.equal(inDark().length, 0, 'while it is asked for');
   await settle();
   assert.equal(inDark().length, 0, 'while it is awaited');
-  fleet.up(`${asked[0]!.request}-0`);
+  fleet.onMachineUp(`${asked[0]!.request}-0`);
   assert.equal(inDark().length, 2);
   assert.equal(fleet.rentable(new Set()).filter((o) => o.max > 1).length, 4);
 });
@@ -67,7 +67,7 @@
 test('names of rental requests are never used twice, and carry the term', async () => {
   const { fleet, asked, settle } = setup();
   for (let i = 0; i < 5; i++) {
-    fleet.want(new Map(fleet.rentable(new Set()).map((o) => [o.option, 2])));
+    fleet.setDemand(new Map(fleet.rentable(new Set()).map((o) => [o.option, 2])));
     await settle();
   }
   assert.ok(asked.length >= 10);
@@ -87,8 +87,8 @@
       return Promise.resolve({ kind: 'unknown' as const });
     },
   } as unknown as Cloud;
-  const { fleet, settle } = setup({ cloud, surelyLeading: () => sure });
-  fleet.want(new Map([[0, 1]]));
+  const { fleet, settle } = setup({ cloud, hasValidLease: () => sure });
+  fleet.setDemand(new Map([[0, 1]]));
   for (let i = 0; i < 20; i++) await settle();
   assert.equal(asked.length, 2);
   assert.equal(fleet.booting().length, 0, 'nothing is waited for');
--- a/test/golden/frames.test.ts
+++ b/test/golden/frames.test.ts
@@ -4,18 +4,18 @@
  */
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { encodeFrame, FrameReader, MAX_FRAME, type MeshFrame } from '../../src/mesh/frames.ts';
+import { encodeFrame, FrameReader, MAX_FRAME, type PeerFrame } from '../../src/mesh/frames.ts';
 
-type Request = NonNullable<MeshFrame['request']>;
-type Reply = NonNullable<MeshFrame['reply']>;
+type Request = NonNullable<PeerFrame['request']>;
+type Reply = NonNullable<PeerFrame['reply']>;
 
-const asRequest = (id: number, request: Request): MeshFrame => ({ id, request, reply: null });
-const asReply = (id: number, reply: Reply): MeshFrame => ({ id, request: null, reply });
+const asRequest = (id: number, request: Request): PeerFrame => ({ id, request, reply: null });
+const asReply = (id: number, reply: Reply): PeerFrame => ({ id, request: null, reply });
 const REPORT =
   '{"hearth":"n-000231","address":"10.1.0.232:9000","oven":"g8","yard":"a","borrowed":true,"shift":1,"tick":88,"baton":41,"warningS":null,"loaves":[]}';
 
 /** Every kind of frame, beside the bytes that it has on the wire. */
-const FRAMES: readonly (readonly [name: string, frame: MeshFrame, hex: string])[] = [
+const FRAMES: readonly (readonly [name: string, frame: PeerFrame, hex: string])[] = [
   [
     'poll',
     asRequest(1, { kind: 'poll', jobId: 'req-000412' }),
@@ -137,7 +137,7 @@
   ],
 ];
 
-const read = (hex: string): MeshFrame[] => new FrameReader().push(Buffer.from(hex, 'hex'));
+const read = (hex: string): PeerFrame[] => new FrameReader().push(Buffer.from(hex, 'hex'));
 
 test('each kind of frame has its bytes', () => {
   for (const [name, frame, hex] of FRAMES) {
@@ -157,7 +157,7 @@
   const bytes = Buffer.from(FRAMES.map(([, , hex]) => hex).join(''), 'hex');
   for (const step of [1, 7, 64, bytes.length]) {
     const reader = new FrameReader();
-    const found: MeshFrame[] = [];
+    const found: PeerFrame[] = [];
     for (let at = 0; at < bytes.length; at += step) found.push(...reader.push(bytes.subarray(at, at + step)));
     assert.deepEqual(
       found,
--- a/test/golden/messages.test.ts
+++ b/test/golden/messages.test.ts
@@ -7,7 +7,7 @@
   decodeMachineList,
   decodeRented,
   encodeRent,
-  encodeReturn,
+  encodeTermination,
   isNoCapacity,
 } from '../../src/wire/cloud.ts';
 import {
@@ -18,16 +18,16 @@
   decodeItems,
   decodeRevision,
   encodeGrant,
-  encodeTxn,
+  encodeTransaction,
   isNoLease,
   STATE_PATHS,
 } from '../../src/wire/state.ts';
 import { encodeStatus } from '../../src/wire/user.ts';
 import {
-  decodeReport,
-  encodeOrders,
-  encodeReportAnswer,
-  encodeReportTo,
+  decodeHeartbeat,
+  encodeCommands,
+  encodeHeartbeatResponse,
+  encodeRedirect,
   type Command,
 } from '../../src/wire/worker.ts';
 
@@ -44,7 +44,7 @@
 
 test('a transaction', () => {
   assert.equal(
-    encodeTxn(
+    encodeTransaction(
       [
         { key: 'leader', version: 0 },
         { key: 'o/req-1', version: 125 },
@@ -58,7 +58,7 @@
     ),
     '{"if":[{"k":"leader","stamp":0},{"k":"o/req-1","stamp":125}],"then":[{"set":"leader","data":{"node":"hearth-2"},"permit":77},{"set":"fence","data":{}},{"drop":"t/req-1/0"},{"set":"n","data":null}]}',
   );
-  assert.equal(encodeTxn([], []), '{"if":[],"then":[]}');
+  assert.equal(encodeTransaction([], []), '{"if":[],"then":[]}');
 });
 
 test('the request for a lease', () => {
@@ -144,23 +144,23 @@
 
 test('the answer to a report of a worker', () => {
   assert.equal(
-    encodeReportAnswer(41, COMMANDS),
+    encodeHeartbeatResponse(41, COMMANDS),
     '{"baton":41,"orders":[{"verb":"launch","loaf":"req-000412/3","try":2},{"verb":"stop","loaf":"req-000412/4","try":1,"windDownS":4.5},{"verb":"stop","loaf":"req-000412/5","try":9,"windDownS":0},{"verb":"clear","loaf":"req-000413/99999","try":1}]}',
   );
-  assert.equal(encodeReportAnswer(41, []), '{"baton":41,"orders":[]}');
+  assert.equal(encodeHeartbeatResponse(41, []), '{"baton":41,"orders":[]}');
 });
 
 test('commands that are sent to a worker by themselves', () => {
   assert.equal(
-    encodeOrders(41, 3, COMMANDS),
+    encodeCommands(41, 3, COMMANDS),
     '{"baton":41,"shift":3,"orders":[{"verb":"launch","loaf":"req-000412/3","try":2},{"verb":"stop","loaf":"req-000412/4","try":1,"windDownS":4.5},{"verb":"stop","loaf":"req-000412/5","try":9,"windDownS":0},{"verb":"clear","loaf":"req-000413/99999","try":1}]}',
   );
-  assert.equal(encodeOrders(41, 3, []), '{"baton":41,"shift":3,"orders":[]}');
+  assert.equal(encodeCommands(41, 3, []), '{"baton":41,"shift":3,"orders":[]}');
 });
 
 test('the order to report to another controller', () => {
-  assert.equal(encodeReportTo('hearth-2'), '{"foreman":"hearth-2"}');
-  assert.equal(encodeReportTo(null), '{}');
+  assert.equal(encodeRedirect('hearth-2'), '{"foreman":"hearth-2"}');
+  assert.equal(encodeRedirect(null), '{}');
 });
 
 const REPORT =
@@ -170,7 +170,7 @@
 
 test('reports of workers', () => {
   assert.equal(
-    values(decodeReport(REPORT)),
+    values(decodeHeartbeat(REPORT)),
     '["n-000231","10.1.0.232:9000","g8","a",true,1,88,41,12.5,[["req-000412",3,2,"fetching",null,false],["req-000412",4,1,"waiting",null,false],["req-000412",5,1,"running",null,true],["req-000412",6,1,"saving",null,false]]]',
   );
   const bad = [
@@ -183,17 +183,17 @@
     '[]',
     '{',
   ];
-  for (const text of bad) assert.equal(values(decodeReport(text)), 'malformed', text);
+  for (const text of bad) assert.equal(values(decodeHeartbeat(text)), 'malformed', text);
 });
 
 test('causes for which tasks end, as far as they are told apart', () => {
   const wireCauses = ['done', 'stopped', 'peers', 'incomplete', 'error', 'full', 'busy', 'no_such'];
-  const read = wireCauses.map((cause) => values(decodeReport(ended(`"${cause}"`))));
+  const read = wireCauses.map((cause) => values(decodeHeartbeat(ended(`"${cause}"`))));
   assert.equal(new Set(read).size, wireCauses.length);
   // A cause that isn't known, or is missing, is an error of the task.
-  const error = values(decodeReport(ended('"error"')));
-  assert.equal(values(decodeReport(ended('"novelty"'))), error);
-  assert.equal(values(decodeReport(ended('null'))), error);
+  const error = values(decodeHeartbeat(ended('"error"')));
+  assert.equal(values(decodeHeartbeat(ended('"novelty"'))), error);
+  assert.equal(values(decodeHeartbeat(ended('null'))), error);
 });
 
 // ---- users and the cloud ----
@@ -216,7 +216,7 @@
 test('requests to the cloud', () => {
   const rental = { request: 'r-1', machineType: 'g8', zone: 'a', spot: true, count: 3 };
   assert.equal(encodeRent(rental), '{"booking":"r-1","oven":"g8","yard":"a","borrowed":true,"count":3}');
-  assert.equal(encodeReturn(['n-000001', 'n-000002']), '{"hearths":["n-000001","n-000002"]}');
+  assert.equal(encodeTermination(['n-000001', 'n-000002']), '{"hearths":["n-000001","n-000002"]}');
   const paths = [
     CLOUD_PATHS.types,
     CLOUD_PATHS.rent,
--- a/test/golden/state-service.ts
+++ b/test/golden/state-service.ts
@@ -1,5 +1,5 @@
 import type { HttpResult, HttpSender } from '../../src/http/client.ts';
-import { StoreClient } from '../../src/store/client.ts';
+import { KeyValueStore } from '../../src/store/client.ts';
 import { silent } from '../helpers.ts';
 
 /** How the scripted service answers one request: the HTTP status and the body. */
@@ -27,7 +27,7 @@
     return this.requests.filter((request) => !request.startsWith('GET '));
   }
 
-  client(now: () => number): StoreClient {
-    return new StoreClient(() => this, { rps: 10_000, nodes: 1 }, now, silent);
+  client(now: () => number): KeyValueStore {
+    return new KeyValueStore(() => this, { rps: 10_000, nodes: 1 }, now, silent);
   }
 }
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -8,32 +8,32 @@
 import { defaultOptions } from '../../src/config/options.ts';
 import { Catalog, catalogValue, readCatalogValue } from '../../src/fleet/catalog.ts';
 import { Archive } from '../../src/jobs/archive.ts';
-import { BegunNotes } from '../../src/jobs/begun.ts';
-import { FinalCache } from '../../src/jobs/finals.ts';
+import { StartWatermarks } from '../../src/jobs/begun.ts';
+import { TerminalStateCache } from '../../src/jobs/finals.ts';
 import { Job } from '../../src/jobs/job.ts';
 import {
-  begunValue,
+  startWatermarksValue,
   chunkValue,
-  finalValue,
+  terminalValue,
   openValue,
-  readBegun,
+  readStartWatermarks,
   readChunk,
-  readFinal,
+  readTerminal,
   readOpen,
 } from '../../src/jobs/records.ts';
 import { UserRequests } from '../../src/jobs/user-requests.ts';
 import { Election } from '../../src/leadership/election.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import { LeaderWriter, type LateWriteJob, type WriteJob } from '../../src/store/writer.ts';
+import { LeaderWriter, type DeferredWrite, type Write } from '../../src/store/writer.ts';
 import { decodeCatalog } from '../../src/wire/cloud.ts';
-import { encodeTxn, type Change, type Item } from '../../src/wire/state.ts';
+import { encodeTransaction, type Mutation, type Item } from '../../src/wire/state.ts';
 import { decodeJob } from '../../src/wire/user.ts';
 import { MachineRegistry } from '../../src/workers/machine-registry.ts';
 import { FakeClock, silent } from '../helpers.ts';
 import { ScriptedStateService } from './state-service.ts';
 
 /** Changes as they go to the state service. */
-const wire = (changes: readonly Change[]): string => encodeTxn([], changes);
+const wire = (changes: readonly Mutation[]): string => encodeTransaction([], changes);
 const item = (key: string, text: string): Item => ({ key, value: JSON.parse(text), version: 1, lease: null });
 /** Values that are no record of any kind. */
 const NO_RECORDS = ['null', 'true', '7', '"x"', '[]', '{}', '{"b":null}', '{"s":"gone"}', '{"at":"now"}'];
@@ -46,13 +46,13 @@
     KEYS.catalog,
     KEYS.openPrefix,
     KEYS.open('req-000412'),
-    KEYS.final('req-000412'),
-    KEYS.finishedPrefix,
-    KEYS.finished('req-000412', 24),
-    KEYS.begunPrefix,
-    KEYS.begun(3),
-    KEYS.machinePrefix,
-    KEYS.machine(12),
+    KEYS.archived('req-000412'),
+    KEYS.completionsPrefix,
+    KEYS.completions('req-000412', 24),
+    KEYS.startWatermarksPrefix,
+    KEYS.startWatermarks(3),
+    KEYS.machineRegistryPrefix,
+    KEYS.machineRegistry(12),
   ];
   assert.equal(
     keys.join(' '),
@@ -108,7 +108,7 @@
     assert.ok(record, name);
     assert.equal(JSON.stringify(openValue(record.job, record.createdWall)), text, name);
     assert.equal(record.createdWall, 1_800_000_000_123);
-    assert.equal(readFinal(JSON.parse(text)), null, name);
+    assert.equal(readTerminal(JSON.parse(text)), null, name);
   }
 });
 
@@ -148,15 +148,15 @@
 // ---- final records ----
 
 test('final records', () => {
-  assert.equal(JSON.stringify(finalValue('done', 16)), '{"s":"done","n":16}');
-  assert.equal(JSON.stringify(finalValue('cancelled', 0)), '{"s":"cancelled","n":0}');
+  assert.equal(JSON.stringify(terminalValue('done', 16)), '{"s":"done","n":16}');
+  assert.equal(JSON.stringify(terminalValue('cancelled', 0)), '{"s":"cancelled","n":0}');
 });
 
 test('final records are read, and written again, as they were', () => {
   for (const text of ['{"s":"done","n":16}', '{"s":"cancelled","n":0}', '{"s":"done","n":100000}']) {
-    const status = readFinal(JSON.parse(text));
+    const status = readTerminal(JSON.parse(text));
     assert.ok(status && (status.stage === 'done' || status.stage === 'cancelled'), text);
-    assert.equal(JSON.stringify(finalValue(status.stage, status.done)), text);
+    assert.equal(JSON.stringify(terminalValue(status.stage, status.done)), text);
     assert.equal(status.running, 0);
     assert.equal(readOpen(JSON.parse(text)), null, text);
   }
@@ -171,23 +171,23 @@
     '{"s":"gone","n":1}',
     '{"s":"done","n":"1"}',
   ];
-  for (const text of [...NO_RECORDS, ...damaged]) assert.equal(readFinal(JSON.parse(text)), null, text);
+  for (const text of [...NO_RECORDS, ...damaged]) assert.equal(readTerminal(JSON.parse(text)), null, text);
 });
 
 test('the oldest final records move from their first place to the archive in one transaction', () => {
-  const pushed: WriteJob[] = [];
+  const pushed: Write[] = [];
   const archive = new Archive({
     keep: 1,
     txnOps: 6,
     idle: () => true,
-    push: (job) => pushed.push(job),
-    post: (command) => {
+    enqueueWrite: (job) => pushed.push(job),
+    enqueue: (command) => {
       command();
     },
   });
-  archive.add('req-000001', finalValue('done', 16));
-  archive.add('req-000002', finalValue('cancelled', 3));
-  archive.add('req-000003', finalValue('done', 1));
+  archive.add('req-000001', terminalValue('done', 16));
+  archive.add('req-000002', terminalValue('cancelled', 3));
+  archive.add('req-000003', terminalValue('done', 1));
   archive.tick();
   assert.equal(
     pushed.map((job) => wire(job.changes)).join('\n'),
@@ -199,9 +199,9 @@
 
 test('a page of start notes is read, and written again, as it was', () => {
   for (const text of ['{"b":[]}', '{"b":[["req-000001",16],["req-000002",0],["req-000003",100000]]}']) {
-    const entries = readBegun(JSON.parse(text));
+    const entries = readStartWatermarks(JSON.parse(text));
     assert.ok(entries);
-    assert.equal(JSON.stringify(begunValue(entries)), text);
+    assert.equal(JSON.stringify(startWatermarksValue(entries)), text);
   }
 });
 
@@ -217,16 +217,17 @@
     '{"b":[null]}',
     '{"b":{"req-000001":1}}',
   ];
-  for (const text of [...NO_RECORDS, ...damaged]) assert.equal(readBegun(JSON.parse(text)), null, text);
+  for (const text of [...NO_RECORDS, ...damaged])
+    assert.equal(readStartWatermarks(JSON.parse(text)), null, text);
 });
 
 /** Start notes whose writes are taken in order when told to, each as the line of JSON that is sent. */
-function startNotes(pageBytes: number): { notes: BegunNotes; sent: () => string } {
-  const queue: LateWriteJob[] = [];
-  const notes = new BegunNotes({
+function startNotes(pageBytes: number): { notes: StartWatermarks; sent: () => string } {
+  const queue: DeferredWrite[] = [];
+  const notes = new StartWatermarks({
     pageBytes,
-    push: (job) => queue.push(job),
-    post: (command) => {
+    enqueueWrite: (job) => queue.push(job),
+    enqueue: (command) => {
       command();
     },
   });
@@ -246,7 +247,7 @@
   const { notes, sent } = startNotes(80);
   const told: string[] = [];
   const note = (id: string, begun: number): void => {
-    notes.note(id, begun, () => told.push(`${id} ${begun}`));
+    notes.raise(id, begun, () => told.push(`${id} ${begun}`));
   };
   note('req-000001', 16);
   note('req-000002', 4);
@@ -283,7 +284,7 @@
 test('start notes of an earlier leader: pages are read, and a damaged one is told of and never written again', () => {
   const { notes, sent } = startNotes(80);
   const malformed: string[] = [];
-  const found = notes.load(
+  const found = notes.restore(
     [
       item('b/0', '{"b":"damaged"}'),
       item('b/1', '{"b":[["req-000001",16],["req-000009",2]]}'),
@@ -294,11 +295,11 @@
     (id) => id !== 'req-000009',
     (key) => malformed.push(key),
   );
-  assert.equal(JSON.stringify([...found.begun]), '[["req-000001",24]]');
+  assert.equal(JSON.stringify([...found.watermarks]), '[["req-000001",24]]');
   assert.equal(found.unreadable, true);
   assert.equal(malformed.join(' '), 'b/0 b/x b/-1');
   for (const id of ['req-000001', 'req-000004', 'req-000005', 'req-000006', 'req-000007'])
-    notes.note(id, 48, () => undefined);
+    notes.raise(id, 48, () => undefined);
   assert.equal(
     sent(),
     [
@@ -376,11 +377,11 @@
   const confirm: (() => void)[] = [];
   const machines = new MachineRegistry({
     pageBytes,
-    push: (job, urgent) => {
+    enqueueWrite: (job, urgent) => {
       queue.push(`${urgent ? 'urgent' : 'calm'} ${wire(job.changes)}`);
       confirm.push(job.done);
     },
-    post: (command) => {
+    enqueue: (command) => {
       command();
     },
   });
@@ -400,7 +401,7 @@
   };
   const told: number[] = [];
   const enroll = (number: number): void => {
-    machines.enroll(machine(number), () => told.push(number));
+    machines.register(machine(number), () => told.push(number));
   };
   enroll(1);
   flush(false);
@@ -441,13 +442,13 @@
     '{"m":[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]}';
   const { machines, sent } = registry(4000);
   const malformed: string[] = [];
-  const found = machines.load([item('m/0', page)], (key) => malformed.push(key));
+  const found = machines.restore([item('m/0', page)], (key) => malformed.push(key));
   assert.equal(
     JSON.stringify(found.map((identity) => Object.values(identity))),
     '[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]',
   );
   assert.deepEqual(malformed, []);
-  machines.enroll(machine(1), () => undefined);
+  machines.register(machine(1), () => undefined);
   machines.flush(false);
   assert.equal(
     sent(),
@@ -459,7 +460,7 @@
   const { machines } = registry(4000);
   const malformed: string[] = [];
   const entry = '["n-000001","10.1.0.1:9000","g8","a",false]';
-  const found = machines.load(
+  const found = machines.restore(
     [
       ...NO_RECORDS.map((text, index) => item(`m/${index}`, text)),
       item('m/20', '{"m":7}'),
@@ -547,7 +548,7 @@
     clock,
     () => 0.5,
     { ttlMs: leadership.lease_ms, renewMs: leadership.renew_ms },
-    { won: (held) => won.push(Object.values(held).join(' ')), lost: () => undefined },
+    { acquired: (held) => won.push(Object.values(held).join(' ')), lost: () => undefined },
     silent,
     (ms) => {
       pauses.push(ms);
@@ -659,7 +660,8 @@
   const client = service.client(now);
   const writer = new LeaderWriter(
     {
-      txn: (conditions, changes, timeoutMs) => client.txn(conditions, changes, 'lease', timeoutMs),
+      compareAndSwap: (conditions, changes, timeoutMs) =>
+        client.compareAndSwap(conditions, changes, 'lease', timeoutMs),
       readFence: () => Promise.resolve(null),
       readLeader: () => Promise.resolve(null),
       lost: () => assert.fail('lost'),
@@ -674,22 +676,22 @@
     new RateBudget(30, now),
     silent,
   );
-  const push = (changes: WriteJob['changes'], lane: 'ends' | 'starts' | 'progress' | 'background'): void => {
-    writer.push({ changes, done: () => undefined }, lane);
+  const push = (changes: Write['changes'], lane: 'ends' | 'starts' | 'progress' | 'background'): void => {
+    writer.enqueue({ changes, done: () => undefined }, lane);
   };
-  push([{ put: KEYS.finished('req-000002', 0), value: chunkValue(Buffer.from([5, 128])) }], 'progress');
-  push([{ delete: KEYS.machine(3) }], 'background');
+  push([{ put: KEYS.completions('req-000002', 0), value: chunkValue(Buffer.from([5, 128])) }], 'progress');
+  push([{ delete: KEYS.machineRegistry(3) }], 'background');
   push(
     [
-      { put: KEYS.open('req-000001'), value: finalValue('done', 16) },
-      { delete: KEYS.finished('req-000001', 0) },
+      { put: KEYS.open('req-000001'), value: terminalValue('done', 16) },
+      { delete: KEYS.completions('req-000001', 0) },
     ],
     'ends',
   );
-  writer.push(
+  writer.enqueue(
     {
       bytes: 100,
-      build: () => ({ put: KEYS.begun(0), value: begunValue([['req-000003', 16]]) }),
+      build: () => ({ put: KEYS.startWatermarks(0), value: startWatermarksValue([['req-000003', 16]]) }),
       done: () => undefined,
     },
     'starts',
@@ -724,19 +726,19 @@
     clock,
     options: defaultOptions(),
     store: client,
-    finals: new FinalCache(10),
+    terminalStates: new TerminalStateCache(10),
     submissions: new RateBudget(100, () => 0),
     teams: [{ name: 'vision', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }],
     catalog: () => catalog,
     leader: () => null,
-    actAlone: () =>
+    beginLeaderlessWrite: () =>
       Promise.resolve({
         term: 41,
-        commit: (conditions, changes, urgency) => client.txn(conditions, changes, urgency),
+        commit: (conditions, changes, urgency) => client.compareAndSwap(conditions, changes, urgency),
         abandon: () => undefined,
       }),
-    askLeader: () => Promise.resolve(null),
-    askOthers: () => Promise.resolve(null),
+    callLeader: () => Promise.resolve(null),
+    callOthers: () => Promise.resolve(null),
   });
   return { requests, service };
 }
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -1,4 +1,4 @@
-import type { GroupView, MachineView, OptionView } from '../src/scheduling/view.ts';
+import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../src/scheduling/view.ts';
 import type { MachineTypeInfo } from '../src/wire/cloud.ts';
 import type { Clock } from '../src/base/clock.ts';
 import { pino } from 'pino';
@@ -30,7 +30,7 @@
   }
 }
 
-export function group(over: Partial<GroupView> = {}): GroupView {
+export function group(over: Partial<TaskGroup> = {}): TaskGroup {
   return {
     job: 0,
     team: 0,
@@ -45,19 +45,19 @@
     zoneHint: -1,
     zoneCap: Infinity,
     liveByZone: new Map(),
-    quick: false,
+    latencySensitive: false,
     expected: false,
     waitedMs: 0,
     probe: false,
-    rents: true,
-    guest: false,
-    rentPriceMost: Infinity,
+    mayProvision: true,
+    bestEffort: false,
+    maxProvisionPrice: Infinity,
     image: 'i',
     imageGb: 0,
-    avoid: new Set(),
-    only: -1,
-    roomMade: new Set(),
-    patienceS: 0,
+    excludedMachines: new Set(),
+    nominatedMachine: -1,
+    reservedMachines: new Set(),
+    maxQueueingDelayS: 0,
     slackS: Infinity,
     guaranteed: false,
     size: 0,
@@ -65,7 +65,7 @@
   };
 }
 
-export function machine(over: Partial<MachineView> = {}): MachineView {
+export function machine(over: Partial<MachineSnapshot> = {}): MachineSnapshot {
   return {
     machine: 0,
     type: 0,
@@ -73,19 +73,19 @@
     spot: false,
     free: { cpus: 4, gpus: 0, memory: 16 },
     perAccelerator: null,
-    leaving: [],
+    releases: [],
     load: 0,
     bootsInS: 0,
     fetchS: (_image, gb) => gb,
     warm: 0,
-    parked: false,
+    surplus: false,
     penalty: 0,
     price: 1,
     ...over,
   };
 }
 
-export function option(over: Partial<OptionView> = {}): OptionView {
+export function option(over: Partial<ProvisioningOption> = {}): ProvisioningOption {
   return {
     option: 0,
     type: 0,
--- a/test/http/report-connection.test.ts
+++ b/test/http/report-connection.test.ts
@@ -2,7 +2,7 @@
 import { connect } from 'node:net';
 import test, { type TestContext } from 'node:test';
 import fc from 'fast-check';
-import { parseReportHead } from '../../src/http/report-head.ts';
+import { parseHeartbeatHead } from '../../src/http/report-head.ts';
 import { HttpServer } from '../../src/http/server.ts';
 import { SEED } from '../helpers.ts';
 
@@ -27,7 +27,7 @@
       sockets: { inbound: 200, crowded },
       idleMs: { unknown: 60_000, user: 60_000, worker: 60_000 },
       peerOf: (path) => (path === PATH ? 'worker' : 'user'),
-      reportPath: PATH,
+      heartbeatPath: PATH,
       now: () => performance.now(),
     },
   );
@@ -153,7 +153,7 @@
 
 test('only the plain form of a head is read', () => {
   const head = (...lines: string[]): string => [`POST ${PATH} HTTP/1.1`, 'Host: n', ...lines].join('\r\n');
-  const length = (text: string): number | null => parseReportHead(text, PATH)?.contentLength ?? null;
+  const length = (text: string): number | null => parseHeartbeatHead(text, PATH)?.contentLength ?? null;
   assert.equal(length(head('content-LENGTH:  12 ')), 12);
   assert.equal(length(head('Content-Length: 1', 'Connection: keep-alive', 'Accept: */*')), 1);
   for (const lines of [
@@ -169,6 +169,6 @@
     ['Content-Length: 1', 'Host: other'],
   ])
     assert.equal(length(head(...lines)), null, lines.join('; '));
-  assert.equal(parseReportHead(`POST ${PATH} HTTP/1.0\r\nHost: n\r\nContent-Length: 1`, PATH), null);
-  assert.equal(parseReportHead(`GET ${PATH} HTTP/1.1\r\nHost: n\r\nContent-Length: 1`, PATH), null);
+  assert.equal(parseHeartbeatHead(`POST ${PATH} HTTP/1.0\r\nHost: n\r\nContent-Length: 1`, PATH), null);
+  assert.equal(parseHeartbeatHead(`GET ${PATH} HTTP/1.1\r\nHost: n\r\nContent-Length: 1`, PATH), null);
 });
--- a/test/http/server.test.ts
+++ b/test/http/server.test.ts
@@ -13,7 +13,7 @@
       sockets: { inbound, crowded },
       idleMs: { unknown: 60_000, user: 60_000, worker: 60_000 },
       peerOf: (path) => (path === '/checkin' ? 'worker' : 'user'),
-      reportPath: '/checkin',
+      heartbeatPath: '/checkin',
       now: () => performance.now(),
     },
   );
--- a/test/jobs/admission.test.ts
+++ b/test/jobs/admission.test.ts
@@ -2,13 +2,13 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { Catalog } from '../../src/fleet/catalog.ts';
-import { impossible, type TeamLimits } from '../../src/jobs/admission.ts';
+import { infeasibility, type TeamQuota } from '../../src/jobs/admission.ts';
 import { decodeJob, type JobRequest } from '../../src/wire/user.ts';
 import { BIG, SEED } from '../helpers.ts';
 import { JOB } from '../wire/sample.ts';
 import { validSubmission } from '../wire/submissions.ts';
 
-const TEAM: TeamLimits = { name: 'vision', cpus: 0, gpus: 8, cpusMax: 100, gpusMax: 16 };
+const TEAM: TeamQuota = { name: 'vision', cpus: 0, gpus: 8, cpusMax: 100, gpusMax: 16 };
 /** `big` (8 CPUs, 4 GPUs, 64 GB) in both zones; `flat` (32 CPUs, 16 GB, no GPU) in zone b alone. */
 const FLAT = { ...BIG, name: 'flat', cpus: 32, gpus: 0, memory: 16, zones: ['b'] };
 const CATALOG = new Catalog([BIG, FLAT]);
@@ -25,7 +25,7 @@
 const quarters = (amount: number): number => Math.round(amount * 4) / 4;
 
 const verdict = (over: object, catalog: Catalog | null = CATALOG): string | null =>
-  impossible(jobOf(over), TEAM, catalog);
+  infeasibility(jobOf(over), TEAM, catalog);
 
 test('a job that fits no allowed machine type can never run', () => {
   const cases: [object, boolean][] = [
@@ -67,10 +67,10 @@
     [{ shape: 'ensemble', loaves: 160, cores: 0.1, accelerators: 0.1 }, true],
   ];
   for (const [over, runs] of cases) assert.equal(verdict(over) === null, runs, JSON.stringify(over));
-  assert.equal(impossible(jobOf({}), undefined, CATALOG), 'unknown team');
+  assert.equal(infeasibility(jobOf({}), undefined, CATALOG), 'unknown team');
   const unlimited = { ...TEAM, cpusMax: 0, gpusMax: 0 };
   const huge = jobOf({ shape: 'ensemble', loaves: 100_000, accelerators: 4 });
-  assert.equal(impossible(huge, unlimited, CATALOG), null);
+  assert.equal(infeasibility(huge, unlimited, CATALOG), null);
 });
 
 test('nothing is refused for want of capacity, which is not published', () => {
@@ -80,7 +80,7 @@
 
 test("without a catalog the team's reasons are told, and only those", () => {
   assert.notEqual(verdict({ shape: 'ensemble', loaves: 5, accelerators: 4 }, null), null);
-  assert.equal(impossible(jobOf({}), undefined, null), 'unknown team');
+  assert.equal(infeasibility(jobOf({}), undefined, null), 'unknown team');
   assert.equal(verdict({ cores: 1000, shape: 'ensemble' }, null) !== null, true);
   assert.equal(verdict({ memGb: 1000, ovens: ['no-such'] }, null), null);
 });
@@ -112,7 +112,7 @@
         const runs =
           withinLimits &&
           offered.some((t) => t.cpus >= job.cpus && t.gpus >= job.gpus && t.memory >= job.memory);
-        assert.equal(impossible(job, TEAM, CATALOG) === null, runs);
+        assert.equal(infeasibility(job, TEAM, CATALOG) === null, runs);
       },
     ),
     { seed: SEED, numRuns: 500 },
--- a/test/jobs/archive.test.ts
+++ b/test/jobs/archive.test.ts
@@ -1,25 +1,25 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import { Archive } from '../../src/jobs/archive.ts';
-import { finalValue, readFinal } from '../../src/jobs/records.ts';
+import { terminalValue, readTerminal } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { WriteJob } from '../../src/store/writer.ts';
+import type { Write } from '../../src/store/writer.ts';
 import { MemoryStore } from '../store/memory.ts';
 
 const KEEP = 10;
 const TXN_OPS = 6;
 const id = (n: number): string => `req-${String(n).padStart(6, '0')}`;
 
-function setUp(): { archive: Archive; store: MemoryStore; queue: WriteJob[]; busy: { now: boolean } } {
+function setUp(): { archive: Archive; store: MemoryStore; queue: Write[]; busy: { now: boolean } } {
   const store = new MemoryStore();
-  const queue: WriteJob[] = [];
+  const queue: Write[] = [];
   const busy = { now: false };
   const archive = new Archive({
     keep: KEEP,
     txnOps: TXN_OPS,
     idle: () => !busy.now,
-    push: (job) => queue.push(job),
-    post: (command) => {
+    enqueueWrite: (job) => queue.push(job),
+    enqueue: (command) => {
       command();
     },
   });
@@ -28,15 +28,15 @@
 
 test('old final records move away when there are many and the store is idle, each in one transaction', () => {
   const { archive, store, queue, busy } = setUp();
-  const copies: WriteJob[] = [];
+  const copies: Write[] = [];
   const end = (n: number): void => {
-    const value = finalValue('done', n);
+    const value = terminalValue('done', n);
     store.apply([], [{ put: KEYS.open(id(n)), value }]);
     archive.add(id(n), value);
   };
   /** As any controller looks for it: the record's place first, then the archive. */
   const look = (n: number): unknown =>
-    readFinal((store.data.get(KEYS.open(id(n))) ?? store.data.get(KEYS.final(id(n))))?.value)?.done;
+    readTerminal((store.data.get(KEYS.open(id(n))) ?? store.data.get(KEYS.archived(id(n))))?.value)?.done;
   for (let n = 0; n < KEEP; n++) end(n);
   archive.tick();
   assert.equal(queue.length, 0, 'moved though there are few');
@@ -72,16 +72,16 @@
     store.apply(
       [
         { key: KEYS.open(id(n)), version: 0 },
-        { key: KEYS.final(id(n)), version: 0 },
+        { key: KEYS.archived(id(n)), version: 0 },
       ],
       [{ put: KEYS.open(id(n)), value: { at: 0, job: {} } }],
     ).kind;
   assert.equal(create(1), 'ok');
-  store.apply([], [{ put: KEYS.open(id(1)), value: finalValue('cancelled', 0) }]);
+  store.apply([], [{ put: KEYS.open(id(1)), value: terminalValue('cancelled', 0) }]);
   assert.equal(create(1), 'conflict');
   store.apply(
     [],
-    [{ delete: KEYS.open(id(1)) }, { put: KEYS.final(id(1)), value: finalValue('cancelled', 0) }],
+    [{ delete: KEYS.open(id(1)) }, { put: KEYS.archived(id(1)), value: terminalValue('cancelled', 0) }],
   );
   assert.equal(create(1), 'conflict');
 });
--- a/test/jobs/bad-submissions.test.ts
+++ b/test/jobs/bad-submissions.test.ts
@@ -5,10 +5,10 @@
 import { Catalog } from '../../src/fleet/catalog.ts';
 import type { Answer } from '../../src/http/server.ts';
 import { UserRequests, type UserRequestDeps } from '../../src/jobs/user-requests.ts';
-import { FinalCache } from '../../src/jobs/finals.ts';
+import { TerminalStateCache } from '../../src/jobs/finals.ts';
 import { openValue } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { StoreClient } from '../../src/store/client.ts';
+import type { KeyValueStore } from '../../src/store/client.ts';
 import { decodeJob, peekJobId } from '../../src/wire/user.ts';
 import { BIG, FakeClock, SEED } from '../helpers.ts';
 import { JOB } from '../wire/sample.ts';
@@ -51,7 +51,7 @@
     written.push(...changes.map((c) => c.put ?? ''));
     return Promise.resolve({ kind: 'ok' as const, revision: 2 });
   };
-  const askOthers: UserRequestDeps['askOthers'] = (request) => {
+  const askOthers: UserRequestDeps['callOthers'] = (request) => {
     const { other } = situation;
     if (!other || request.kind !== 'look') return Promise.resolve(null);
     const found = other.has(KEYS.open(request.jobId));
@@ -62,15 +62,15 @@
   const userRequests = new UserRequests({
     clock: new FakeClock(),
     options: defaultOptions(),
-    store: { get, txn } as unknown as StoreClient,
-    finals: new FinalCache(10),
+    store: { get, txn } as unknown as KeyValueStore,
+    terminalStates: new TerminalStateCache(10),
     submissions: new RateBudget(1000, () => 0),
     teams: [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }],
     catalog: () => (situation.catalogKnown ? new Catalog([BIG]) : null),
     leader: () => null,
-    actAlone: () => Promise.resolve(null),
-    askLeader: () => Promise.resolve(null),
-    askOthers,
+    beginLeaderlessWrite: () => Promise.resolve(null),
+    callLeader: () => Promise.resolve(null),
+    callOthers: askOthers,
   });
   return { userRequests, written };
 }
--- a/test/jobs/begun.test.ts
+++ b/test/jobs/begun.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import { BegunNotes } from '../../src/jobs/begun.ts';
-import type { LateWriteJob } from '../../src/store/writer.ts';
+import { StartWatermarks } from '../../src/jobs/begun.ts';
+import type { DeferredWrite } from '../../src/store/writer.ts';
 import type { Item } from '../../src/wire/state.ts';
 import { SEED } from '../helpers.ts';
 
@@ -12,11 +12,11 @@
 /** A store that takes writes in order when told to; a value is taken when it is sent, and durable later. */
 class SlowStore {
   readonly pages = new Map<string, unknown>();
-  private readonly queue: LateWriteJob[] = [];
-  private sent: { job: LateWriteJob; key: string; value: unknown } | null = null;
+  private readonly queue: DeferredWrite[] = [];
+  private sent: { job: DeferredWrite; key: string; value: unknown } | null = null;
   writes = 0;
 
-  push(job: LateWriteJob): void {
+  push(job: DeferredWrite): void {
     this.queue.push(job);
   }
 
@@ -50,24 +50,24 @@
   }
 }
 
-const make = (store: SlowStore): BegunNotes =>
-  new BegunNotes({
+const make = (store: SlowStore): StartWatermarks =>
+  new StartWatermarks({
     pageBytes: PAGE,
-    push: (job) => {
+    enqueueWrite: (job) => {
       store.push(job);
     },
-    post: (command) => {
+    enqueue: (command) => {
       command();
     },
   });
 
 /** What a leader that takes over now would know. */
 const readBack = (store: SlowStore): Map<string, number> =>
-  make(new SlowStore()).load(
+  make(new SlowStore()).restore(
     store.items(),
     () => true,
     () => assert.fail('malformed'),
-  ).begun;
+  ).watermarks;
 
 test('whatever counts as noted is in the store for the next leader, until the job is over', () => {
   const step = fc.oneof(
@@ -95,7 +95,7 @@
           const begun = (asked.get(job) ?? 0) + 16;
           asked.set(job, begun);
           const from = term;
-          notes.note(job, begun, () => {
+          notes.raise(job, begun, () => {
             if (from === term && !over.has(job)) durable.set(job, begun);
           });
         } else if (op === 'over') {
@@ -108,13 +108,13 @@
           term += 1;
           store.settle();
           notes = make(store);
-          const found = notes.load(
+          const found = notes.restore(
             store.items(),
             (job) => !over.has(job),
             () => assert.fail('malformed'),
           );
           assert.equal(found.unreadable, false);
-          for (const job of asked.keys()) asked.set(job, found.begun.get(job) ?? 0);
+          for (const job of asked.keys()) asked.set(job, found.watermarks.get(job) ?? 0);
         }
         const written = readBack(store);
         for (const [job, begun] of durable) {
@@ -129,13 +129,13 @@
 test('all jobs that begin together cost one change, and jobs that are over leave the page with the next', () => {
   const store = new SlowStore();
   const notes = make(store);
-  for (let n = 0; n < 9; n++) notes.note(id(n), 1, () => undefined);
+  for (let n = 0; n < 9; n++) notes.raise(id(n), 1, () => undefined);
   store.settle();
   assert.equal(store.writes, 1);
   for (let n = 0; n < 8; n++) notes.drop(id(n));
   store.settle();
   assert.equal(store.writes, 1, 'the end of a job rewrote the page');
-  notes.note(id(20), 1, () => undefined);
+  notes.raise(id(20), 1, () => undefined);
   store.settle();
   assert.deepEqual([...readBack(store).keys()].sort(), [id(8), id(20)]);
 });
@@ -147,15 +147,15 @@
   for (let leader = 0; leader < 2; leader++) {
     const bad: string[] = [];
     const notes = make(store);
-    const found = notes.load(
+    const found = notes.restore(
       store.items(),
       () => true,
       (key) => bad.push(key),
     );
     assert.deepEqual(bad, ['b/0']);
     assert.equal(found.unreadable, true);
-    assert.equal(found.begun.get(id(1)), leader === 0 ? 3 : 5);
-    for (let n = 0; n < 40; n++) notes.note(id(n), 5, () => undefined);
+    assert.equal(found.watermarks.get(id(1)), leader === 0 ? 3 : 5);
+    for (let n = 0; n < 40; n++) notes.raise(id(n), 5, () => undefined);
     store.settle();
     assert.deepEqual(store.pages.get('b/0'), { b: 'damaged' });
   }
--- a/test/jobs/controllers.ts
+++ b/test/jobs/controllers.ts
@@ -5,22 +5,27 @@
 import { Catalog } from '../../src/fleet/catalog.ts';
 import type { Answer, Reply } from '../../src/http/server.ts';
 import { UserRequests, type UserRequestDeps } from '../../src/jobs/user-requests.ts';
-import { EndWrites } from '../../src/jobs/end-writes.ts';
-import { FinalCache } from '../../src/jobs/finals.ts';
+import { TerminalWrites } from '../../src/jobs/end-writes.ts';
+import { TerminalStateCache } from '../../src/jobs/finals.ts';
 import { answerBatch, PollBatcher } from '../../src/jobs/poll-batches.ts';
 import { SharedReads } from '../../src/jobs/shared-reads.ts';
-import type { MeshReply, MeshRequest, PollAnswer } from '../../src/mesh/frames.ts';
+import type { PeerReply, PeerRequest, PollAnswer } from '../../src/mesh/frames.ts';
 import { RateBudget } from '../../src/store/budget.ts';
-import { moreUrgent, type StoreResult, type TxnResult, type Urgency } from '../../src/store/client.ts';
+import {
+  moreUrgent,
+  type StoreResult,
+  type CompareAndSwapResult,
+  type Urgency,
+} from '../../src/store/client.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import { LeaderWriter } from '../../src/store/writer.ts';
-import type { Change, Condition, Item, WatchEvent } from '../../src/wire/state.ts';
+import type { Mutation, Condition, Item, WatchEvent } from '../../src/wire/state.ts';
 import { SETTINGS } from '../config/sample.ts';
 import { BIG, silent } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
 import { StateModel } from '../model/state.ts';
 import { JOB } from '../wire/sample.ts';
-import { leaderlessStep } from './leaderless.ts';
+import { leaderlessWrite } from './leaderless.ts';
 
 const READ_TIMEOUT_MS = 1500;
 const WRITE_TIMEOUT_MS = 2000;
@@ -206,21 +211,22 @@
     });
     const store: UserRequestDeps['store'] = {
       get: (key, urgency) => reads.get(key, urgency),
-      txn: (conditions, changes, _urgency, timeoutMs) => this.txn(c, conditions, changes, timeoutMs),
+      compareAndSwap: (conditions, changes, _urgency, timeoutMs) =>
+        this.txn(c, conditions, changes, timeoutMs),
     };
     c.userRequests = new UserRequests({
       clock: { now, wall: now },
       options: defaultOptions(),
       store,
-      finals: new FinalCache(users.final_cache),
+      terminalStates: new TerminalStateCache(users.final_cache),
       submissions: new RateBudget(1000, now),
       teams: [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }],
       catalog: () => new Catalog([{ ...BIG, name: 'g8', cpus: 96, gpus: 8, memory: 768 }]),
       leader: () => c.leader,
-      actAlone: () => Promise.resolve(leaderlessStep(store)),
-      askLeader: (request, timeoutMs) =>
-        request.kind === 'poll' ? polls.ask(request.jobId) : this.askLeader(c, request, timeoutMs),
-      askOthers: async (request, timeoutMs) => {
+      beginLeaderlessWrite: () => Promise.resolve(leaderlessWrite(store)),
+      callLeader: (request, timeoutMs) =>
+        request.kind === 'poll' ? polls.poll(request.jobId) : this.askLeader(c, request, timeoutMs),
+      callOthers: async (request, timeoutMs) => {
         const others = this.nodes.filter((n) => n !== c);
         const asked = others.map(async (n) => {
           const reply = await this.askNode(c, n, request, timeoutMs);
@@ -232,20 +238,20 @@
     });
   }
 
-  private askLeader(c: Controller, request: MeshRequest, timeoutMs: number): Promise<MeshReply | null> {
+  private askLeader(c: Controller, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     if (c.knownLeader === null || c.knownLeader === c.index) return Promise.resolve(null);
     return this.askNode(c, this.nodes[c.knownLeader]!, request, timeoutMs);
   }
 
   /** As a controller answers another one. */
-  private answerNode(asked: Controller, request: MeshRequest, reply: (reply: MeshReply) => void): void {
+  private answerNode(asked: Controller, request: PeerRequest, reply: (reply: PeerReply) => void): void {
     if (request.kind === 'promise' || request.kind === 'ping' || request.kind === 'workers') return;
     if (request.kind !== 'polls') {
-      asked.userRequests.onMesh(request, reply);
+      asked.userRequests.onPeerRequest(request, reply);
       return;
     }
     const answerOne = (id: string, answered: (answer: PollAnswer) => void): void => {
-      asked.userRequests.onMesh({ kind: 'poll', jobId: id }, (found) => {
+      asked.userRequests.onPeerRequest({ kind: 'poll', jobId: id }, (found) => {
         answered(found.kind === 'status' || found.kind === 'unknown' ? found : { kind: 'unable' });
       });
     };
@@ -255,9 +261,9 @@
   private askNode(
     from: Controller,
     to: Controller,
-    request: MeshRequest,
+    request: PeerRequest,
     timeoutMs: number,
-  ): Promise<MeshReply | null> {
+  ): Promise<PeerReply | null> {
     return new Promise((resolve) => {
       this.deliver(from, timeoutMs, () => {
         resolve(null);
@@ -318,12 +324,12 @@
   private async txn(
     c: Controller,
     conditions: readonly Condition[],
-    changes: readonly Change[],
+    changes: readonly Mutation[],
     timeoutMs = WRITE_TIMEOUT_MS,
-  ): Promise<TxnResult> {
+  ): Promise<CompareAndSwapResult> {
     const late = this.sim.chance(this.luck.late);
     const lost = late || this.sim.chance(this.luck.answerLost);
-    const carryOut = (): TxnResult => this.state.apply(conditions, changes);
+    const carryOut = (): CompareAndSwapResult => this.state.apply(conditions, changes);
     const result = await this.call(c, timeoutMs, () => {
       if (!late) return carryOut();
       this.sim.after(this.sim.between(2000, 12_000), carryOut);
@@ -391,14 +397,14 @@
     const { life } = c;
     const current = (): boolean => c.life === life && c.held === held;
     const later = (ms: number): Promise<void> => this.sim.pause(ms);
-    const endWrites = new EndWrites((id) => leader.isEnding(id));
+    const endWrites = new TerminalWrites((id) => leader.isOutcomeUnconfirmed(id));
     const options = defaultOptions();
     // Nothing is placed here: the test's own machine runs what is to be done.
     options.scheduling.takeover_wait_s = 1e6;
     options.fleet.takeover_rent_s = 1e6;
     const writer = new LeaderWriter(
       {
-        txn: endWrites.noting((conditions, changes, timeoutMs: number) =>
+        compareAndSwap: endWrites.tracking((conditions, changes, timeoutMs: number) =>
           this.txn(c, conditions, changes, timeoutMs),
         ),
         readLeader: async () => {
@@ -425,24 +431,24 @@
       host: {
         clock: { now: () => this.sim.at, wall: () => this.sim.at },
         log: silent,
-        surelyLeading: () => current() && this.sim.at < held.sureUntil,
-        order: () => Promise.resolve('not_sent'),
+        hasValidLease: () => current() && this.sim.at < held.sureUntil,
+        sendCommands: () => Promise.resolve('not_sent'),
         inspect: () => Promise.resolve(null),
-        final: (id) => {
+        onTerminalState: (id) => {
           finals.add(id);
           endWrites.forget(id);
         },
-        isFinal: (id) => finals.has(id),
-        endMayBeWritten: (id) => !this.trustMemory && endWrites.mayBeWritten(id),
-        post: (command) => {
+        isTerminal: (id) => finals.has(id),
+        outcomeMayBeWritten: (id) => !this.trustMemory && endWrites.mayBeWritten(id),
+        enqueue: (command) => {
           this.deliver(c, 0, () => {
             if (current()) command();
           });
         },
         pause: later,
         superseded: () => undefined,
-        hearsNobody: () => undefined,
-        directReportAgeMs: () => 0,
+        lostAllWorkers: () => undefined,
+        directHeartbeatAgeMs: () => 0,
         lagMs: () => 0,
       },
       settings: SETTINGS as Settings,
@@ -454,12 +460,12 @@
         ready: () => false,
         catalog: () => Promise.resolve(null),
         rent: () => Promise.resolve({ kind: 'no_capacity' }),
-        giveBack: () => Promise.resolve(false),
+        terminate: () => Promise.resolve(false),
         list: () => Promise.resolve(null),
       },
       writer,
       term: held.term,
-      graceMs: 6000,
+      heartbeatGraceMs: 6000,
     });
     c.leader = leader;
     this.load(c, leader, current);
@@ -480,12 +486,12 @@
     this.deliver(c, this.sim.between(1, 20), () => {
       this.state.watchers.add(watch);
       const open = this.state.list(KEYS.openPrefix);
-      const finished = this.state.list(KEYS.finishedPrefix);
-      const begun = this.state.list(KEYS.begunPrefix);
-      const roster = this.state.list(KEYS.machinePrefix);
+      const finished = this.state.list(KEYS.completionsPrefix);
+      const begun = this.state.list(KEYS.startWatermarksPrefix);
+      const roster = this.state.list(KEYS.machineRegistryPrefix);
       this.deliver(c, this.sim.between(5, 500), () => {
         if (!current()) return;
-        leader.load({ open, finished, begun, roster });
+        leader.recover({ open, completions: finished, startWatermarks: begun, machineRegistry: roster });
         loaded = true;
         tell();
       });
@@ -495,7 +501,7 @@
   /** All tasks of a job are reported as done to whoever leads, until it has taken that in. */
   complete(job: number): void {
     const c = this.nodes.find((n) => n.leader);
-    const known = c?.leader?.view(jobId(job));
+    const known = c?.leader?.lookup(jobId(job));
     if (c?.leader && c.held && known?.kind === 'status' && known.status.stage === 'pending') {
       this.report(c.leader, c.held.term, job);
     }
@@ -517,10 +523,17 @@
         task,
         attempt: 1,
         phase: ended ? ('ended' as const) : ('running' as const),
-        cause: ended ? ('done' as const) : null,
-        saved: false,
+        exitReason: ended ? ('done' as const) : null,
+        checkpointed: false,
       }));
-      leader.onReport({ ...machine, session: 1, seq: ++this.seq, token: term, noticeS: null, tasks });
+      leader.onHeartbeat({
+        ...machine,
+        incarnation: 1,
+        sequence: ++this.seq,
+        fencingToken: term,
+        interruptionNoticeS: null,
+        tasks,
+      });
     }
     leader.afterBatch();
   }
--- a/test/jobs/leaderless.ts
+++ b/test/jobs/leaderless.ts
@@ -1,13 +1,13 @@
-import type { LeaderlessStep } from '../../src/leadership/election.ts';
-import type { StoreClient } from '../../src/store/client.ts';
+import type { LeaderlessWrite } from '../../src/leadership/election.ts';
+import type { KeyValueStore } from '../../src/store/client.ts';
 import { KEYS } from '../../src/store/keys.ts';
 
 /** A step that needs a leader's absence; the store decides whether there is one when its transaction arrives. */
-export function leaderlessStep(store: Pick<StoreClient, 'txn'>): LeaderlessStep {
+export function leaderlessWrite(store: Pick<KeyValueStore, 'compareAndSwap'>): LeaderlessWrite {
   return {
     term: 0,
     commit: (conditions, changes, urgency) =>
-      store.txn([{ key: KEYS.leader, version: 0 }, ...conditions], changes, urgency),
+      store.compareAndSwap([{ key: KEYS.leader, version: 0 }, ...conditions], changes, urgency),
     abandon: () => undefined,
   };
 }
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -123,7 +123,7 @@
       for (const { atMs, job } of requests) {
         sim.after(atMs, () => {
           const cameIn = sim.at;
-          void batched.ask(String(job)).then((answer) => {
+          void batched.poll(String(job)).then((answer) => {
             answered += 1;
             assert.ok(answer?.kind === 'status');
             assert.equal(answer.running, job);
@@ -145,7 +145,7 @@
   const batched = batcher(sim, batches, () => Promise.resolve(null));
   const answers: (PollAnswer | null)[] = [];
   sim.after(0, () => {
-    for (let i = 0; i < MOST_IN_BATCH + 10; i++) void batched.ask(String(i)).then((a) => answers.push(a));
+    for (let i = 0; i < MOST_IN_BATCH + 10; i++) void batched.poll(String(i)).then((a) => answers.push(a));
   });
   await sim.run(1000);
   assert.equal(answers.length, MOST_IN_BATCH + 10);
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -4,17 +4,17 @@
 import { Catalog } from '../../src/fleet/catalog.ts';
 import type { Answer } from '../../src/http/server.ts';
 import { UserRequests, type UserRequestDeps, type LocalLeader } from '../../src/jobs/user-requests.ts';
-import { FinalCache } from '../../src/jobs/finals.ts';
-import { MAX_FINDING_AGE_MS } from '../../src/jobs/knowledge.ts';
-import type { MeshReply, MeshRequest } from '../../src/mesh/frames.ts';
+import { TerminalStateCache } from '../../src/jobs/finals.ts';
+import { MAX_LOOKUP_AGE_MS } from '../../src/jobs/knowledge.ts';
+import type { PeerReply, PeerRequest } from '../../src/mesh/frames.ts';
 import { RateBudget } from '../../src/store/budget.ts';
-import type { StoreClient } from '../../src/store/client.ts';
+import type { KeyValueStore } from '../../src/store/client.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { Item } from '../../src/wire/state.ts';
 import { BIG, FakeClock } from '../helpers.ts';
 import { MemoryStore } from '../store/memory.ts';
 import { JOB } from '../wire/sample.ts';
-import { leaderlessStep } from './leaderless.ts';
+import { leaderlessWrite } from './leaderless.ts';
 
 const OPEN = { at: 0, job: JOB };
 const ID = 'req-000001';
@@ -34,37 +34,37 @@
       const known = KEYS.open(JOB.uid) in records;
       return Promise.resolve(known ? { kind: 'conflict', failed: [] } : { kind: 'ok', revision: 2 });
     },
-  } as unknown as StoreClient;
+  } as unknown as KeyValueStore;
   return userRequestsOver(store, { clock });
 }
 
-function userRequestsOver(store: StoreClient, over: Partial<UserRequestDeps> = {}): UserRequests {
+function userRequestsOver(store: KeyValueStore, over: Partial<UserRequestDeps> = {}): UserRequests {
   return new UserRequests({
     clock: new FakeClock(),
     options: defaultOptions(),
     store,
-    finals: new FinalCache(10),
+    terminalStates: new TerminalStateCache(10),
     submissions: new RateBudget(10, () => 0),
     teams: [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }],
     catalog: () => new Catalog([{ ...BIG, name: 'g8', cpus: 96, gpus: 8, memory: 768 }]),
     leader: () => null,
-    actAlone: () => Promise.resolve(null),
-    askLeader: () => Promise.resolve(null),
-    askOthers: () => Promise.resolve(null),
+    beginLeaderlessWrite: () => Promise.resolve(null),
+    callLeader: () => Promise.resolve(null),
+    callOthers: () => Promise.resolve(null),
     ...over,
   });
 }
 
 /** A controller that the state service refuses alone and that knows of no leader. */
-function refused(others: (request: MeshRequest) => MeshReply | null): {
+function refused(others: (request: PeerRequest) => PeerReply | null): {
   userRequests: UserRequests;
-  asked: MeshRequest[];
+  asked: PeerRequest[];
 } {
-  const asked: MeshRequest[] = [];
+  const asked: PeerRequest[] = [];
   const refuse = () => Promise.resolve({ kind: 'refused' as const });
-  const store = { get: refuse, txn: refuse } as unknown as StoreClient;
+  const store = { get: refuse, txn: refuse } as unknown as KeyValueStore;
   const userRequests = userRequestsOver(store, {
-    askOthers: (request) => {
+    callOthers: (request) => {
       asked.push(request);
       return Promise.resolve(others(request));
     },
@@ -121,13 +121,13 @@
     answer((reply) => {
       userRequests.poll(ID, reply);
     });
-  assert.ok(MAX_FINDING_AGE_MS < 2000, 'users wait for 2 s');
-  const late = MAX_FINDING_AGE_MS + 1;
+  assert.ok(MAX_LOOKUP_AGE_MS < 2000, 'users wait for 2 s');
+  const late = MAX_LOOKUP_AGE_MS + 1;
   const open = { [KEYS.open(ID)]: OPEN };
-  assert.equal((await poll(slow(open, MAX_FINDING_AGE_MS))).status, 200);
+  assert.equal((await poll(slow(open, MAX_LOOKUP_AGE_MS))).status, 200);
   assert.equal((await poll(slow(open, late))).status, 503);
   assert.equal((await poll(slow({}, late / 2))).status, 503, 'two reads that found nothing');
-  assert.equal((await poll(slow({ [KEYS.final(ID)]: { s: 'done', n: 16 } }, late))).status, 200);
+  assert.equal((await poll(slow({ [KEYS.archived(ID)]: { s: 'done', n: 16 } }, late))).status, 200);
 });
 
 test('a submission that was carried out but answered late is looked up before it is told', async () => {
@@ -136,7 +136,7 @@
       userRequests.submit(JSON.stringify(JOB), reply);
     });
   assert.equal((await submit(slow({}, 10))).status, 201);
-  const late = slow({ [KEYS.final(JOB.uid)]: { s: 'cancelled', n: 0 } }, MAX_FINDING_AGE_MS + 1);
+  const late = slow({ [KEYS.archived(JOB.uid)]: { s: 'cancelled', n: 0 } }, MAX_LOOKUP_AGE_MS + 1);
   const told = await submit(late);
   assert.deepEqual([told.status, (JSON.parse(told.body) as { stage: string }).stage], [200, 'aborted']);
 });
@@ -156,16 +156,16 @@
   const created: string[] = [];
   const leader = (): LocalLeader => ({
     term,
-    view: () => ({ kind: 'unknown' }),
+    lookup: () => ({ kind: 'unknown' }),
     cancel: () => false,
-    created: (id) => created.push(id),
+    observeOpenRecord: (id) => created.push(id),
   });
   const store = {
     get: (key: string) => {
       term = 3;
       return Promise.resolve({ kind: 'ok', value: { key, value: OPEN, version: 1, lease: null } });
     },
-  } as unknown as StoreClient;
+  } as unknown as KeyValueStore;
   const told = await answer((reply) => {
     userRequestsOver(store, { leader }).cancel(ID, reply);
   });
@@ -177,21 +177,21 @@
 function follower(
   store: MemoryStore,
   perSecond = 5,
-): { userRequests: UserRequests; clock: FakeClock; asked: MeshRequest[] } {
+): { userRequests: UserRequests; clock: FakeClock; asked: PeerRequest[] } {
   const clock = new FakeClock();
-  const asked: MeshRequest[] = [];
+  const asked: PeerRequest[] = [];
   const userRequests = new UserRequests({
     clock,
     options: defaultOptions(),
-    store: store as unknown as StoreClient,
-    finals: new FinalCache(1),
+    store: store as unknown as KeyValueStore,
+    terminalStates: new TerminalStateCache(1),
     submissions: new RateBudget(perSecond, () => clock.now()),
     teams: [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }],
     catalog: () => new Catalog([{ ...BIG, name: 'g8', cpus: 96, gpus: 8, memory: 768 }]),
     leader: () => null,
-    actAlone: () => Promise.resolve(leaderlessStep(store as unknown as StoreClient)),
-    askLeader: () => Promise.resolve(null),
-    askOthers: (request) => {
+    beginLeaderlessWrite: () => Promise.resolve(leaderlessWrite(store as unknown as KeyValueStore)),
+    callLeader: () => Promise.resolve(null),
+    callOthers: (request) => {
       asked.push(request);
       return Promise.resolve(null);
     },
@@ -232,7 +232,7 @@
     assert.equal(stage(cancelledAgain), 'aborted', place);
     const { value } = store.data.get(KEYS.open(jobId(1))) ?? { value: null };
     if (place === 'record') {
-      store.apply([], [{ delete: KEYS.open(jobId(1)) }, { put: KEYS.final(jobId(1)), value }]);
+      store.apply([], [{ delete: KEYS.open(jobId(1)) }, { put: KEYS.archived(jobId(1)), value }]);
     }
   }
 });
--- a/test/leader/harness.ts
+++ b/test/leader/harness.ts
@@ -3,14 +3,14 @@
 import { NameIndex } from '../../src/base/name-index.ts';
 import { Leader } from '../../src/leader/leader.ts';
 import { Catalog } from '../../src/fleet/catalog.ts';
-import { begunValue, openValue } from '../../src/jobs/records.ts';
+import { startWatermarksValue, openValue } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { LateWriteJob, LeaderWriter, WriteJob } from '../../src/store/writer.ts';
+import type { DeferredWrite, LeaderWriter, Write } from '../../src/store/writer.ts';
 import type { ListedMachine } from '../../src/wire/cloud.ts';
 import type { Item } from '../../src/wire/state.ts';
 import { decodeStoredJob, type JobRequest } from '../../src/wire/user.ts';
-import type { Command, Report, ReportedTask } from '../../src/wire/worker.ts';
-import type { OrderResult } from '../../src/workers/client.ts';
+import type { Command, Heartbeat, TaskStatus } from '../../src/wire/worker.ts';
+import type { CommandResult } from '../../src/workers/client.ts';
 import type { Machine } from '../../src/workers/machine.ts';
 import { SETTINGS } from '../config/sample.ts';
 import { BIG, FakeClock, silent } from '../helpers.ts';
@@ -25,12 +25,12 @@
   machine: string;
   session: number;
   commands: Command[];
-  answer: (result: OrderResult) => void;
+  answer: (result: CommandResult) => void;
 }
 
 /** A worker whose tasks run from the moment of their launch until the test ends them. */
 export class FakeWorker {
-  readonly tasks = new Map<string, ReportedTask>();
+  readonly tasks = new Map<string, TaskStatus>();
   session = 1;
   seq = 0;
   token = TERM;
@@ -42,23 +42,23 @@
     readonly zone: string,
   ) {}
 
-  put(t: ReportedTask): this {
+  put(t: TaskStatus): this {
     this.tasks.set(`${t.jobId}/${t.task}#${t.attempt}`, t);
     return this;
   }
 
-  report(): Report {
+  report(): Heartbeat {
     this.seq += 1;
-    const { session, seq, token } = this;
-    return reportOf(this.name, this.zone, { session, seq, token }, [...this.tasks.values()]);
+    const at = { incarnation: this.session, sequence: this.seq, fencingToken: this.token };
+    return reportOf(this.name, this.zone, at, [...this.tasks.values()]);
   }
 
-  execute(commands: readonly Command[]): Report {
+  execute(commands: readonly Command[]): Heartbeat {
     for (const c of commands) {
       const key = `${c.jobId}/${c.task}#${c.attempt}`;
       const known = this.tasks.get(key);
       if (c.op === 'start' && !known) this.put(task(c.jobId, c.task, c.attempt));
-      if (c.op === 'stop' && known) this.put({ ...known, phase: 'ended', cause: 'stopped' });
+      if (c.op === 'stop' && known) this.put({ ...known, phase: 'ended', exitReason: 'stopped' });
       if (c.op === 'forget' && known?.phase === 'ended') this.tasks.delete(key);
     }
     return this.report();
@@ -78,7 +78,7 @@
   readonly orders: SentOrder[] = [];
   /** Workers that carry orders out at once; orders to all others wait for the test. */
   readonly workers = new Map<string, FakeWorker>();
-  readonly inspected: { machine: string; answer: (report: Report | null) => void }[] = [];
+  readonly inspected: { machine: string; answer: (report: Heartbeat | null) => void }[] = [];
   readonly returned: string[] = [];
   /** What the cloud lists. */
   listed: ListedMachine[] = [];
@@ -92,10 +92,10 @@
       host: {
         clock: this.clock,
         log: silent,
-        surelyLeading: () => this.sure,
-        order: (machine: Machine, commands) =>
+        hasValidLease: () => this.sure,
+        sendCommands: (machine: Machine, commands) =>
           new Promise((answer) => {
-            this.orders.push({ machine: machine.name, session: machine.session, commands, answer });
+            this.orders.push({ machine: machine.name, session: machine.incarnation, commands, answer });
             const worker = this.workers.get(machine.name);
             if (worker) answer({ report: worker.execute(commands), executed: true });
           }),
@@ -105,18 +105,18 @@
             const worker = this.workers.get(machine.name);
             if (worker) answer(worker.report());
           }),
-        final: () => undefined,
-        isFinal: () => false,
-        endMayBeWritten: () => false,
-        post: (command) => {
+        onTerminalState: () => undefined,
+        isTerminal: () => false,
+        outcomeMayBeWritten: () => false,
+        enqueue: (command) => {
           command();
         },
         pause: () => new Promise(() => undefined),
         superseded: () => {
           this.superseded += 1;
         },
-        hearsNobody: () => undefined,
-        directReportAgeMs: () => 0,
+        lostAllWorkers: () => undefined,
+        directHeartbeatAgeMs: () => 0,
         lagMs: () => 0,
       },
       settings: SETTINGS as Settings,
@@ -134,7 +134,7 @@
         ready: () => true,
         catalog: () => Promise.resolve(null),
         rent: () => Promise.resolve({ kind: 'no_capacity' }),
-        giveBack: (names) => {
+        terminate: (names) => {
           if (this.cloudUp) this.returned.push(...names);
           return Promise.resolve(this.cloudUp);
         },
@@ -143,14 +143,14 @@
       writer: {
         backlog: 0,
         idle: false,
-        push: (job: WriteJob | LateWriteJob) => {
+        push: (job: Write | DeferredWrite) => {
           if ('build' in job) job.build();
           job.done();
         },
         stop: () => undefined,
       } as unknown as LeaderWriter,
       term: TERM,
-      graceMs: GRACE_MS,
+      heartbeatGraceMs: GRACE_MS,
     });
   }
 
@@ -158,11 +158,13 @@
   load(jobs: readonly JobRequest[], machines: readonly (readonly [name: string, zone: string])[]): void {
     const item = (key: string, value: unknown): Item => ({ key, value, version: 1, lease: null }) as Item;
     const m = machines.map(([name, zone]) => [name, `${name}:9000`, BIG.name, zone, false]);
-    this.leader.load({
+    this.leader.recover({
       open: jobs.map((job) => item(KEYS.open(job.id), openValue(job, this.clock.wall()))),
-      begun: [item(KEYS.begun(0), begunValue(new Map(jobs.map((job) => [job.id, job.tasks]))))],
-      finished: [],
-      roster: m.length > 0 ? [item(KEYS.machine(0), { m })] : [],
+      startWatermarks: [
+        item(KEYS.startWatermarks(0), startWatermarksValue(new Map(jobs.map((job) => [job.id, job.tasks])))),
+      ],
+      completions: [],
+      machineRegistry: m.length > 0 ? [item(KEYS.machineRegistry(0), { m })] : [],
     });
   }
 
@@ -177,7 +179,7 @@
     for (let step = 0; step < seconds * 5; step++) {
       this.clock.at += 200;
       for (const w of this.workers.values()) {
-        const commands = step % 5 === 0 && !w.mute ? this.leader.onReport(w.report()) : null;
+        const commands = step % 5 === 0 && !w.mute ? this.leader.onHeartbeat(w.report()) : null;
         if (commands) w.execute(commands);
       }
       this.leader.afterBatch();
@@ -215,17 +217,17 @@
   jobId: string,
   number: number,
   attempt: number,
-  over: Partial<ReportedTask> = {},
-): ReportedTask {
-  return { jobId, task: number, attempt, phase: 'running', cause: null, saved: false, ...over };
+  over: Partial<TaskStatus> = {},
+): TaskStatus {
+  return { jobId, task: number, attempt, phase: 'running', exitReason: null, checkpointed: false, ...over };
 }
 
 export function reportOf(
   machine: string,
   zone: string,
-  order: { session: number; seq: number; token: number },
-  tasks: ReportedTask[] = [],
-): Report {
+  at: { incarnation: number; sequence: number; fencingToken: number },
+  tasks: TaskStatus[] = [],
+): Heartbeat {
   const place = { machine, address: `${machine}:9000`, machineType: BIG.name, zone, spot: false };
-  return { ...place, ...order, noticeS: null, tasks };
+  return { ...place, ...at, interruptionNoticeS: null, tasks };
 }
--- a/test/leader/leader.test.ts
+++ b/test/leader/leader.test.ts
@@ -29,12 +29,14 @@
   assert.deepEqual(b.running(job.id), [0, 1], 'the lost machine may hold any of the others');
   await h.pass(2);
   assert.equal(b.running(job.id).length, 4);
-  const copy = reportOf('n-lost', 'a', { session: 3, seq: 40, token: OLD }, [task(job.id, 11, 1)]);
-  assert.deepEqual(h.leader.onReport(copy), []);
+  const copy = reportOf('n-lost', 'a', { incarnation: 3, sequence: 40, fencingToken: OLD }, [
+    task(job.id, 11, 1),
+  ]);
+  assert.deepEqual(h.leader.onHeartbeat(copy), []);
   // The tasks end one by one, so that there are always others in zone b.
   for (let round = 0; round < 6; round++) {
     const first = [...b.tasks.values()].find((t) => t.phase === 'running')!;
-    b.put({ ...first, phase: 'ended', cause: 'done' });
+    b.put({ ...first, phase: 'ended', exitReason: 'done' });
     await h.pass(3);
     assert.equal(a.running(job.id).length, 0);
     assert.equal(b.running(job.id).length, 4);
@@ -43,11 +45,11 @@
 
 test('a higher token in the answer to an order ends the leadership, one that comes after its end does not', async () => {
   // A node that leads again within a second once lost its new lead to what it heard about its old one.
-  const higher = reportOf('n-1', 'a', { session: 1, seq: 2, token: TERM + 1 });
+  const higher = reportOf('n-1', 'a', { incarnation: 1, sequence: 2, fencingToken: TERM + 1 });
   const ordered = async (): Promise<LeaderHarness> => {
     const h = new LeaderHarness();
     h.load([], [['n-1', 'a']]);
-    h.leader.onReport(reportOf('n-1', 'a', { session: 1, seq: 1, token: OLD }));
+    h.leader.onHeartbeat(reportOf('n-1', 'a', { incarnation: 1, sequence: 1, fencingToken: OLD }));
     await h.pass(6);
     return h;
   };
@@ -68,10 +70,10 @@
   const job = jobOf('req-000001');
   h.load([job], [['n-1', 'a']]);
   await h.pass(5);
-  const order = { session: 1, seq: 1, token: TERM + 1 };
+  const order = { incarnation: 1, sequence: 1, fencingToken: TERM + 1 };
   h.inspected[0]!.answer(reportOf('n-1', 'a', order, [task(job.id, 0, 9)]));
   await h.pass(1);
-  const view = h.leader.view(job.id);
+  const view = h.leader.lookup(job.id);
   assert.ok(view.kind === 'status');
   assert.equal(view.status.running, 0);
 });
@@ -80,7 +82,7 @@
   // Held back by the same cut, its requests once could end machines on which the next leader ran tasks.
   const h = new LeaderHarness();
   h.load([], [['n-1', 'a']]);
-  h.leader.onReport(reportOf('n-1', 'a', { session: 1, seq: 1, token: TERM }));
+  h.leader.onHeartbeat(reportOf('n-1', 'a', { incarnation: 1, sequence: 1, fencingToken: TERM }));
   const deaf = (): void => {
     for (const question of h.inspected.splice(0)) question.answer(null);
   };
@@ -102,12 +104,16 @@
   // With a state service that answers slowly, or not at all after the takeover, tasks once went on past cancel_s.
   const h = new LeaderHarness();
   const running = [task('req-000001', 0, 1)];
-  const report = (seq: number, token = OLD) => reportOf('n-1', 'a', { session: 1, seq, token }, running);
-  assert.equal(h.leader.onReport(report(1)), null);
-  assert.equal(h.leader.onReport(reportOf('n-2', 'a', { session: 1, seq: 1, token: OLD })), null);
+  const report = (seq: number, token = OLD) =>
+    reportOf('n-1', 'a', { incarnation: 1, sequence: seq, fencingToken: token }, running);
+  assert.equal(h.leader.onHeartbeat(report(1)), null);
+  assert.equal(
+    h.leader.onHeartbeat(reportOf('n-2', 'a', { incarnation: 1, sequence: 1, fencingToken: OLD })),
+    null,
+  );
   h.load([], [['n-1', 'a']]);
   const stop = { op: 'stop', jobId: 'req-000001', task: 0, attempt: 1, graceS: 0 };
-  assert.deepEqual(h.leader.onReport(report(2)), [stop], 'the job is not open any more');
+  assert.deepEqual(h.leader.onHeartbeat(report(2)), [stop], 'the job is not open any more');
 });
 
 test('what is left of an older attempt does not end the work of a newer one', async () => {
@@ -121,7 +127,9 @@
     machines.map((name) => [name, 'a']),
   );
   // A copy of an old report shows the first attempt of the array's task before its machine is heard.
-  h.leader.onReport(reportOf('n-1', 'a', { session: 1, seq: 1, token: OLD }, [task(array.id, 0, 3)]));
+  h.leader.onHeartbeat(
+    reportOf('n-1', 'a', { incarnation: 1, sequence: 1, fencingToken: OLD }, [task(array.id, 0, 3)]),
+  );
   h.worker('n-1', 'a').seq = 9;
   const ended = { phase: 'ended', cause: 'stopped' } as const;
   h.worker('n-2', 'a').put(task(gang.id, 0, 4, ended));
@@ -151,7 +159,7 @@
   worker.mute = true;
   await h.pass(8);
   const job = jobOf('req-000001', { loaves: 2 });
-  h.leader.created(job.id, openValue(job, h.clock.wall()));
+  h.leader.observeOpenRecord(job.id, openValue(job, h.clock.wall()));
   await h.pass(8);
   assert.ok(h.inspected.length > 0);
   assert.deepEqual(worker.running(job.id), []);
@@ -166,7 +174,8 @@
   const job = jobOf('req-000001', { loaves: 1 });
   h.load([], [['n-1', 'a']]);
   let seq = 0;
-  const report = () => h.leader.onReport(reportOf('n-1', 'a', { session: 1, seq: (seq += 1), token: TERM }));
+  const report = () =>
+    h.leader.onHeartbeat(reportOf('n-1', 'a', { incarnation: 1, sequence: (seq += 1), fencingToken: TERM }));
   const passReporting = async (seconds: number): Promise<boolean> => {
     let renewed = true;
     for (let s = 0; s < seconds; s++) {
@@ -176,7 +185,7 @@
     return renewed;
   };
   await passReporting(10);
-  h.leader.created(job.id, openValue(job, h.clock.wall()));
+  h.leader.observeOpenRecord(job.id, openValue(job, h.clock.wall()));
   await h.pass(1);
   assert.equal(h.orders[0]?.commands[0]?.op, 'start');
   h.orders[0].answer('silent');
@@ -187,10 +196,13 @@
   // If it is carried out all the same, the worker is told at once to stop it.
   const late = h.orders[0].commands[0];
   const started = task(job.id, 0, late.attempt);
-  const order = { session: 1, seq: (seq += 1), token: TERM };
-  assert.equal(h.leader.onReport(reportOf('n-1', 'a', order, [started]))?.[0]?.op, 'stop');
+  const order = { incarnation: 1, sequence: (seq += 1), fencingToken: TERM };
+  assert.equal(h.leader.onHeartbeat(reportOf('n-1', 'a', order, [started]))?.[0]?.op, 'stop');
   // Of a new session nothing can start any more.
-  assert.deepEqual(h.leader.onReport(reportOf('n-1', 'a', { session: 2, seq: 99, token: TERM })), []);
+  assert.deepEqual(
+    h.leader.onHeartbeat(reportOf('n-1', 'a', { incarnation: 2, sequence: 99, fencingToken: TERM })),
+    [],
+  );
 });
 
 test('a machine that comes up after it was given up takes no work while its return is due', async () => {
@@ -212,10 +224,10 @@
 test('a leader that has not read the state answers no report', () => {
   // Kept sure by promises through an outage it answered them all, without a stop for what had been cancelled before.
   const h = new LeaderHarness();
-  const report = reportOf('n-1', 'a', { session: 1, seq: 7, token: OLD });
-  assert.equal(h.leader.onReport(report), null);
+  const report = reportOf('n-1', 'a', { incarnation: 1, sequence: 7, fencingToken: OLD });
+  assert.equal(h.leader.onHeartbeat(report), null);
   h.load([], []);
-  assert.deepEqual(h.leader.onReport(report), []);
+  assert.deepEqual(h.leader.onHeartbeat(report), []);
 });
 
 test('a job that failed on the only machine that fits is tried there again within 90 s', async () => {
@@ -229,7 +241,7 @@
   await h.pass(15);
   assert.deepEqual(worker.running(job.id), [0]);
   const first = [...worker.tasks.values()].find((t) => t.jobId === job.id)!;
-  worker.put({ ...first, phase: 'ended', cause: 'error' });
+  worker.put({ ...first, phase: 'ended', exitReason: 'error' });
   await h.pass(10);
   assert.deepEqual(worker.running(job.id), [], 'another machine is waited for at first');
   await h.pass(75);
--- a/test/leader/standstill.test.ts
+++ b/test/leader/standstill.test.ts
@@ -11,15 +11,15 @@
 import type { Answer } from '../../src/http/server.ts';
 import { HttpClient, passingAgent } from '../../src/http/client.ts';
 import { UserRequests } from '../../src/jobs/user-requests.ts';
-import { FinalCache } from '../../src/jobs/finals.ts';
-import { finalValue, openValue } from '../../src/jobs/records.ts';
-import { validUntil } from '../../src/leadership/election.ts';
+import { TerminalStateCache } from '../../src/jobs/finals.ts';
+import { terminalValue, openValue } from '../../src/jobs/records.ts';
+import { renewalValidUntil } from '../../src/leadership/election.ts';
 import { RateBudget } from '../../src/store/budget.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import { LeaderWriter } from '../../src/store/writer.ts';
 import type { RentRequest } from '../../src/wire/cloud.ts';
 import { decodeJob } from '../../src/wire/user.ts';
-import type { Command, Report } from '../../src/wire/worker.ts';
+import type { Command, Heartbeat } from '../../src/wire/worker.ts';
 import { SETTINGS } from '../config/sample.ts';
 import { BIG, FakeClock, silent } from '../helpers.ts';
 import { JOB } from '../wire/sample.ts';
@@ -42,7 +42,7 @@
   readonly returned: string[] = [];
   /** The state service as all controllers see it. */
   readonly store = new Map<string, unknown>();
-  sureUntil = validUntil(0, TTL_MS);
+  sureUntil = renewalValidUntil(0, TTL_MS);
   readonly leader: Leader;
   readonly users: UserRequests;
   private seq = 0;
@@ -59,7 +59,7 @@
         const names = Array.from({ length: request.count }, (_, i) => `${request.request}-${i}`);
         return Promise.resolve({ kind: 'rented', names });
       },
-      giveBack: (names) => {
+      terminate: (names) => {
         this.returned.push(...names);
         return Promise.resolve(true);
       },
@@ -68,7 +68,7 @@
     const surelyLeading = (): boolean => this.clock.now() < this.sureUntil;
     const writer = new LeaderWriter(
       {
-        txn: () => Promise.resolve({ kind: 'ok', revision: 1 }),
+        compareAndSwap: () => Promise.resolve({ kind: 'ok', revision: 1 }),
         readFence: () => Promise.resolve(1),
         readLeader: () => Promise.resolve(1),
         lost: () => undefined,
@@ -85,24 +85,24 @@
       host: {
         clock: this.clock,
         log: silent,
-        surelyLeading,
-        order: (_machine, commands) => {
+        hasValidLease: surelyLeading,
+        sendCommands: (_machine, commands) => {
           this.note(commands);
           return Promise.resolve('silent');
         },
         // Questions stay without an answer: as they do from inside a cut.
         inspect: () => Promise.resolve(null),
-        final: () => undefined,
-        isFinal: () => false,
-        endMayBeWritten: () => false,
-        post: (command) => {
+        onTerminalState: () => undefined,
+        isTerminal: () => false,
+        outcomeMayBeWritten: () => false,
+        enqueue: (command) => {
           command();
         },
         pause: () => settle(),
         superseded: () => undefined,
         lagMs: () => 0,
-        hearsNobody: () => undefined,
-        directReportAgeMs: () => 0,
+        lostAllWorkers: () => undefined,
+        directHeartbeatAgeMs: () => 0,
       },
       settings,
       options,
@@ -112,7 +112,7 @@
       cloud,
       writer,
       term: TERM,
-      graceMs: 12_000,
+      heartbeatGraceMs: 12_000,
     });
     this.users = new UserRequests({
       clock: this.clock,
@@ -125,16 +125,16 @@
             value: value === undefined ? null : { key, value, version: 1, lease: null },
           });
         },
-        txn: () => Promise.resolve({ kind: 'conflict', failed: [KEYS.open(ID)] }),
+        compareAndSwap: () => Promise.resolve({ kind: 'conflict', failed: [KEYS.open(ID)] }),
       },
-      finals: new FinalCache(10),
+      terminalStates: new TerminalStateCache(10),
       submissions: new RateBudget(10, () => this.clock.now()),
       teams,
       catalog: () => catalog,
       leader: () => this.leader,
-      actAlone: () => Promise.resolve(null),
-      askLeader: () => Promise.resolve(null),
-      askOthers: () => Promise.resolve(null),
+      beginLeaderlessWrite: () => Promise.resolve(null),
+      callLeader: () => Promise.resolve(null),
+      callOthers: () => Promise.resolve(null),
     });
     const job = decodeJob(
       JSON.stringify({
@@ -150,7 +150,7 @@
     assert.ok(job.ok);
     this.store.set(KEYS.open(ID), openValue(job.value, this.clock.wall()));
     const open = [{ key: KEYS.open(ID), value: this.store.get(KEYS.open(ID)), version: 1, lease: null }];
-    this.leader.load({ open, finished: [], begun: [], roster: [] });
+    this.leader.recover({ open, completions: [], startWatermarks: [], machineRegistry: [] });
   }
 
   private note(commands: readonly Command[]): void {
@@ -158,18 +158,18 @@
   }
 
   /** A worker's own report, with what it was told to start before. */
-  report(machine = 'n-1', tasks: Report['tasks'] = [], session = 1): void {
+  report(machine = 'n-1', tasks: Heartbeat['tasks'] = [], session = 1): void {
     this.seq += 1;
-    const commands = this.leader.onReport({
+    const commands = this.leader.onHeartbeat({
       machine,
       address: '10.0.0.1:9000',
       machineType: 'big',
       zone: 'a',
       spot: false,
-      session,
-      seq: this.seq,
-      token: TERM,
-      noticeS: null,
+      incarnation: session,
+      sequence: this.seq,
+      fencingToken: TERM,
+      interruptionNoticeS: null,
       tasks,
     });
     if (commands) this.note(commands);
@@ -180,7 +180,7 @@
     const until = this.clock.at + ms;
     for (let next = 0; this.clock.at < until; next += 1) {
       this.clock.at += 200;
-      if (renewing) this.sureUntil = validUntil(this.clock.at, TTL_MS);
+      if (renewing) this.sureUntil = renewalValidUntil(this.clock.at, TTL_MS);
       if (renewing && next % 10 === 0) this.report();
       this.leader.afterBatch();
       for (let i = 0; i < 5; i++) await settle();
@@ -210,7 +210,7 @@
   const { starts, rentals } = { starts: site.starts.length, rentals: site.rentals.length };
   site.clock.at += STANDSTILL_MS;
   // What waited in its sockets comes first, then all timers at once; it goes on while nobody tells it better.
-  assert.deepEqual(site.leader.view(ID), { kind: 'unknown' });
+  assert.deepEqual(site.leader.lookup(ID), { kind: 'unknown' });
   assert.equal(
     site.leader.cancel(ID, () => assert.fail('it confirmed a cancellation')),
     false,
@@ -227,7 +227,7 @@
   const site = await busySite();
   site.clock.at += STANDSTILL_MS;
   site.store.delete(KEYS.open(ID));
-  site.store.set(KEYS.final(ID), finalValue('done', 8));
+  site.store.set(KEYS.archived(ID), terminalValue('done', 8));
   assert.equal((JSON.parse((await site.poll()).body) as { stage: string }).stage, 'done');
 });
 
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -1,12 +1,12 @@
 import { defaultOptions } from '../../src/config/options.ts';
 import { UserRequests } from '../../src/jobs/user-requests.ts';
-import { FinalCache } from '../../src/jobs/finals.ts';
+import { TerminalStateCache } from '../../src/jobs/finals.ts';
 import { openValue } from '../../src/jobs/records.ts';
 import { Election } from '../../src/leadership/election.ts';
-import type { PromiseRequest } from '../../src/leadership/promises.ts';
-import type { MeshReply, MeshRequest } from '../../src/mesh/frames.ts';
+import type { PeerLeaseRequest } from '../../src/leadership/promises.ts';
+import type { PeerReply, PeerRequest } from '../../src/mesh/frames.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { StoreClient } from '../../src/store/client.ts';
+import type { KeyValueStore } from '../../src/store/client.ts';
 import { decodeStoredJob, type JobStatus } from '../../src/wire/user.ts';
 import { silent } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
@@ -88,7 +88,7 @@
   }
 
   sure(): Controller | null {
-    return this.nodes.find((n) => n.election?.surelyLeading()) ?? null;
+    return this.nodes.find((n) => n.election?.hasValidLease()) ?? null;
   }
 
   followers(): Controller[] {
@@ -139,7 +139,7 @@
       clock,
       () => this.sim.random(),
       { ttlMs: leadership.lease_ms, renewMs: leadership.renew_ms },
-      { won: (l) => this.onWon(node, l.term), lost: () => undefined },
+      { acquired: (l) => this.onWon(node, l.term), lost: () => undefined },
       silent,
       (ms) => this.pause(node, alive, ms),
       (request) => this.askPromises(node, alive, request),
@@ -148,8 +148,8 @@
     node.userRequests = new UserRequests({
       clock,
       options: defaultOptions(),
-      store: store as unknown as StoreClient,
-      finals: new FinalCache(100),
+      store: store as unknown as KeyValueStore,
+      terminalStates: new TerminalStateCache(100),
       submissions: new RateBudget(1000, () => 0),
       teams: [],
       catalog: () => null,
@@ -157,18 +157,18 @@
         election.current()
           ? {
               term: election.current()?.term ?? 0,
-              view: () =>
-                election.surelyLeading() ? { kind: 'status', status: RUNNING } : { kind: 'unknown' },
+              lookup: () =>
+                election.hasValidLease() ? { kind: 'status', status: RUNNING } : { kind: 'unknown' },
               cancel: () => false,
-              created: () => undefined,
+              observeOpenRecord: () => undefined,
             }
           : null,
-      actAlone: (urgency) => election.actAlone(urgency),
-      askLeader: (request) => {
+      beginLeaderlessWrite: (urgency) => election.beginLeaderlessWrite(urgency),
+      callLeader: (request) => {
         const leader = this.nodes.find((n) => n.name === election.leader());
         return leader && leader !== node ? this.ask(node, leader, request) : Promise.resolve(null);
       },
-      askOthers: () => Promise.resolve(null),
+      callOthers: () => Promise.resolve(null),
     });
     election.start();
   }
@@ -198,7 +198,7 @@
   }
 
   /** A message to another controller and its answer, each delayed or lost; the dead and the stalled don't answer. */
-  private async ask(from: Controller, to: Controller, request: MeshRequest): Promise<MeshReply | null> {
+  private async ask(from: Controller, to: Controller, request: PeerRequest): Promise<PeerReply | null> {
     const delay = (): Promise<void> => this.sim.pause(this.sim.between(1, this.loss > 0 ? 400 : 20));
     await delay();
     if (!to.election || !to.userRequests || !this.connected(from, to) || this.sim.chance(this.loss))
@@ -206,12 +206,14 @@
     await this.sim.pause(Math.max(0, to.stalledUntil - this.sim.at));
     const { election, userRequests, life } = to;
     if (!election || !userRequests) return null;
-    const reply = await new Promise<MeshReply>((resolve) => {
+    const reply = await new Promise<PeerReply>((resolve) => {
       if (request.kind === 'promise')
-        void election.promise(request).then((given) => resolve({ kind: given ? 'promised' : 'unable' }));
+        void election
+          .grantPeerLease(request)
+          .then((given) => resolve({ kind: given ? 'promised' : 'unable' }));
       else if (request.kind === 'ping' || request.kind === 'workers') resolve({ kind: 'here' });
       else if (request.kind === 'polls') resolve({ kind: 'unable' });
-      else userRequests.onMesh(request, resolve);
+      else userRequests.onPeerRequest(request, resolve);
     });
     await delay();
     return to.life === life && this.connected(from, to) && !this.sim.chance(this.loss) ? reply : null;
@@ -220,7 +222,7 @@
   private async askPromises(
     node: Controller,
     alive: () => boolean,
-    request: PromiseRequest,
+    request: PeerLeaseRequest,
   ): Promise<boolean[]> {
     const others = this.nodes.filter((n) => n !== node);
     const replies = others.map((n) => {
@@ -238,21 +240,21 @@
    * T; and it answers reports no longer than the grace after a cancellation that was confirmed without it.
    */
   private check(): void {
-    const sure = this.nodes.filter((n) => n.election?.surelyLeading());
+    const sure = this.nodes.filter((n) => n.election?.hasValidLease());
     if (sure.length > 1) this.fail(`${sure.map((n) => n.name).join(' and ')} both lead`);
     for (const node of this.nodes) {
       const term = node.election?.current()?.term;
       if (!node.election || term === undefined) continue;
-      if (node.election.surelyLeading() && this.store.term() > term) {
+      if (node.election.hasValidLease() && this.store.term() > term) {
         this.fail(`${node.name} surely leads term ${term} after ${this.store.term()} was won`);
       }
       const step = this.store.steps.find((s) => s.kind === 'cancel' && s.term >= term);
       if (!step) continue;
-      if (node.election.surelyLeading()) {
+      if (node.election.hasValidLease()) {
         this.fail(`${node.name} surely leads term ${term} after a cancellation without it`);
       }
       const sinceMs = this.sim.at - step.at;
-      if (node.election.unsureForMs() <= GRACE_MS && sinceMs > GRACE_MS * 1.002) {
+      if (node.election.msSinceLeaseExpiry() <= GRACE_MS && sinceMs > GRACE_MS * 1.002) {
         this.fail(`${node.name} answers reports ${Math.round(sinceMs)} ms after a cancellation without it`);
       }
     }
--- a/test/leadership/election.test.ts
+++ b/test/leadership/election.test.ts
@@ -63,7 +63,7 @@
       node.peersLostUntil = until;
       break;
     case 'yield':
-      node.election?.yieldFor(t.ms, 'generated');
+      node.election?.stepDownFor(t.ms, 'generated');
       break;
     case 'slow':
       for (const n of c.nodes) {
@@ -92,7 +92,7 @@
 /** Whoever leads leaves the lead to the others, again and again. */
 function keepHandingOver(c: Controllers, everyMs: number, untilMs: number): void {
   const next = (): void => {
-    c.nodes.find((n) => n.election?.current())?.election?.yieldFor(3000, 'hands over');
+    c.nodes.find((n) => n.election?.current())?.election?.stepDownFor(3000, 'hands over');
     if (c.sim.at < untilMs) c.sim.after(everyMs, next);
   };
   c.sim.after(everyMs, next);
@@ -186,7 +186,7 @@
     () => sim.random(),
     { ttlMs: leadership.lease_ms, renewMs: leadership.renew_ms },
     {
-      won: () => {
+      acquired: () => {
         won += 1;
         node.answerMs = leadership.lease_ms * 0.45;
       },
@@ -198,7 +198,7 @@
   election.start();
   let unsure = 0;
   const watch = (): void => {
-    if (won > 0 && !election.surelyLeading()) unsure += 1;
+    if (won > 0 && !election.hasValidLease()) unsure += 1;
     sim.after(20, watch);
   };
   sim.after(20, watch);
--- a/test/leadership/grace.test.ts
+++ b/test/leadership/grace.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import { cancellationBoundS, cancellationCanHold, reportGraceMs } from '../../src/leadership/grace.ts';
+import { cancellationBoundS, cancellationCanHold, heartbeatGraceMs } from '../../src/leadership/grace.ts';
 import { SEED } from '../helpers.ts';
 
 test('grace and lease together stay within the time of a cancellation, whatever the settings', () => {
@@ -11,7 +11,7 @@
     fc.property(seconds, seconds, seconds, (wantedS, leaseS, beyondS) => {
       for (const cancelS of [leaseS + beyondS, leaseS * (1.0011 + beyondS / 1e6)]) {
         const times = { cancelS, leaseS };
-        const graceMs = reportGraceMs(wantedS, times);
+        const graceMs = heartbeatGraceMs(wantedS, times);
         assert.ok(graceMs >= 0 && graceMs <= wantedS * 1000, `grace of ${graceMs} ms`);
         if (!cancellationCanHold(times)) assert.equal(graceMs, 0);
         else assert.ok(cancellationBoundS(graceMs, times) <= cancelS + 1e-9, `${graceMs} ms`);
@@ -20,6 +20,6 @@
     { seed: SEED, numRuns: 500 },
   );
   assert.equal(cancellationCanHold({ cancelS: 31, leaseS: 31 }), false);
-  assert.equal(reportGraceMs(12, { cancelS: 30, leaseS: 31 }), 0);
-  assert.equal(reportGraceMs(12, { cancelS: 100, leaseS: 31 }), 12_000);
+  assert.equal(heartbeatGraceMs(12, { cancelS: 30, leaseS: 31 }), 0);
+  assert.equal(heartbeatGraceMs(12, { cancelS: 100, leaseS: 31 }), 12_000);
 });
--- a/test/leadership/lease-model.ts
+++ b/test/leadership/lease-model.ts
@@ -1,8 +1,8 @@
 import type { LeaseStore } from '../../src/leadership/election.ts';
-import { readFinal } from '../../src/jobs/records.ts';
+import { readTerminal } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { StoreResult, TxnResult } from '../../src/store/client.ts';
-import type { Change, Condition } from '../../src/wire/state.ts';
+import type { StoreResult, CompareAndSwapResult } from '../../src/store/client.ts';
+import type { Mutation, Condition } from '../../src/wire/state.ts';
 import type { Sim } from '../model/sim.ts';
 
 interface Entry {
@@ -75,7 +75,7 @@
   jobRecord(id: string): 'none' | 'open' | 'final' {
     const record = this.data.get(KEYS.open(id));
     if (!record) return 'none';
-    return readFinal(record.value) ? 'final' : 'open';
+    return readTerminal(record.value) ? 'final' : 'open';
   }
 
   put(key: string, value: unknown): void {
@@ -83,7 +83,7 @@
     this.data.set(key, { value, version: this.revision, lease: null });
   }
 
-  private apply(conditions: readonly Condition[], changes: readonly Change[]): TxnResult {
+  private apply(conditions: readonly Condition[], changes: readonly Mutation[]): CompareAndSwapResult {
     this.expire();
     const failed = conditions
       .filter((c) => (this.data.get(c.key)?.version ?? 0) !== c.version)
@@ -133,25 +133,25 @@
           const e = this.data.get(key);
           return { kind: 'ok' as const, value: e ? { key, ...e } : null };
         }),
-      txn: (conditions, changes) => {
+      compareAndSwap: (conditions, changes) => {
         const holdMs = node.holdNextTxnMs ?? null;
         node.holdNextTxnMs = null;
         return call(() => this.apply(conditions, changes), holdMs);
       },
-      grant: (ttl) =>
+      grantLease: (ttl) =>
         call(() => {
           this.leases += 1;
           this.ends.set(this.leases, { at: sim.at + ttl, ttl });
           return { kind: 'ok' as const, value: this.leases };
         }),
-      renew: (id) =>
+      renewLease: (id) =>
         call((): StoreResult<boolean> => {
           this.expire();
           const lease = this.ends.get(id);
           if (lease) lease.at = sim.at + lease.ttl;
           return { kind: 'ok', value: lease !== undefined };
         }),
-      revoke: async (id) => {
+      revokeLease: async (id) => {
         const result = await call(() => {
           this.end(id);
           return { kind: 'ok' as const };
--- a/test/leadership/promises.test.ts
+++ b/test/leadership/promises.test.ts
@@ -34,7 +34,7 @@
   let sure = 0;
   for (let i = 0; i < samples; i++) {
     await c.run(STEP_MS);
-    if (node.election?.surelyLeading()) sure += 1;
+    if (node.election?.hasValidLease()) sure += 1;
   }
   return sure / samples;
 }
@@ -42,7 +42,7 @@
 /** The state service refuses the leader alone until its lease is over; nobody stands in its place. */
 async function lapsed(c: Controllers, leader: Controller): Promise<void> {
   leader.refusedUntil = c.sim.at + LONG_MS;
-  for (const node of c.followers()) node.election!.yieldFor(LONG_MS, 'rests');
+  for (const node of c.followers()) node.election!.stepDownFor(LONG_MS, 'rests');
   await until(c, 'the leader key is gone', () => !c.store.hasLeader());
 }
 
@@ -112,7 +112,7 @@
 test('... nor after a newer leader was there, ended, and all others are back', async () => {
   const { c, leader, others } = await started();
   leader.refusedUntil = c.sim.at + LONG_MS;
-  others[1].election!.yieldFor(LONG_MS, 'rests');
+  others[1].election!.stepDownFor(LONG_MS, 'rests');
   await until(c, 'another leads', () => c.sure() === others[0]);
   c.store.outage(LONG_MS);
   c.crash(others[0], 500);
@@ -127,10 +127,10 @@
   others[0].holdNextTxnMs = 12_000;
   c.cancel(others[0], JOB_ID);
   await c.run(150);
-  others[1].election!.yieldFor(0, 'stands');
+  others[1].election!.stepDownFor(0, 'stands');
   await until(c, 'the third leads', () => c.sure() === others[1]);
   await c.run(1500);
-  others[1].election!.yieldFor(LONG_MS, 'rests');
+  others[1].election!.stepDownFor(LONG_MS, 'rests');
   await c.run(12_000);
   assert.ok(!c.store.hasLeader(), 'nobody leads');
   assert.equal(c.store.jobRecord(JOB_ID), 'open', 'the job is still open');
@@ -183,7 +183,7 @@
     { now: () => sim.at, wall: () => sim.at },
     () => sim.random(),
     { ttlMs: leadership.lease_ms, renewMs: leadership.renew_ms },
-    { won: () => undefined, lost: () => undefined },
+    { acquired: () => undefined, lost: () => undefined },
     silent,
     (ms) => sim.pause(ms),
     async ({ continuous }) => {
@@ -199,7 +199,7 @@
   assert.equal(asked[0], true);
   for (let at = 9000; at < 20_000; at += 20) {
     await sim.run(at);
-    assert.equal(election.surelyLeading(), false);
+    assert.equal(election.hasValidLease(), false);
   }
   assert.equal(asked.at(-1), false);
 });
@@ -222,7 +222,7 @@
   await c.run(4000);
   leader.stalledUntil = c.sim.at + 6000;
   await c.run(6000);
-  assert.equal(leader.election!.surelyLeading(), false);
+  assert.equal(leader.election!.hasValidLease(), false);
   await c.run(1000);
   assert.equal(await sureShare(c, leader, 10_000), 1);
   // A step that surely wasn't carried out says nothing against it either.
@@ -247,7 +247,7 @@
 test('who wins without knowing ends that leadership, whenever the transaction is carried out', async () => {
   for (const holdMs of [0, 500, 1490, 1600, 4000]) {
     const { c, leader, others } = await started();
-    others[1].election!.yieldFor(LONG_MS, 'rests');
+    others[1].election!.stepDownFor(LONG_MS, 'rests');
     others[0].holdNextTxnMs = holdMs;
     c.crash(leader, LONG_MS);
     await until(c, 'it leads in the end', () => c.sure() === others[0], 15_000);
@@ -269,7 +269,7 @@
 
 test('a leadership whose win was answered after its lease is not sure, and ends', async () => {
   const { c, leader, others } = await started();
-  others[1].election!.yieldFor(20_000, 'rests');
+  others[1].election!.stepDownFor(20_000, 'rests');
   c.crash(leader, LONG_MS);
   await until(c, 'nobody leads', () => !c.store.hasLeader());
   others[0].answerMs = 1400;
--- a/test/mesh/connectivity.test.ts
+++ b/test/mesh/connectivity.test.ts
@@ -15,21 +15,21 @@
   const reach = new Connectivity({
     clock,
     storeServedAt: () => servedAt,
-    askStore: () => {
+    probeStore: () => {
       if (there.store) servedAt = clock.at;
       return Promise.resolve();
     },
-    askPeers: () => Promise.resolve(there.peers),
+    probePeers: () => Promise.resolve(there.peers),
   });
   for (let s = 0; s < seconds; s++) {
     clock.at += 1000;
     await reach.check();
   }
-  const cut = reach.cutOff();
+  const cut = reach.isIsolated();
   there = { store: true, peers: true };
   clock.at += 1000;
   await reach.check();
-  return { cut, back: !reach.cutOff() };
+  return { cut, back: !reach.isIsolated() };
 }
 
 test('only a node that reaches neither the state service nor any other controller is cut off', async () => {
--- a/test/mesh/frames.test.ts
+++ b/test/mesh/frames.test.ts
@@ -2,8 +2,8 @@
 import { connect } from 'node:net';
 import test from 'node:test';
 import fc from 'fast-check';
-import { encodeFrame, FrameReader, MAX_FRAME, type MeshFrame } from '../../src/mesh/frames.ts';
-import { Mesh } from '../../src/mesh/mesh.ts';
+import { encodeFrame, FrameReader, MAX_FRAME, type PeerFrame } from '../../src/mesh/frames.ts';
+import { PeerRpc } from '../../src/mesh/mesh.ts';
 import { SEED, silent } from '../helpers.ts';
 
 const id = fc.integer({ min: 0, max: 2 ** 40 });
@@ -15,7 +15,7 @@
   running: fc.nat(),
 });
 const unanswered = fc.record({ kind: fc.constantFrom('unknown' as const, 'unable' as const) });
-const frame: fc.Arbitrary<MeshFrame> = fc.oneof(
+const frame: fc.Arbitrary<PeerFrame> = fc.oneof(
   fc.record({
     id,
     request: fc.oneof(
@@ -63,7 +63,7 @@
     fc.property(fc.array(frame, { maxLength: 5 }), fc.integer({ min: 1, max: 40 }), (frames, step) => {
       const bytes = Buffer.concat(frames.map(encodeFrame));
       const reader = new FrameReader();
-      const got: MeshFrame[] = [];
+      const got: PeerFrame[] = [];
       for (let at = 0; at < bytes.length; at += step) got.push(...reader.push(bytes.subarray(at, at + step)));
       assert.deepEqual(JSON.parse(JSON.stringify(got)), JSON.parse(JSON.stringify(frames)));
     }),
@@ -79,10 +79,10 @@
 });
 
 test('a bad frame closes its own connection and nothing else', async () => {
-  const server = new Mesh([], (_request, reply) => reply({ kind: 'unknown' }), silent);
+  const server = new PeerRpc([], (_request, reply) => reply({ kind: 'unknown' }), silent);
   await server.listen('127.0.0.1:0');
-  const client = new Mesh([{ name: 'n', address: `127.0.0.1:${server.port()}` }], () => undefined, silent);
-  assert.deepEqual(await client.ask('n', { kind: 'poll', jobId: 'x' }, 5000), { kind: 'unknown' });
+  const client = new PeerRpc([{ name: 'n', address: `127.0.0.1:${server.port()}` }], () => undefined, silent);
+  assert.deepEqual(await client.call('n', { kind: 'poll', jobId: 'x' }, 5000), { kind: 'unknown' });
   await new Promise<void>((resolve) => {
     const bad = connect(server.port(), '127.0.0.1', () => bad.write(Buffer.alloc(8, 255)));
     bad.on('close', () => {
@@ -90,8 +90,8 @@
     });
     bad.on('error', () => undefined);
   });
-  assert.deepEqual(await client.ask('n', { kind: 'cancel', jobId: 'x' }, 5000), { kind: 'unknown' });
-  assert.equal(await client.ask('nobody', { kind: 'poll', jobId: 'x' }, 5000), null);
+  assert.deepEqual(await client.call('n', { kind: 'cancel', jobId: 'x' }, 5000), { kind: 'unknown' });
+  assert.equal(await client.call('nobody', { kind: 'poll', jobId: 'x' }, 5000), null);
   client.close();
   server.close();
 });
--- a/test/model/state.ts
+++ b/test/model/state.ts
@@ -1,6 +1,6 @@
-import type { TxnResult } from '../../src/store/client.ts';
+import type { CompareAndSwapResult } from '../../src/store/client.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { Change, Condition, Item, WatchEvent } from '../../src/wire/state.ts';
+import type { Mutation, Condition, Item, WatchEvent } from '../../src/wire/state.ts';
 import type { Sim } from './sim.ts';
 
 /** The state service: strong consistency, a lease on the leader key, and answers that get lost. */
@@ -59,7 +59,7 @@
     return this.data.has(KEYS.leader);
   }
 
-  apply(conditions: readonly Condition[], changes: readonly Change[]): TxnResult {
+  apply(conditions: readonly Condition[], changes: readonly Mutation[]): CompareAndSwapResult {
     this.expire();
     this.changes += changes.length;
     const failed = conditions
@@ -85,9 +85,9 @@
   /** A transaction over the network: it may be refused, lost on the way back, or carried out minutes late. */
   async txn(
     conditions: readonly Condition[],
-    changes: readonly Change[],
+    changes: readonly Mutation[],
     reachable: () => boolean,
-  ): Promise<TxnResult> {
+  ): Promise<CompareAndSwapResult> {
     await this.sim.pause(this.sim.between(2, 30));
     if (this.down || !reachable()) return { kind: 'refused' };
     if (this.sim.chance(0.02)) {
--- a/test/relay/report-relay.test.ts
+++ b/test/relay/report-relay.test.ts
@@ -2,15 +2,15 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import type { Answer } from '../../src/http/server.ts';
-import { encodeFrame, FrameReader, MAX_FRAME, type JudgedReport } from '../../src/mesh/frames.ts';
-import { MOST_AGE_MS, ReportRelay, type BatchAnswer } from '../../src/relay/report-relay.ts';
-import { WorkerShares, workersCarried } from '../../src/relay/worker-shares.ts';
+import { encodeFrame, FrameReader, MAX_FRAME, type HeartbeatResponse } from '../../src/mesh/frames.ts';
+import { MOST_AGE_MS, HeartbeatRelay, type RelayReply } from '../../src/relay/report-relay.ts';
+import { WorkerBalancer, workerCapacity } from '../../src/relay/worker-shares.ts';
 import { SEED } from '../helpers.ts';
 
 interface Batch {
   leader: string;
   reports: string[];
-  answer(answer: BatchAnswer | null): void;
+  answer(answer: RelayReply | null): void;
 }
 
 /** A relay on a clock of its own, whose batches the test answers. */
@@ -19,7 +19,7 @@
   leader: string | null = 'one';
   readonly batches: Batch[] = [];
   private timers: { at: number; run: () => void }[] = [];
-  readonly relay = new ReportRelay({
+  readonly relay = new HeartbeatRelay({
     now: () => this.at,
     after: (ms, run) => this.timers.push({ at: this.at + ms, run }),
     leader: () => this.leader,
@@ -44,7 +44,7 @@
   }
 }
 
-const judgedLike = (reports: readonly string[]): JudgedReport[] =>
+const judgedLike = (reports: readonly string[]): HeartbeatResponse[] =>
   reports.map((body) => ({ status: 200, body: `for ${body}` }));
 
 test('every report gets the answer to itself, in batches that fit a frame', async () => {
@@ -177,13 +177,13 @@
 
 test('workers are shared out only with more of them than a leader carries, and no follower gets most', () => {
   let now = 0;
-  const carried = workersCarried({ reportsPerCoreS: 2500, cores: 0.085, reportS: 5 });
+  const carried = workerCapacity({ reportsPerCoreS: 2500, cores: 0.085, reportS: 5 });
   assert.equal(carried, 1062);
-  const few = new WorkerShares(() => now, carried, 5000);
+  const few = new WorkerBalancer(() => now, carried, 5000);
   for (let i = 0; i < 1062; i++) assert.equal(few.referTo(1062), null);
   assert.equal(few.relay(1062), false);
   // 4,000 workers that all begin at the leader, each with a report in five seconds.
-  const shares = new WorkerShares(() => now, carried, 5000);
+  const shares = new WorkerBalancer(() => now, carried, 5000);
   const at = new Map<number, string>();
   for (let turn = 0; turn < 12; turn++) {
     for (let worker = 0; worker < 4000; worker++) {
