--- a/test/scheduling/round.test.ts
+++ b/test/scheduling/round.test.ts
@@ -2,8 +2,8 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { runRound, type RoundOptions } from '../../src/scheduling/round.ts';
-import { pickVictims, type VictimView } from '../../src/scheduling/preempt.ts';
-import { mergeLeaving, takeRoom, type MachineView, type Room } from '../../src/scheduling/view.ts';
+import { selectVictims, type PreemptionCandidate } from '../../src/scheduling/preempt.ts';
+import { mergeReleases, allocate, type MachineSnapshot, type Resources } from '../../src/scheduling/view.ts';
 import { group, machine, option, SEED } from '../helpers.ts';
 
 const OPTIONS: RoundOptions = {
@@ -17,7 +17,7 @@
   warmSteps: 6,
   rentRound: 0,
 };
-const SIZE: Room = { cpus: 4, gpus: 0, memory: 16 };
+const SIZE: Resources = { cpus: 4, gpus: 0, memory: 16 };
 const FREE_TEAM = [{ cpus: Infinity, gpus: Infinity }];
 const sizeOf = () => SIZE;
 
@@ -66,7 +66,7 @@
           zoneCap: g.spread ? Math.ceil(g.pending / 2) : Infinity,
         }),
       );
-      const views: MachineView[] = ms.map((m, i) =>
+      const views: MachineSnapshot[] = ms.map((m, i) =>
         machine({ machine: i, zone: m.zone, spot: m.spot, free: { cpus: m.cpus, gpus: 0, memory: 16 } }),
       );
       const teams = [
@@ -81,7 +81,7 @@
       for (const p of result.placements) {
         const g = groupViews[p.job]!;
         const m = views[p.machine]!;
-        takeRoom(free[p.machine]!, g.need, p.count);
+        allocate(free[p.machine]!, g.need, p.count);
         perJob.set(p.job, (perJob.get(p.job) ?? 0) + p.count);
         if (g.team === 0) team0 += g.need.cpus * p.count;
         assert.ok(g.spot || !m.spot, 'spot machine');
@@ -117,7 +117,7 @@
       [1, 3],
     ]),
   );
-  assert.deepEqual([two.placements.length, two.rents.size, two.unplaced.size], [0, 0, 0]);
+  assert.deepEqual([two.placements.length, two.demand.size, two.unplaced.size], [0, 0, 0]);
 });
 
 test('the more urgent group gets the room that is there, though both could rent', () => {
@@ -126,14 +126,14 @@
   const views = [machine({ free: { cpus: 1, gpus: 0, memory: 4 } })];
   const result = runRound(groups, views, [option()], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(result.placements, [{ job: 1, machine: 0, count: 1 }]);
-  assert.equal(result.rents.get(0), 1);
+  assert.equal(result.demand.get(0), 1);
 });
 
 test('a machine takes tasks of several groups in one round', () => {
   // Its arc to the sink once carried only as many as the largest group, and machines were rented for the rest.
   const groups = [0, 1].map((job) => group({ job, pending: 2 }));
   const booting = runRound(groups, [machine({ bootsInS: 5 })], [option()], FREE_TEAM, sizeOf, OPTIONS);
-  assert.equal(booting.rents.size, 0);
+  assert.equal(booting.demand.size, 0);
   const present = runRound(groups, [machine()], [option()], FREE_TEAM, sizeOf, OPTIONS);
   assert.equal(present.placements.length, 2);
 });
@@ -160,14 +160,21 @@
   assert.equal(place({}), 1);
   assert.equal(place({ quick: true }), 0);
   assert.equal(
-    runRound([group({ expected: true, quick: true })], views, [], FREE_TEAM, sizeOf, OPTIONS).held.has(0),
+    runRound(
+      [group({ expected: true, latencySensitive: true })],
+      views,
+      [],
+      FREE_TEAM,
+      sizeOf,
+      OPTIONS,
+    ).held.has(0),
     true,
   );
 });
 
 test('a job for which room is being made on a machine waits for that one, and nobody else takes it', () => {
   const views = [machine({ machine: 0 }), machine({ machine: 1, load: 2 })];
-  const groups = [group({ job: 0, only: 1, priority: 2 }), group({ job: 1, pending: 8 })];
+  const groups = [group({ job: 0, nominatedMachine: 1, priority: 2 }), group({ job: 1, pending: 8 })];
   const result = runRound(groups, views, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(
     result.placements.map((p) => [p.job, p.machine]),
@@ -205,13 +212,13 @@
   const views = [
     machine({
       free: { cpus: 0, gpus: 0, memory: 0 },
-      leaving: [{ inS: 40, room: { cpus: 4, gpus: 0, memory: 16 } }],
+      releases: [{ inS: 40, room: { cpus: 4, gpus: 0, memory: 16 } }],
     }),
   ];
   const hasty = runRound([group()], views, [option()], FREE_TEAM, sizeOf, OPTIONS);
-  assert.equal(hasty.rents.get(0), 1);
-  const patient = runRound([group({ patienceS: 30 })], views, [option()], FREE_TEAM, sizeOf, OPTIONS);
-  assert.equal(patient.rents.size, 0);
+  assert.equal(hasty.demand.get(0), 1);
+  const patient = runRound([group({ maxQueueingDelayS: 30 })], views, [option()], FREE_TEAM, sizeOf, OPTIONS);
+  assert.equal(patient.demand.size, 0);
   assert.equal(patient.awaiting.get(0), 1);
 });
 
@@ -235,7 +242,7 @@
     pending: 3,
     need,
     waitedMs: 20_000,
-    roomMade: new Set([0, 1]),
+    reservedMachines: new Set([0, 1]),
   });
   const full = views.map((v) => (v.machine === 2 ? { ...v, free: { cpus: 0, gpus: 0, memory: 0 } } : v));
   const old = group({ job: 1, waitedMs: 61_000 });
@@ -250,7 +257,7 @@
     3,
   );
   const others = runRound(
-    [{ ...gang, roomMade: new Set() }, old, young],
+    [{ ...gang, reservedMachines: new Set() }, old, young],
     full,
     [],
     FREE_TEAM,
@@ -268,7 +275,7 @@
   ];
   const need = { cpus: 4, gpus: 0, memory: 1 };
   const gang = group({ gang: true, priority: 2, pending: 2, need });
-  const victimsOn = (index: number): VictimView<string>[] =>
+  const victimsOn = (index: number): PreemptionCandidate<string>[] =>
     index === 0
       ? []
       : [
@@ -283,14 +290,14 @@
           },
         ];
   const counted = new Set<number>();
-  const chosen = pickVictims(gang, 2, views, victimsOn, FREE_TEAM, Infinity, new Map(), counted);
+  const chosen = selectVictims(gang, 2, views, victimsOn, FREE_TEAM, Infinity, new Map(), counted);
   assert.deepEqual(chosen, ['t1']);
   assert.deepEqual([...counted], [0, 1]);
 });
 
 test('victims are taken only for what then fits, and not while room is being made', () => {
   const views = [machine({ free: { cpus: 0, gpus: 0, memory: 8 } })];
-  const victim = (over: Partial<VictimView<string>>): VictimView<string> => ({
+  const victim = (over: Partial<PreemptionCandidate<string>>): PreemptionCandidate<string> => ({
     item: 'a',
     priority: 1,
     team: 0,
@@ -301,8 +308,8 @@
     ...over,
   });
   const urgent = group({ priority: 2, need: { cpus: 4, gpus: 0, memory: 1 } });
-  const pick = (list: VictimView<string>[]) =>
-    pickVictims(urgent, 1, views, () => list, FREE_TEAM, Infinity, new Map());
+  const pick = (list: PreemptionCandidate<string>[]) =>
+    selectVictims(urgent, 1, views, () => list, FREE_TEAM, Infinity, new Map());
   assert.deepEqual(pick([victim({}), victim({ item: 'b' })]), ['a', 'b']);
   assert.deepEqual(pick([victim({})]), [], 'one alone frees too little');
   assert.deepEqual(pick([victim({ priority: 2 }), victim({ item: 'b', priority: 2 })]), [], 'equal rank');
@@ -329,7 +336,7 @@
   });
   fc.assert(
     fc.property(shape, ({ groups, machines }) => {
-      const views = (): MachineView[] =>
+      const views = (): MachineSnapshot[] =>
         machines.map((m, i) =>
           machine({ machine: i, load: m.load, free: { cpus: m.cpus, gpus: 0, memory: 16 } }),
         );
@@ -343,7 +350,12 @@
           }),
         );
         // Who avoids machines sees each of them by itself.
-        const picky = group({ job: 99, pending: 1, avoid: new Set(machines.map((_, i) => i)), priority: 0 });
+        const picky = group({
+          job: 99,
+          pending: 1,
+          excludedMachines: new Set(machines.map((_, i) => i)),
+          priority: 0,
+        });
         const result = runRound(apart ? [...gs, picky] : gs, views(), [], FREE_TEAM, sizeOf, OPTIONS);
         const load = machines.map((m) => m.load);
         let sum = 0;
@@ -414,7 +426,7 @@
             machine: i,
             zone: i % 2,
             free: until > t ? { cpus: 0, gpus: 0, memory: 12 } : { cpus: 4, gpus: 0, memory: 16 },
-            leaving: until > t ? [{ inS: until - t, room: need }] : [],
+            releases: until > t ? [{ inS: until - t, room: need }] : [],
             load: until > t ? 1 : 0,
           }),
         );
@@ -507,7 +519,7 @@
   ];
   const work = group({ pending: 50, need: { cpus: 1, gpus: 0, memory: 1 } });
   const placed = (guest: boolean): Map<number, number> => {
-    const found = runRound([{ ...work, guest }], machines, [], FREE_TEAM, sizeOf, OPTIONS);
+    const found = runRound([{ ...work, bestEffort: guest }], machines, [], FREE_TEAM, sizeOf, OPTIONS);
     return new Map(found.placements.map((p) => [p.machine, p.count]));
   };
   assert.deepEqual([...placed(true)].sort(), [
@@ -524,9 +536,9 @@
 test('machines are rented for idle work only up to its price per task', () => {
   const dear = option({ option: 0, size: { cpus: 4, gpus: 0, memory: 16 }, price: 4 });
   const cheap = option({ option: 1, size: { cpus: 4, gpus: 0, memory: 16 }, price: 1 });
-  const idle = group({ pending: 4, rentPriceMost: 0.5 });
+  const idle = group({ pending: 4, maxProvisionPrice: 0.5 });
   const rents = (options: (typeof dear)[]): number[] =>
-    [...runRound([idle], [], options, FREE_TEAM, sizeOf, OPTIONS).rents.keys()].sort();
+    [...runRound([idle], [], options, FREE_TEAM, sizeOf, OPTIONS).demand.keys()].sort();
   assert.deepEqual(rents([dear]), []);
   assert.deepEqual(rents([dear, cheap]), [1]);
 });
@@ -534,7 +546,7 @@
 test('room that comes at about the same time is one entry, and none is lost', () => {
   const room = { cpus: 1, gpus: 0, memory: 2 };
   const leaving = [3, 3.5, 4, 9, 40, 43, 45, 120].map((inS) => ({ inS, room }));
-  const merged = mergeLeaving(leaving);
+  const merged = mergeReleases(leaving);
   assert.deepEqual(
     merged.map((m) => [m.inS, m.room.cpus, m.room.memory]),
     [
--- a/test/sim/guards.ts
+++ b/test/sim/guards.ts
@@ -1,5 +1,5 @@
 import type { HttpResult } from '../../src/http/client.ts';
-import { EndWrites } from '../../src/jobs/end-writes.ts';
+import { TerminalWrites } from '../../src/jobs/end-writes.ts';
 import type { Election } from '../../src/leadership/election.ts';
 import type { Tamper } from '../../src/sim/node.ts';
 import { parse, type TransactionBody } from '../../src/sim/protocol.ts';
@@ -20,12 +20,12 @@
  * from memory.
  */
 export async function withoutEndNotes<T>(run: () => Promise<T>): Promise<T> {
-  const { mayBeWritten } = EndWrites.prototype;
-  EndWrites.prototype.mayBeWritten = () => false;
+  const { mayBeWritten } = TerminalWrites.prototype;
+  TerminalWrites.prototype.mayBeWritten = () => false;
   try {
     return await run();
   } finally {
-    EndWrites.prototype.mayBeWritten = mayBeWritten;
+    TerminalWrites.prototype.mayBeWritten = mayBeWritten;
   }
 }
 
@@ -34,7 +34,7 @@
 /** A transaction of notes of what is begun alone, beside the fence that moves with every write. */
 function notesOnly(text: string): boolean {
   const changes = parse<TransactionBody>(text)?.then ?? [];
-  const notes = changes.filter((c) => 'set' in c && c.set.startsWith(KEYS.begunPrefix));
+  const notes = changes.filter((c) => 'set' in c && c.set.startsWith(KEYS.startWatermarksPrefix));
   return notes.length > 0 && notes.length >= changes.length - 1;
 }
 
@@ -64,8 +64,8 @@
       const lists = (prefix: string): boolean =>
         path.startsWith(`/store?starts=${encodeURIComponent(prefix)}`);
       const hidden =
-        (missing.roster === true && lists(KEYS.machinePrefix)) ||
-        (missing.begun === true && lists(KEYS.begunPrefix));
+        (missing.roster === true && lists(KEYS.machineRegistryPrefix)) ||
+        (missing.begun === true && lists(KEYS.startWatermarksPrefix));
       if (method === 'GET' && hidden) {
         return { kind: 'answer', status: 200, body: emptyList, retryAfterS: null };
       }
@@ -75,7 +75,7 @@
     },
     controller: (controller) => {
       const { election } = controller as unknown as { election: Election };
-      if (missing.lease === true) election.surelyLeading = () => election.current() !== null;
+      if (missing.lease === true) election.hasValidLease = () => election.current() !== null;
     },
   };
 }
--- a/test/sim/relay.test.ts
+++ b/test/sim/relay.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import type { Tamper } from '../../src/sim/node.ts';
-import { ReportRelay } from '../../src/relay/report-relay.ts';
+import { HeartbeatRelay } from '../../src/relay/report-relay.ts';
 import { SEED } from '../helpers.ts';
 import { AMBIENT, describe, play, type DaySketch } from './days.ts';
 import { generatedDay, generatedTakeovers } from './generated.ts';
@@ -15,9 +15,9 @@
 
 /** Counts the reports that are answered by way of a follower. */
 async function countingRelayed<T>(run: () => Promise<T>): Promise<{ result: T; taken: number }> {
-  const { take } = ReportRelay.prototype;
+  const { take } = HeartbeatRelay.prototype;
   let taken = 0;
-  ReportRelay.prototype.take = function (this: ReportRelay, body, reply) {
+  HeartbeatRelay.prototype.take = function (this: HeartbeatRelay, body, reply) {
     return take.call(this, body, (answer) => {
       if (answer.status === 200) taken += 1;
       reply(answer);
@@ -26,7 +26,7 @@
   try {
     return { result: await run(), taken };
   } finally {
-    ReportRelay.prototype.take = take;
+    HeartbeatRelay.prototype.take = take;
   }
 }
 
@@ -84,7 +84,7 @@
 function answersAreKept(): Tamper {
   return {
     controller: (controller) => {
-      const { reports } = controller as unknown as { reports: { relay: ReportRelay } };
+      const { reports } = controller as unknown as { reports: { relay: HeartbeatRelay } };
       const kept = new Map<string, { status: number; body: string }>();
       const take = reports.relay.take.bind(reports.relay);
       reports.relay.take = (body, reply) => {
--- a/test/store/memory.ts
+++ b/test/store/memory.ts
@@ -1,5 +1,5 @@
-import type { StoreResult, TxnResult } from '../../src/store/client.ts';
-import type { Change, Condition, Item } from '../../src/wire/state.ts';
+import type { StoreResult, CompareAndSwapResult } from '../../src/store/client.ts';
+import type { Mutation, Condition, Item } from '../../src/wire/state.ts';
 
 /** The state service as the protocol has it, in memory. */
 export class MemoryStore {
@@ -15,14 +15,14 @@
     return Promise.resolve({ kind: 'ok', value: found ? { key, ...found, lease: null } : null });
   }
 
-  txn(conditions: readonly Condition[], changes: readonly Change[]): Promise<TxnResult> {
+  txn(conditions: readonly Condition[], changes: readonly Mutation[]): Promise<CompareAndSwapResult> {
     const fate = this.fates.shift();
     if (fate === 'over_limit') return Promise.resolve({ kind: 'refused', overLimit: true });
     const result = this.apply(conditions, changes);
     return Promise.resolve(fate === 'lost' ? { kind: 'unknown' } : result);
   }
 
-  apply(conditions: readonly Condition[], changes: readonly Change[]): TxnResult {
+  apply(conditions: readonly Condition[], changes: readonly Mutation[]): CompareAndSwapResult {
     this.changes += changes.length;
     const failed = conditions
       .filter((c) => (this.data.get(c.key)?.version ?? 0) !== c.version)
--- a/test/store/writer.test.ts
+++ b/test/store/writer.test.ts
@@ -2,10 +2,10 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { RateBudget } from '../../src/store/budget.ts';
-import type { TxnResult } from '../../src/store/client.ts';
+import type { CompareAndSwapResult } from '../../src/store/client.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import { LeaderWriter, type WriteLane } from '../../src/store/writer.ts';
-import type { Change, Condition } from '../../src/wire/state.ts';
+import { LeaderWriter, type WritePriority } from '../../src/store/writer.ts';
+import type { Mutation, Condition } from '../../src/wire/state.ts';
 import { FakeClock, SEED, silent } from '../helpers.ts';
 
 /** A store that loses answers and carries transactions out late, by a script of fates. */
@@ -13,13 +13,13 @@
   readonly versions = new Map<string, number>([[KEYS.leader, 5]]);
   readonly values = new Map<string, unknown>();
   revision = 10;
-  late: { conditions: readonly Condition[]; changes: readonly Change[] }[] = [];
+  late: { conditions: readonly Condition[]; changes: readonly Mutation[] }[] = [];
 
   sent = 0;
 
   constructor(private readonly fates: ('ok' | 'lost' | 'late' | 'refused')[]) {}
 
-  apply(conditions: readonly Condition[], changes: readonly Change[]): TxnResult {
+  apply(conditions: readonly Condition[], changes: readonly Mutation[]): CompareAndSwapResult {
     const failed = conditions.filter((c) => (this.versions.get(c.key) ?? 0) !== c.version).map((c) => c.key);
     if (failed.length > 0) return { kind: 'conflict', failed };
     this.revision += 1;
@@ -35,7 +35,7 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  txn(conditions: readonly Condition[], changes: readonly Change[]): Promise<TxnResult> {
+  txn(conditions: readonly Condition[], changes: readonly Mutation[]): Promise<CompareAndSwapResult> {
     this.sent += 1;
     const fate = this.fates.shift() ?? 'ok';
     if (fate === 'refused') return Promise.resolve({ kind: 'refused' });
@@ -56,7 +56,7 @@
 ): LeaderWriter {
   return new LeaderWriter(
     {
-      txn: (conditions, changes) => store.txn(conditions, changes),
+      compareAndSwap: (conditions, changes) => store.txn(conditions, changes),
       readFence: () => Promise.resolve(store.versions.get(KEYS.fence) ?? 0),
       readLeader: () => Promise.resolve(store.versions.get(KEYS.leader) ?? 0),
       lost: (reason) => lost.push(reason),
@@ -87,7 +87,7 @@
         const writer = writerOn(store, lost);
         const done: number[] = [];
         for (let i = 0; i < writes; i++) {
-          writer.push({ changes: [{ put: 'k', value: i }], done: () => done.push(i) }, 'progress');
+          writer.enqueue({ changes: [{ put: 'k', value: i }], done: () => done.push(i) }, 'progress');
           if (i % 2 === 1) await settle();
         }
         for (let i = 0; i < 60; i++) await settle();
@@ -108,7 +108,7 @@
   const lost: string[] = [];
   const writer = writerOn(store, lost);
   let done = false;
-  writer.push({ changes: [{ put: 'k', value: 1 }], done: () => (done = true) }, 'ends');
+  writer.enqueue({ changes: [{ put: 'k', value: 1 }], done: () => (done = true) }, 'ends');
   for (let i = 0; i < 5; i++) await settle();
   assert.equal(lost.length, 1);
   assert.equal(done, false);
@@ -122,11 +122,11 @@
   const lost: string[] = [];
   const writer = writerOn(store, lost, clock);
   const done: string[] = [];
-  writer.push({ changes: [{ put: 'a', value: 1 }], done: () => done.push('a') }, 'ends');
+  writer.enqueue({ changes: [{ put: 'a', value: 1 }], done: () => done.push('a') }, 'ends');
   for (let i = 0; i < 10; i++) await settle();
   assert.deepEqual([done, store.sent, clock.at], [['a'], 1, 0]);
   // One that was not carried out is sent again at once; its late copy changes nothing.
-  writer.push({ changes: [{ put: 'a', value: 2 }], done: () => done.push('b') }, 'ends');
+  writer.enqueue({ changes: [{ put: 'a', value: 2 }], done: () => done.push('b') }, 'ends');
   for (let i = 0; i < 10; i++) await settle();
   assert.deepEqual([done, store.sent, clock.at], [['a', 'b'], 3, 0]);
   for (const l of store.late) assert.equal(store.apply(l.conditions, l.changes).kind, 'conflict');
@@ -139,7 +139,7 @@
   const lost: string[] = [];
   const writer = writerOn(store, lost);
   let done = false;
-  writer.push({ changes: [{ put: 'k', value: 1 }], done: () => (done = true) }, 'ends');
+  writer.enqueue({ changes: [{ put: 'k', value: 1 }], done: () => (done = true) }, 'ends');
   store.versions.set(KEYS.leader, 11);
   store.versions.set(KEYS.fence, 12);
   store.revision = 12;
@@ -154,8 +154,8 @@
   const clock = new FakeClock();
   const writer = writerOn(store, [], clock, { txnOps: 4, perSecond: 10 });
   const order: string[] = [];
-  const push = (name: string, lane: WriteLane): void => {
-    writer.push({ changes: [{ put: name, value: 1 }], done: () => order.push(name) }, lane);
+  const push = (name: string, lane: WritePriority): void => {
+    writer.enqueue({ changes: [{ put: name, value: 1 }], done: () => order.push(name) }, lane);
   };
   for (const lane of ['background', 'progress', 'starts', 'ends'] as const) {
     for (let i = 0; i < 5; i++) push(`${lane}${i}`, lane);
@@ -173,7 +173,7 @@
   const writer = writerOn(store, [], clock, { txnOps: 12, perSecond: 15 });
   let done = 0;
   const push = (): void => {
-    writer.push({ changes: [{ put: `k${done}`, value: 1 }], done: () => (done += 1) }, 'ends');
+    writer.enqueue({ changes: [{ put: `k${done}`, value: 1 }], done: () => (done += 1) }, 'ends');
   };
   push();
   for (let i = 0; i < 5; i++) await settle();
@@ -192,8 +192,8 @@
   const writer = writerOn(store, [], clock, { txnOps: 3, perSecond: 3 });
   let value = 0;
   for (let i = 0; i < 4; i++)
-    writer.push({ changes: [{ put: `k${i}`, value: i }], done: () => (value += 1) }, 'ends');
-  writer.push({ bytes: 10, build: () => ({ put: 'page', value }), done: () => undefined }, 'starts');
+    writer.enqueue({ changes: [{ put: `k${i}`, value: i }], done: () => (value += 1) }, 'ends');
+  writer.enqueue({ bytes: 10, build: () => ({ put: 'page', value }), done: () => undefined }, 'starts');
   for (let i = 0; i < 200; i++) await settle();
   assert.equal(store.values.get('page'), 4);
 });
--- a/test/wire/codecs.test.ts
+++ b/test/wire/codecs.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { decodeJob, isJobId, peekJobId } from '../../src/wire/user.ts';
-import { decodeReport } from '../../src/wire/worker.ts';
+import { decodeHeartbeat } from '../../src/wire/worker.ts';
 import { decodeEvents, decodeItems } from '../../src/wire/state.ts';
 import { decodeMachineList } from '../../src/wire/cloud.ts';
 import { SEED } from '../helpers.ts';
@@ -68,7 +68,7 @@
 test('decoders never throw, whatever they are given', () => {
   fc.assert(
     fc.property(fc.oneof(fc.string(), fc.json()), (text) => {
-      for (const decode of [decodeJob, decodeReport, decodeItems, decodeEvents, decodeMachineList]) {
+      for (const decode of [decodeJob, decodeHeartbeat, decodeItems, decodeEvents, decodeMachineList]) {
         assert.equal(typeof decode(text).ok, 'boolean');
       }
     }),
@@ -77,8 +77,8 @@
 });
 
 test('integers past 2^53 are refused, never rounded', () => {
-  assert.ok(decodeReport(JSON.stringify(REPORT)).ok);
-  assert.equal(decodeReport(JSON.stringify(REPORT).replace('88', '9007199254740993')).ok, false);
+  assert.ok(decodeHeartbeat(JSON.stringify(REPORT)).ok);
+  assert.equal(decodeHeartbeat(JSON.stringify(REPORT).replace('88', '9007199254740993')).ok, false);
 });
 
 test('a known id is found in a body that is otherwise off', () => {
--- a/test/wire/report-decoder.test.ts
+++ b/test/wire/report-decoder.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import { decodeReport, ReportDecoder } from '../../src/wire/worker.ts';
+import { decodeHeartbeat, HeartbeatDecoder } from '../../src/wire/worker.ts';
 import { SEED } from '../helpers.ts';
 
 const loaf = fc.record(
@@ -46,12 +46,12 @@
         { minLength: 2, maxLength: 12 },
       ),
       (sent) => {
-        const decoder = new ReportDecoder(() => 0, 1000);
+        const decoder = new HeartbeatDecoder(() => 0, 1000);
         for (const [fields, second, spaced] of sent) {
           const json = spaced ? JSON.stringify(fields, null, 1) : JSON.stringify(fields);
           const text = withTicks(json, second);
           const got = decoder.decode(text);
-          const full = decodeReport(text);
+          const full = decodeHeartbeat(text);
           assert.equal(got.ok, full.ok);
           if (got.ok && full.ok) assert.deepEqual(got.value, full.value);
         }
@@ -63,7 +63,7 @@
 
 test('what is remembered is dropped when a machine no longer reports', () => {
   let now = 0;
-  const decoder = new ReportDecoder(() => now, 1000);
+  const decoder = new HeartbeatDecoder(() => now, 1000);
   const text = (machine: number): string =>
     `{"hearth":"n-${machine}","address":"10.0.0.1:9","oven":"g8","yard":"a","borrowed":false,"shift":1,"tick":4,"baton":1,"loaves":[]}`;
   const machines = 4000;
--- a/test/workers/contact.test.ts
+++ b/test/workers/contact.test.ts
@@ -14,41 +14,41 @@
     0,
     0,
   );
-  m.session = 1;
-  m.token = TERM;
-  m.answeredAt = 0;
+  m.incarnation = 1;
+  m.fencingToken = TERM;
+  m.leaseRenewedBefore = 0;
   return m;
 }
 
 test('reports alone are contact only while nothing says that the machine hears nothing', () => {
   const m = known();
-  m.noteContact({ token: TERM, session: 1 }, false, TERM, 1000, TIMES);
-  assert.equal(m.contactAt, 1000);
+  m.noteContact({ fencingToken: TERM, incarnation: 1 }, false, TERM, 1000, TIMES);
+  assert.equal(m.lastRoundTripAt, 1000);
   // An order got no answer: from now on only an answer, or a start that arrived, counts.
-  m.unheard = 1;
-  m.noteContact({ token: TERM, session: 1 }, false, TERM, 6000, TIMES);
-  assert.equal(m.contactAt, 1000);
-  m.heardUs(7000);
-  assert.deepEqual([m.contactAt, m.unheard], [7000, 0]);
+  m.missedAcknowledgements = 1;
+  m.noteContact({ fencingToken: TERM, incarnation: 1 }, false, TERM, 6000, TIMES);
+  assert.equal(m.lastRoundTripAt, 1000);
+  m.acknowledged(7000);
+  assert.deepEqual([m.lastRoundTripAt, m.missedAcknowledgements], [7000, 0]);
 });
 
 test('a session that ends though its reports were answered says that answers do not arrive', () => {
   const m = known();
-  m.answeredAt = 20_000;
-  m.noteContact({ token: TERM, session: 2 }, false, TERM, 31_000, TIMES);
-  assert.equal(m.unheard, 1);
+  m.leaseRenewedBefore = 20_000;
+  m.noteContact({ fencingToken: TERM, incarnation: 2 }, false, TERM, 31_000, TIMES);
+  assert.equal(m.missedAcknowledgements, 1);
   const hung = known();
-  hung.noteContact({ token: TERM, session: 2 }, false, TERM, 31_000, TIMES);
-  assert.equal(hung.unheard, 0, 'nobody answered it for a lease');
+  hung.noteContact({ fencingToken: TERM, incarnation: 2 }, false, TERM, 31_000, TIMES);
+  assert.equal(hung.missedAcknowledgements, 0, 'nobody answered it for a lease');
 });
 
 test('a token that stays behind is no contact after a while: a deaf machine, or late copies', () => {
   const m = known();
-  m.token = TERM - 1;
-  m.noteContact({ token: TERM - 1, session: 1 }, false, TERM, 1000, TIMES);
-  assert.equal(m.contactAt, 1000);
-  m.noteContact({ token: TERM - 1, session: 1 }, false, TERM, 20_000, TIMES);
-  assert.equal(m.contactAt, 1000);
-  m.noteContact({ token: TERM, session: 1 }, false, TERM, 21_000, TIMES);
-  assert.equal(m.contactAt, 21_000);
+  m.fencingToken = TERM - 1;
+  m.noteContact({ fencingToken: TERM - 1, incarnation: 1 }, false, TERM, 1000, TIMES);
+  assert.equal(m.lastRoundTripAt, 1000);
+  m.noteContact({ fencingToken: TERM - 1, incarnation: 1 }, false, TERM, 20_000, TIMES);
+  assert.equal(m.lastRoundTripAt, 1000);
+  m.noteContact({ fencingToken: TERM, incarnation: 1 }, false, TERM, 21_000, TIMES);
+  assert.equal(m.lastRoundTripAt, 21_000);
 });
--- a/test/workers/failure-attribution.test.ts
+++ b/test/workers/failure-attribution.test.ts
@@ -4,14 +4,14 @@
 import {
   FAILING_MACHINES,
   isFailing,
-  judgeMachine,
+  machineHealth,
   newJobFailures,
   newMachineFailures,
   recordFailure,
   recordSuccess,
   RETRY_MAX_MS,
   retryDelayMs,
-  type MachineVerdict,
+  type MachineHealth,
 } from '../../src/workers/failure-attribution.ts';
 import { SEED } from '../helpers.ts';
 
@@ -40,7 +40,7 @@
     returned: false,
   }));
   const attempts: { job: (typeof jobs)[number]; machine: number; at: number; end: number }[] = [];
-  const verdicts = new Map<number, Set<MachineVerdict>>();
+  const verdicts = new Map<number, Set<MachineHealth>>();
   const failedAt = jobs.map((): number[] => []);
   let pick = 0;
   for (let now = 0; now < 600_000; now += 250) {
@@ -57,7 +57,7 @@
       job.notBefore = now + retryDelayMs(job.failures);
     }
     for (const m of machines) {
-      const verdict = judgeMachine(m.failures, m.index, now);
+      const verdict = machineHealth(m.failures, m.index, now);
       verdicts.set(m.index, (verdicts.get(m.index) ?? new Set()).add(verdict));
       if (verdict === 'faulty') m.returned = true;
     }
@@ -69,7 +69,7 @@
         (m) =>
           !m.returned &&
           (failing || !job.failures.failedOn.has(m.index)) &&
-          judgeMachine(m.failures, m.index, now) === 'healthy',
+          machineHealth(m.failures, m.index, now) === 'healthy',
       );
       for (let n = failing ? 1 : job.waiting; n > 0 && usable.length > 0; n--) {
         const { index } = usable[picks[pick++ % picks.length]! % usable.length]!;
@@ -121,9 +121,9 @@
   const machine = newMachineFailures();
   const jobs = Array.from({ length: 20 }, newJobFailures);
   for (const job of jobs) recordFailure(job, machine, 0, 0, 100);
-  assert.equal(judgeMachine(machine, 0, 100), 'suspected');
+  assert.equal(machineHealth(machine, 0, 100), 'quarantined');
   for (const job of jobs) recordFailure(job, newMachineFailures(), 1, 200, 1200);
-  assert.equal(judgeMachine(machine, 0, 1200), 'healthy');
+  assert.equal(machineHealth(machine, 0, 1200), 'healthy');
 });
 
 test('tasks of one attempt that fail together count once, and a success ends the row', () => {
--- a/test/workers/machine-registry.test.ts
+++ b/test/workers/machine-registry.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import type { WriteJob } from '../../src/store/writer.ts';
+import type { Write } from '../../src/store/writer.ts';
 import type { MachineIdentity } from '../../src/workers/machine.ts';
 import { MachineRegistry } from '../../src/workers/machine-registry.ts';
 import { SEED } from '../helpers.ts';
@@ -18,7 +18,7 @@
 /** A store that takes writes in order, when it is told to. */
 class SlowStore {
   readonly pages = new Map<string, string[]>();
-  readonly queue: WriteJob[] = [];
+  readonly queue: Write[] = [];
   writes = 0;
 
   take(): void {
@@ -45,8 +45,8 @@
 const make = (store: SlowStore): MachineRegistry =>
   new MachineRegistry({
     pageBytes: PAGE,
-    push: (job) => store.queue.push(job),
-    post: (command) => {
+    enqueueWrite: (job) => store.queue.push(job),
+    enqueue: (command) => {
       command();
     },
   });
@@ -67,7 +67,7 @@
         const { name } = identity(s.n);
         if (s.op === 'enroll' && !there.has(name)) {
           there.add(name);
-          roster.enroll(identity(s.n), () => {
+          roster.register(identity(s.n), () => {
             if (there.has(name)) durable.add(name);
           });
         } else if (s.op === 'remove') {
@@ -93,7 +93,7 @@
   // One value a machine once used up the changes of the state service for as long as 224 machines take.
   const store = new SlowStore();
   const roster = make(store);
-  for (let n = 0; n < 60; n++) roster.enroll(identity(n), () => undefined);
+  for (let n = 0; n < 60; n++) roster.register(identity(n), () => undefined);
   roster.flush(false);
   while (store.queue.length > 0) store.take();
   assert.ok(store.writes <= 12, `${store.writes}`);
@@ -104,7 +104,7 @@
     lease: null,
   }));
   const bad: string[] = [];
-  const found = make(new SlowStore()).load([...items, { ...items[0]!, value: { m: 7 } }], (key) =>
+  const found = make(new SlowStore()).restore([...items, { ...items[0]!, value: { m: 7 } }], (key) =>
     bad.push(key),
   );
   assert.equal(found.length, 60);
