--- a/src/controller/reports.ts
+++ b/src/controller/heartbeat-handler.ts
@@ -3,9 +3,9 @@
 import { CountedLog, type Logger } from '../base/log.ts';
 import { failure, type Answer, type Reply } from '../http/server.ts';
 import type { Leader } from '../leader/leader.ts';
-import type { HeartbeatResponse, PeerReply, PeerRequest } from '../mesh/frames.ts';
-import { HeartbeatRelay, type RelayReply } from '../relay/report-relay.ts';
-import { WorkerBalancer, workerCapacity } from '../relay/worker-shares.ts';
+import type { HeartbeatResponse, PeerReply, PeerRequest } from '../peers/frames.ts';
+import { HeartbeatRelay, type RelayReply } from '../relay/heartbeat-relay.ts';
+import { WorkerBalancer, workerCapacity } from '../relay/worker-balancer.ts';
 import { encodeHeartbeatResponse, encodeRedirect, HeartbeatDecoder } from '../wire/worker.ts';
 
 /** Report intervals after which the text of a machine's last report is dropped. */
--- a/src/controller/platform.ts
+++ b/src/controller/platform.ts
@@ -1,5 +1,5 @@
 import type { HttpSender } from '../http/client.ts';
-import type { Peers } from '../mesh/ask.ts';
+import type { Peers } from '../peers/peers.ts';
 import type { Clock } from '../base/clock.ts';
 
 /** Pauses and turns of the process. */
--- a/src/controller/service.ts
+++ b/src/controller/service.ts
@@ -4,7 +4,7 @@
 import { HttpClient, passingAgent } from '../http/client.ts';
 import { socketShares } from '../http/connections.ts';
 import { HttpServer } from '../http/server.ts';
-import { PeerRpc } from '../mesh/mesh.ts';
+import { PeerRpc } from '../peers/peer-rpc.ts';
 import { systemClock } from '../base/clock.ts';
 import { Controller, commandConnections } from './controller.ts';
 import type { Logger } from '../base/log.ts';
--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -1,6 +1,6 @@
 import { Job } from '../jobs/job.ts';
 import { runRound, type RoundOptions } from '../scheduling/round.ts';
-import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../scheduling/view.ts';
+import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../scheduling/snapshot.ts';
 import { decodeStoredJob } from '../wire/user.ts';
 import { decodeHeartbeat, encodeCommands, encodeHeartbeatResponse } from '../wire/worker.ts';
 import { Machine } from '../workers/machine.ts';
--- a/src/fleet/fleet.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -2,7 +2,7 @@
 import type { NameIndex } from '../base/name-index.ts';
 import type { Logger } from '../base/log.ts';
 import type { Options } from '../config/options.ts';
-import { resourcesOf, type ProvisioningOption } from '../scheduling/view.ts';
+import { resourcesOf, type ProvisioningOption } from '../scheduling/snapshot.ts';
 import type { Catalog } from './catalog.ts';
 import type { Cloud } from './cloud.ts';
 
--- a/src/http/report-connection.ts
+++ b/src/http/heartbeat-connection.ts
@@ -1,5 +1,5 @@
 import type { Socket } from 'node:net';
-import { parseHeartbeatHead, type HeartbeatHead } from './report-head.ts';
+import { parseHeartbeatHead, type HeartbeatHead } from './heartbeat-head.ts';
 import { encodeResponse } from './response.ts';
 import type { Answer } from './server.ts';
 
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -2,7 +2,7 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { Backlog } from './backlog.ts';
 import { Connections, type Peer, type SocketShares } from './connections.ts';
-import { mayBecomeHeartbeat, HeartbeatConnection } from './report-connection.ts';
+import { mayBecomeHeartbeat, HeartbeatConnection } from './heartbeat-connection.ts';
 import { answerHeaders } from './response.ts';
 
 const MAX_BODY = 64 * 1024;
--- a/src/jobs/archive.ts
+++ b/src/jobs/archive.ts
@@ -1,5 +1,5 @@
 import { KEYS } from '../store/keys.ts';
-import type { Write } from '../store/writer.ts';
+import type { Write } from '../store/leader-writer.ts';
 
 export interface ArchiveDeps {
   /** How many final records may stay in the place of the open ones, for a new leader to read past. */
--- a/src/jobs/begun.ts
+++ b/src/jobs/start-watermarks.ts
@@ -1,5 +1,5 @@
 import { KEYS } from '../store/keys.ts';
-import type { DeferredWrite } from '../store/writer.ts';
+import type { DeferredWrite } from '../store/leader-writer.ts';
 import type { Item } from '../wire/state.ts';
 import { startWatermarksValue, readStartWatermarks } from './records.ts';
 
--- a/src/jobs/end-writes.ts
+++ b/src/jobs/terminal-writes.ts
@@ -1,4 +1,4 @@
-import type { CompareAndSwapResult } from '../store/client.ts';
+import type { CompareAndSwapResult } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Mutation, Condition } from '../wire/state.ts';
 
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -3,10 +3,10 @@
 import type { Catalog } from '../fleet/catalog.ts';
 import { failure, type Answer, type Reply } from '../http/server.ts';
 import type { LeaderlessWrite } from '../leadership/election.ts';
-import type { PeerReply, PeerRequest } from '../mesh/frames.ts';
+import type { PeerReply, PeerRequest } from '../peers/frames.ts';
 import { KEYS } from '../store/keys.ts';
 import type { RateBudget } from '../store/budget.ts';
-import type { KeyValueStore, Urgency } from '../store/client.ts';
+import type { KeyValueStore, Urgency } from '../store/key-value-store.ts';
 import {
   decodeJob,
   encodeStatus,
@@ -16,14 +16,14 @@
   type JobStatus,
 } from '../wire/user.ts';
 import { infeasibility, type TeamQuota } from './admission.ts';
-import type { TerminalStateCache } from './finals.ts';
+import type { TerminalStateCache } from './terminal-state-cache.ts';
 import {
   isTerminal,
   MAX_LOOKUP_AGE_MS,
   unlessStale,
   type JobLookup,
   type LeaderLookup,
-} from './knowledge.ts';
+} from './job-lookup.ts';
 import { terminalValue, openValue, readTerminal, readOpen } from './records.ts';
 
 /** What user requests need of the leadership on this node, if there is one. */
--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -1,7 +1,7 @@
-import type { StartWatermarks } from '../jobs/begun.ts';
+import type { StartWatermarks } from '../jobs/start-watermarks.ts';
 import type { Job } from '../jobs/job.ts';
 import { ASSIGNED } from '../jobs/job.ts';
-import { fetchTime } from '../scheduling/view.ts';
+import { fetchTime } from '../scheduling/snapshot.ts';
 import { attemptKey, newAttempt, type Attempt, type Machine } from '../workers/machine.ts';
 import { isFailing, recordFailure, recordSuccess, retryDelayMs } from '../workers/failure-attribution.ts';
 import type { WorkerEvent } from '../workers/reconcile.ts';
--- a/src/leader/guest-work.ts
+++ b/src/leader/best-effort-work.ts
@@ -1,9 +1,9 @@
 import type { Job } from '../jobs/job.ts';
 import type { IdleTask } from '../scheduling/idle-work.ts';
-import { fits, resourcesOf, allocate, type Resources } from '../scheduling/view.ts';
+import { fits, resourcesOf, allocate, type Resources } from '../scheduling/snapshot.ts';
 import type { Machine } from '../workers/machine.ts';
 import { slackOf } from './job-slack.ts';
-import { OUTLIVED_SHARE, type SnapshotDeps } from './planning-sources.ts';
+import { OUTLIVED_SHARE, type SnapshotDeps } from './snapshot-sources.ts';
 
 /** Work that nobody waits for may cost as much again after each such time. */
 const IDLE_PATIENCE_MS = 600_000;
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -1,5 +1,5 @@
 import type { Archive } from '../jobs/archive.ts';
-import type { StartWatermarks } from '../jobs/begun.ts';
+import type { StartWatermarks } from '../jobs/start-watermarks.ts';
 import type { Job } from '../jobs/job.ts';
 import { chunkValue, terminalValue } from '../jobs/records.ts';
 import { KEYS } from '../store/keys.ts';
--- a/src/leader/context.ts
+++ b/src/leader/context.ts
@@ -6,7 +6,7 @@
 import type { Catalog } from '../fleet/catalog.ts';
 import type { Cloud } from '../fleet/cloud.ts';
 import type { TeamQuota } from '../jobs/admission.ts';
-import type { LeaderWriter } from '../store/writer.ts';
+import type { LeaderWriter } from '../store/leader-writer.ts';
 import type { JobStatus } from '../wire/user.ts';
 import type { Command, Heartbeat } from '../wire/worker.ts';
 import type { Machine } from '../workers/machine.ts';
--- a/src/leader/job-slack.ts
+++ b/src/leader/job-slack.ts
@@ -1,5 +1,5 @@
 import type { Job } from '../jobs/job.ts';
-import type { SnapshotDeps } from './planning-sources.ts';
+import type { SnapshotDeps } from './snapshot-sources.ts';
 
 /** How much time a job has by what is expected of its class. */
 export interface JobSlack {
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -1,5 +1,5 @@
 import { DRIFT } from '../base/clock.ts';
-import type { MachineProvisioner } from '../fleet/fleet.ts';
+import type { MachineProvisioner } from '../fleet/machine-provisioner.ts';
 import type { Attempt, Machine } from '../workers/machine.ts';
 import { machineHealth } from '../workers/failure-attribution.ts';
 import { releaseAll } from '../workers/reconcile.ts';
@@ -7,7 +7,7 @@
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
 import { BUSY_MS } from '../base/event-loop-lag.ts';
-import type { CommandDispatcher } from './worker-commands.ts';
+import type { CommandDispatcher } from './command-dispatcher.ts';
 
 /**
  * In a cut all machines miss a report, one after the other: the first of them must not be given up before the
--- a/src/leader/machine-views.ts
+++ b/src/leader/machine-snapshots.ts
@@ -5,10 +5,10 @@
   allocate,
   type MachineSnapshot,
   type Resources,
-} from '../scheduling/view.ts';
+} from '../scheduling/snapshot.ts';
 import { isFailing, machineHealth } from '../workers/failure-attribution.ts';
 import type { Machine } from '../workers/machine.ts';
-import { OUTLIVED_SHARE, type SnapshotDeps, type SnapshotSources } from './planning-sources.ts';
+import { OUTLIVED_SHARE, type SnapshotDeps, type SnapshotSources } from './snapshot-sources.ts';
 
 /** Reports that a machine may leave out and still be given work; one may have been overtaken by a direct answer. */
 const MOST_REPORTS_MISSED = 2.5;
--- a/src/leader/rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -1,4 +1,4 @@
-import type { MachineProvisioner, IdleMachine } from '../fleet/fleet.ts';
+import type { MachineProvisioner, IdleMachine } from '../fleet/machine-provisioner.ts';
 import type { Job } from '../jobs/job.ts';
 import { selectVictims, type PreemptionCandidate } from '../scheduling/preempt.ts';
 import { worthKeeping } from '../scheduling/idle-work.ts';
@@ -10,14 +10,14 @@
   type MachineSnapshot,
   type RoundResult,
   type QuotaHeadroom,
-} from '../scheduling/view.ts';
+} from '../scheduling/snapshot.ts';
 import { machineHealth } from '../workers/failure-attribution.ts';
 import type { Attempt, Machine } from '../workers/machine.ts';
 import type { Attempts } from './attempts.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
 import { BUSY_MS } from '../base/event-loop-lag.ts';
-import type { SchedulingSnapshots } from './planning-views.ts';
+import type { SchedulingSnapshots } from './scheduling-snapshots.ts';
 
 const MAX_PREEMPTING_GROUPS = 8;
 /** Time for orders and reports around a stop or a start. */
--- a/src/leader/planning-views.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -8,13 +8,13 @@
   type MachineSnapshot,
   type Resources,
   type QuotaHeadroom,
-} from '../scheduling/view.ts';
+} from '../scheduling/snapshot.ts';
 import type { Attempt, Machine } from '../workers/machine.ts';
 import type { Cluster } from './cluster.ts';
-import { BestEffortWork } from './guest-work.ts';
-import { TaskGroups } from './job-groups.ts';
-import { MachineSnapshots } from './machine-views.ts';
-import type { SnapshotDeps, SnapshotSources } from './planning-sources.ts';
+import { BestEffortWork } from './best-effort-work.ts';
+import { TaskGroups } from './task-groups.ts';
+import { MachineSnapshots } from './machine-snapshots.ts';
+import type { SnapshotDeps, SnapshotSources } from './snapshot-sources.ts';
 
 /** A start that is undone at once was for nothing: others are stopped rather. */
 const JUST_STARTED_MS = 30_000;
--- a/src/leader/planning-sources.ts
+++ b/src/leader/snapshot-sources.ts
@@ -3,7 +3,7 @@
 import type { Options } from '../config/options.ts';
 import type { Settings } from '../config/settings.ts';
 import type { Catalog } from '../fleet/catalog.ts';
-import type { MachineProvisioner } from '../fleet/fleet.ts';
+import type { MachineProvisioner } from '../fleet/machine-provisioner.ts';
 import type { TeamQuota } from '../jobs/admission.ts';
 import type { ArrivalForecast } from '../scheduling/forecast.ts';
 import type { Cluster } from './cluster.ts';
--- a/src/leader/stored-state.ts
+++ b/src/leader/stored-state.ts
@@ -1,4 +1,4 @@
-import type { KeyValueStore } from '../store/client.ts';
+import type { KeyValueStore } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Item, WatchEvent } from '../wire/state.ts';
 
--- a/src/leader/job-groups.ts
+++ b/src/leader/task-groups.ts
@@ -1,13 +1,13 @@
 import type { Job } from '../jobs/job.ts';
 import { MeanWork } from '../scheduling/mean-work.ts';
 import { shareGuarantees, type GuaranteeLeft } from '../scheduling/urgency.ts';
-import { fits, resourcesOf, type TaskGroup } from '../scheduling/view.ts';
+import { fits, resourcesOf, type TaskGroup } from '../scheduling/snapshot.ts';
 import type { JobRequest } from '../wire/user.ts';
 import { isFailing } from '../workers/failure-attribution.ts';
 import type { Cluster } from './cluster.ts';
-import type { BestEffortWork } from './guest-work.ts';
+import type { BestEffortWork } from './best-effort-work.ts';
 import { slackOf } from './job-slack.ts';
-import type { SnapshotDeps, SnapshotSources } from './planning-sources.ts';
+import type { SnapshotDeps, SnapshotSources } from './snapshot-sources.ts';
 
 /** With so many tasks a job that has waited long begins. */
 const FIRST_TASKS = 4;
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -2,7 +2,7 @@
 import type { Logger } from '../base/log.ts';
 import { DRIFT, type Clock } from '../base/clock.ts';
 import { KEYS } from '../store/keys.ts';
-import type { KeyValueStore, StoreResult, CompareAndSwapResult, Urgency } from '../store/client.ts';
+import type { KeyValueStore, StoreResult, CompareAndSwapResult, Urgency } from '../store/key-value-store.ts';
 import type { Mutation, Condition, Item } from '../wire/state.ts';
 import {
   validUntil,
@@ -10,7 +10,7 @@
   PeerLeaseLedger,
   type PeerLeaseRequest,
   type LeaderlessWriteOutcome,
-} from './promises.ts';
+} from './peer-leases.ts';
 
 /** What the election needs of the state service. */
 export type LeaseStore = Pick<
--- a/src/mesh/mesh.ts
+++ b/src/peers/peer-rpc.ts
@@ -1,6 +1,6 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import type { Logger } from '../base/log.ts';
-import type { Peers } from './ask.ts';
+import type { Peers } from './peers.ts';
 import { encodeFrame, FrameReader, type PeerFrame, type PeerReply, type PeerRequest } from './frames.ts';
 
 interface Waiting {
--- a/src/scheduling/mean-work.ts
+++ b/src/scheduling/mean-work.ts
@@ -1,4 +1,4 @@
-import type { TaskGroup } from './view.ts';
+import type { TaskGroup } from './snapshot.ts';
 
 /** The work that waits, of each job against what the jobs of its class have on average. */
 export class MeanWork {
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -7,7 +7,7 @@
   type TaskGroup,
   type MachineSnapshot,
   type QuotaHeadroom,
-} from './view.ts';
+} from './snapshot.ts';
 import { pickZone } from './zones.ts';
 
 export interface CostOptions {
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -6,7 +6,7 @@
   type MachineSnapshot,
   type Resources,
   type QuotaHeadroom,
-} from './view.ts';
+} from './snapshot.ts';
 
 export interface PreemptionCandidate<T> {
   item: T;
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -11,7 +11,7 @@
   type Resources,
   type RoundResult,
   type QuotaHeadroom,
-} from './view.ts';
+} from './snapshot.ts';
 
 export interface RoundOptions extends CostOptions {
   /** Groups in one round; the others wait for the next. */
--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -6,7 +6,7 @@
   type MachineSnapshot,
   type ProvisioningOption,
   type Resources,
-} from './view.ts';
+} from './snapshot.ts';
 
 /** What a group's tasks can flow to. Machines that are equal to all groups of a round share one. */
 export interface Target {
--- a/src/scheduling/urgency.ts
+++ b/src/scheduling/urgency.ts
@@ -1,4 +1,4 @@
-import type { TaskGroup } from './view.ts';
+import type { TaskGroup } from './snapshot.ts';
 
 /** Costs on present machines stay below one band, those of room that is yet to come below the second. */
 export const BAND = 100_000;
--- a/src/scheduling/zones.ts
+++ b/src/scheduling/zones.ts
@@ -1,4 +1,4 @@
-import type { TaskGroup } from './view.ts';
+import type { TaskGroup } from './snapshot.ts';
 import { allowed, fitting, type Needs, type Target } from './targets.ts';
 
 /** Much more than any other part of a zone's score: all tasks of the group find room there at once. */
--- a/src/store/writer.ts
+++ b/src/store/leader-writer.ts
@@ -1,7 +1,7 @@
 import type { Logger } from '../base/log.ts';
 import type { Mutation, Condition } from '../wire/state.ts';
 import { RateBudget } from './budget.ts';
-import type { CompareAndSwapResult } from './client.ts';
+import type { CompareAndSwapResult } from './key-value-store.ts';
 import { KEYS } from './keys.ts';
 
 /**
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod/mini';
 import type { Mutation, Item } from '../wire/state.ts';
 import { KEYS } from '../store/keys.ts';
-import type { Write } from '../store/writer.ts';
+import type { Write } from '../store/leader-writer.ts';
 import type { MachineIdentity } from './machine.ts';
 
 const pageRecord = z.object({
--- a/test/controller/routes.test.ts
+++ b/test/controller/routes.test.ts
@@ -6,7 +6,7 @@
 import { AdaptiveLimit } from '../../src/http/limit.ts';
 import type { Answer, Reply } from '../../src/http/server.ts';
 import type { UserRequests } from '../../src/jobs/user-requests.ts';
-import { KeyValueStore } from '../../src/store/client.ts';
+import { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { FakeClock, silent } from '../helpers.ts';
 
 const OK: Answer = { status: 200, body: '{}' };
--- a/test/digest/traffic-digest.ts
+++ b/test/digest/traffic-digest.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { encodeFrame, type PeerReply, type PeerRequest } from '../../src/mesh/frames.ts';
+import { encodeFrame, type PeerReply, type PeerRequest } from '../../src/peers/frames.ts';
 import { Emulator } from '../../src/sim/emulator.ts';
 import type { SentMessage } from '../../src/sim/network.ts';
 import { silent } from '../helpers.ts';
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/machine-provisioner.test.ts
@@ -4,7 +4,7 @@
 import { NameIndex } from '../../src/base/name-index.ts';
 import { Catalog } from '../../src/fleet/catalog.ts';
 import type { Cloud } from '../../src/fleet/cloud.ts';
-import { MachineProvisioner, type MachineProvisionerDeps } from '../../src/fleet/fleet.ts';
+import { MachineProvisioner, type MachineProvisionerDeps } from '../../src/fleet/machine-provisioner.ts';
 import type { RentRequest } from '../../src/wire/cloud.ts';
 import { BIG, FakeClock, silent } from '../helpers.ts';
 
--- a/test/golden/frames.test.ts
+++ b/test/golden/frames.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { encodeFrame, FrameReader, MAX_FRAME, type PeerFrame } from '../../src/mesh/frames.ts';
+import { encodeFrame, FrameReader, MAX_FRAME, type PeerFrame } from '../../src/peers/frames.ts';
 
 type Request = NonNullable<PeerFrame['request']>;
 type Reply = NonNullable<PeerFrame['reply']>;
--- a/test/golden/state-service.ts
+++ b/test/golden/state-service.ts
@@ -1,5 +1,5 @@
 import type { HttpResult, HttpSender } from '../../src/http/client.ts';
-import { KeyValueStore } from '../../src/store/client.ts';
+import { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { silent } from '../helpers.ts';
 
 /** How the scripted service answers one request: the HTTP status and the body. */
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -8,8 +8,8 @@
 import { defaultOptions } from '../../src/config/options.ts';
 import { Catalog, catalogValue, readCatalogValue } from '../../src/fleet/catalog.ts';
 import { Archive } from '../../src/jobs/archive.ts';
-import { StartWatermarks } from '../../src/jobs/begun.ts';
-import { TerminalStateCache } from '../../src/jobs/finals.ts';
+import { StartWatermarks } from '../../src/jobs/start-watermarks.ts';
+import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { Job } from '../../src/jobs/job.ts';
 import {
   startWatermarksValue,
@@ -24,7 +24,7 @@
 import { UserRequests } from '../../src/jobs/user-requests.ts';
 import { Election } from '../../src/leadership/election.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import { LeaderWriter, type DeferredWrite, type Write } from '../../src/store/writer.ts';
+import { LeaderWriter, type DeferredWrite, type Write } from '../../src/store/leader-writer.ts';
 import { decodeCatalog } from '../../src/wire/cloud.ts';
 import { encodeTransaction, type Mutation, type Item } from '../../src/wire/state.ts';
 import { decodeJob } from '../../src/wire/user.ts';
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -1,4 +1,4 @@
-import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../src/scheduling/view.ts';
+import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../src/scheduling/snapshot.ts';
 import type { MachineTypeInfo } from '../src/wire/cloud.ts';
 import type { Clock } from '../src/base/clock.ts';
 import { pino } from 'pino';
--- a/test/http/report-connection.test.ts
+++ b/test/http/heartbeat-connection.test.ts
@@ -2,7 +2,7 @@
 import { connect } from 'node:net';
 import test, { type TestContext } from 'node:test';
 import fc from 'fast-check';
-import { parseHeartbeatHead } from '../../src/http/report-head.ts';
+import { parseHeartbeatHead } from '../../src/http/heartbeat-head.ts';
 import { HttpServer } from '../../src/http/server.ts';
 import { SEED } from '../helpers.ts';
 
--- a/test/jobs/archive.test.ts
+++ b/test/jobs/archive.test.ts
@@ -3,7 +3,7 @@
 import { Archive } from '../../src/jobs/archive.ts';
 import { terminalValue, readTerminal } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { Write } from '../../src/store/writer.ts';
+import type { Write } from '../../src/store/leader-writer.ts';
 import { MemoryStore } from '../store/memory.ts';
 
 const KEEP = 10;
--- a/test/jobs/controllers.ts
+++ b/test/jobs/controllers.ts
@@ -5,20 +5,20 @@
 import { Catalog } from '../../src/fleet/catalog.ts';
 import type { Answer, Reply } from '../../src/http/server.ts';
 import { UserRequests, type UserRequestDeps } from '../../src/jobs/user-requests.ts';
-import { TerminalWrites } from '../../src/jobs/end-writes.ts';
-import { TerminalStateCache } from '../../src/jobs/finals.ts';
+import { TerminalWrites } from '../../src/jobs/terminal-writes.ts';
+import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { answerBatch, PollBatcher } from '../../src/jobs/poll-batches.ts';
 import { SharedReads } from '../../src/jobs/shared-reads.ts';
-import type { PeerReply, PeerRequest, PollAnswer } from '../../src/mesh/frames.ts';
+import type { PeerReply, PeerRequest, PollAnswer } from '../../src/peers/frames.ts';
 import { RateBudget } from '../../src/store/budget.ts';
 import {
   moreUrgent,
   type StoreResult,
   type CompareAndSwapResult,
   type Urgency,
-} from '../../src/store/client.ts';
+} from '../../src/store/key-value-store.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import { LeaderWriter } from '../../src/store/writer.ts';
+import { LeaderWriter } from '../../src/store/leader-writer.ts';
 import type { Mutation, Condition, Item, WatchEvent } from '../../src/wire/state.ts';
 import { SETTINGS } from '../config/sample.ts';
 import { BIG, silent } from '../helpers.ts';
--- a/test/jobs/leaderless.ts
+++ b/test/jobs/leaderless.ts
@@ -1,5 +1,5 @@
 import type { LeaderlessWrite } from '../../src/leadership/election.ts';
-import type { KeyValueStore } from '../../src/store/client.ts';
+import type { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { KEYS } from '../../src/store/keys.ts';
 
 /** A step that needs a leader's absence; the store decides whether there is one when its transaction arrives. */
--- a/test/jobs/begun.test.ts
+++ b/test/jobs/start-watermarks.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import { StartWatermarks } from '../../src/jobs/begun.ts';
-import type { DeferredWrite } from '../../src/store/writer.ts';
+import { StartWatermarks } from '../../src/jobs/start-watermarks.ts';
+import type { DeferredWrite } from '../../src/store/leader-writer.ts';
 import type { Item } from '../../src/wire/state.ts';
 import { SEED } from '../helpers.ts';
 
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -1,12 +1,12 @@
 import { defaultOptions } from '../../src/config/options.ts';
 import { UserRequests } from '../../src/jobs/user-requests.ts';
-import { TerminalStateCache } from '../../src/jobs/finals.ts';
+import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { openValue } from '../../src/jobs/records.ts';
 import { Election } from '../../src/leadership/election.ts';
-import type { PeerLeaseRequest } from '../../src/leadership/promises.ts';
-import type { PeerReply, PeerRequest } from '../../src/mesh/frames.ts';
+import type { PeerLeaseRequest } from '../../src/leadership/peer-leases.ts';
+import type { PeerReply, PeerRequest } from '../../src/peers/frames.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { KeyValueStore } from '../../src/store/client.ts';
+import type { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { decodeStoredJob, type JobStatus } from '../../src/wire/user.ts';
 import { silent } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
--- a/test/leadership/grace.test.ts
+++ b/test/leadership/heartbeat-grace.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import { cancellationBoundS, cancellationCanHold, heartbeatGraceMs } from '../../src/leadership/grace.ts';
+import {
+  cancellationBoundS,
+  cancellationCanHold,
+  heartbeatGraceMs,
+} from '../../src/leadership/heartbeat-grace.ts';
 import { SEED } from '../helpers.ts';
 
 test('grace and lease together stay within the time of a cancellation, whatever the settings', () => {
--- a/test/leadership/lease-model.ts
+++ b/test/leadership/lease-model.ts
@@ -1,7 +1,7 @@
 import type { LeaseStore } from '../../src/leadership/election.ts';
 import { readTerminal } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { StoreResult, CompareAndSwapResult } from '../../src/store/client.ts';
+import type { StoreResult, CompareAndSwapResult } from '../../src/store/key-value-store.ts';
 import type { Mutation, Condition } from '../../src/wire/state.ts';
 import type { Sim } from '../model/sim.ts';
 
--- a/test/model/state.ts
+++ b/test/model/state.ts
@@ -1,4 +1,4 @@
-import type { CompareAndSwapResult } from '../../src/store/client.ts';
+import type { CompareAndSwapResult } from '../../src/store/key-value-store.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { Mutation, Condition, Item, WatchEvent } from '../../src/wire/state.ts';
 import type { Sim } from './sim.ts';
--- a/test/mesh/connectivity.test.ts
+++ b/test/peers/connectivity.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { Connectivity } from '../../src/mesh/connectivity.ts';
+import { Connectivity } from '../../src/peers/connectivity.ts';
 import { FakeClock } from '../helpers.ts';
 
 /** A node asked once a second, for a while, with the store and the others there or not. */
--- a/test/mesh/frames.test.ts
+++ b/test/peers/frames.test.ts
@@ -2,8 +2,8 @@
 import { connect } from 'node:net';
 import test from 'node:test';
 import fc from 'fast-check';
-import { encodeFrame, FrameReader, MAX_FRAME, type PeerFrame } from '../../src/mesh/frames.ts';
-import { PeerRpc } from '../../src/mesh/mesh.ts';
+import { encodeFrame, FrameReader, MAX_FRAME, type PeerFrame } from '../../src/peers/frames.ts';
+import { PeerRpc } from '../../src/peers/peer-rpc.ts';
 import { SEED, silent } from '../helpers.ts';
 
 const id = fc.integer({ min: 0, max: 2 ** 40 });
--- a/test/relay/report-relay.test.ts
+++ b/test/relay/heartbeat-relay.test.ts
@@ -2,9 +2,9 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import type { Answer } from '../../src/http/server.ts';
-import { encodeFrame, FrameReader, MAX_FRAME, type HeartbeatResponse } from '../../src/mesh/frames.ts';
-import { MOST_AGE_MS, HeartbeatRelay, type RelayReply } from '../../src/relay/report-relay.ts';
-import { WorkerBalancer, workerCapacity } from '../../src/relay/worker-shares.ts';
+import { encodeFrame, FrameReader, MAX_FRAME, type HeartbeatResponse } from '../../src/peers/frames.ts';
+import { MOST_AGE_MS, HeartbeatRelay, type RelayReply } from '../../src/relay/heartbeat-relay.ts';
+import { WorkerBalancer, workerCapacity } from '../../src/relay/worker-balancer.ts';
 import { SEED } from '../helpers.ts';
 
 interface Batch {
--- a/test/scheduling/round.test.ts
+++ b/test/scheduling/round.test.ts
@@ -3,7 +3,12 @@
 import fc from 'fast-check';
 import { runRound, type RoundOptions } from '../../src/scheduling/round.ts';
 import { selectVictims, type PreemptionCandidate } from '../../src/scheduling/preempt.ts';
-import { mergeReleases, allocate, type MachineSnapshot, type Resources } from '../../src/scheduling/view.ts';
+import {
+  mergeReleases,
+  allocate,
+  type MachineSnapshot,
+  type Resources,
+} from '../../src/scheduling/snapshot.ts';
 import { group, machine, option, SEED } from '../helpers.ts';
 
 const OPTIONS: RoundOptions = {
--- a/test/sim/guards.ts
+++ b/test/sim/guards.ts
@@ -1,5 +1,5 @@
 import type { HttpResult } from '../../src/http/client.ts';
-import { TerminalWrites } from '../../src/jobs/end-writes.ts';
+import { TerminalWrites } from '../../src/jobs/terminal-writes.ts';
 import type { Election } from '../../src/leadership/election.ts';
 import type { Tamper } from '../../src/sim/node.ts';
 import { parse, type TransactionBody } from '../../src/sim/protocol.ts';
--- a/test/sim/relay.test.ts
+++ b/test/sim/relay.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import type { Tamper } from '../../src/sim/node.ts';
-import { HeartbeatRelay } from '../../src/relay/report-relay.ts';
+import { HeartbeatRelay } from '../../src/relay/heartbeat-relay.ts';
 import { SEED } from '../helpers.ts';
 import { AMBIENT, describe, play, type DaySketch } from './days.ts';
 import { generatedDay, generatedTakeovers } from './generated.ts';
--- a/test/store/writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -2,9 +2,9 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { RateBudget } from '../../src/store/budget.ts';
-import type { CompareAndSwapResult } from '../../src/store/client.ts';
+import type { CompareAndSwapResult } from '../../src/store/key-value-store.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import { LeaderWriter, type WritePriority } from '../../src/store/writer.ts';
+import { LeaderWriter, type WritePriority } from '../../src/store/leader-writer.ts';
 import type { Mutation, Condition } from '../../src/wire/state.ts';
 import { FakeClock, SEED, silent } from '../helpers.ts';
 
--- a/test/store/memory.ts
+++ b/test/store/memory.ts
@@ -1,4 +1,4 @@
-import type { StoreResult, CompareAndSwapResult } from '../../src/store/client.ts';
+import type { StoreResult, CompareAndSwapResult } from '../../src/store/key-value-store.ts';
 import type { Mutation, Condition, Item } from '../../src/wire/state.ts';
 
 /** The state service as the protocol has it, in memory. */
--- a/test/workers/machine-registry.test.ts
+++ b/test/workers/machine-registry.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import type { Write } from '../../src/store/writer.ts';
+import type { Write } from '../../src/store/leader-writer.ts';
 import type { MachineIdentity } from '../../src/workers/machine.ts';
 import { MachineRegistry } from '../../src/workers/machine-registry.ts';
 import { SEED } from '../helpers.ts';
