--- a/test/jobs/bad-submissions.test.ts
+++ b/test/jobs/bad-submissions.test.ts
@@ -46,7 +46,7 @@
     const item = value === undefined ? null : { key, value, version: 1, lease: null };
     return Promise.resolve({ kind: 'ok' as const, value: item });
   };
-  const txn = (_conditions: unknown, changes: { put?: string }[]) => {
+  const compareAndSwap = (_conditions: unknown, changes: { put?: string }[]) => {
     if (!situation.store) return Promise.resolve({ kind: 'refused' as const });
     written.push(...changes.map((c) => c.put ?? ''));
     return Promise.resolve({ kind: 'ok' as const, revision: 2 });
@@ -62,7 +62,7 @@
   const userRequests = new UserRequests({
     clock: new FakeClock(),
     options: defaultOptions(),
-    store: { get, txn } as unknown as KeyValueStore,
+    store: { get, compareAndSwap } as unknown as KeyValueStore,
     terminalStates: new TerminalStateCache(10),
     submissions: new RateBudget(1000, () => 0),
     teams: [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }],
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -29,7 +29,7 @@
       clock.at += ms;
       return Promise.resolve({ kind: 'ok', value: found(key) });
     },
-    txn: () => {
+    compareAndSwap: () => {
       clock.at += ms;
       const known = KEYS.open(JOB.uid) in records;
       return Promise.resolve(known ? { kind: 'conflict', failed: [] } : { kind: 'ok', revision: 2 });
@@ -62,7 +62,7 @@
 } {
   const asked: PeerRequest[] = [];
   const refuse = () => Promise.resolve({ kind: 'refused' as const });
-  const store = { get: refuse, txn: refuse } as unknown as KeyValueStore;
+  const store = { get: refuse, compareAndSwap: refuse } as unknown as KeyValueStore;
   const userRequests = userRequestsOver(store, {
     callOthers: (request) => {
       asked.push(request);
--- a/test/leader/harness.ts
+++ b/test/leader/harness.ts
@@ -143,7 +143,7 @@
       writer: {
         backlog: 0,
         idle: false,
-        push: (job: Write | DeferredWrite) => {
+        enqueue: (job: Write | DeferredWrite) => {
           if ('build' in job) job.build();
           job.done();
         },
--- a/test/scheduling/round.test.ts
+++ b/test/scheduling/round.test.ts
@@ -163,7 +163,7 @@
   const place = (over: object) =>
     runRound([group(over)], views, [], FREE_TEAM, sizeOf, OPTIONS).placements[0]?.machine;
   assert.equal(place({}), 1);
-  assert.equal(place({ quick: true }), 0);
+  assert.equal(place({ latencySensitive: true }), 0);
   assert.equal(
     runRound(
       [group({ expected: true, latencySensitive: true })],
--- a/test/sim/relay.test.ts
+++ b/test/sim/relay.test.ts
@@ -84,10 +84,10 @@
 function answersAreKept(): Tamper {
   return {
     controller: (controller) => {
-      const { reports } = controller as unknown as { reports: { relay: HeartbeatRelay } };
+      const { heartbeats } = controller as unknown as { heartbeats: { relay: HeartbeatRelay } };
       const kept = new Map<string, { status: number; body: string }>();
-      const take = reports.relay.take.bind(reports.relay);
-      reports.relay.take = (body, reply) => {
+      const take = heartbeats.relay.take.bind(heartbeats.relay);
+      heartbeats.relay.take = (body, reply) => {
         const { hearth } = JSON.parse(body) as { hearth: string };
         const taken = take(body, (answer) => {
           if (answer.status === 200) kept.set(hearth, answer);
