--- a/test/store/leader-writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -56,7 +56,7 @@
 ): LeaderWriter {
   return new LeaderWriter(
     {
-      compareAndSwap: (conditions, changes) => store.txn(conditions, changes),
+      compareAndSwap: (conditions, changes) => store.compareAndSwap(conditions, changes),
       readFence: () => Promise.resolve(store.versions.get(KEYS.fence) ?? 0),
       readLeader: () => Promise.resolve(store.versions.get(KEYS.leader) ?? 0),
       lost: (reason) => lost.push(reason),
