--- a/test/store/leader-writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -35,7 +35,7 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  txn(conditions: readonly Condition[], changes: readonly Mutation[]): Promise<CompareAndSwapResult> {
+  compareAndSwap(conditions: readonly Condition[], changes: readonly Mutation[]): Promise<CompareAndSwapResult> {
     this.sent += 1;
     const fate = this.fates.shift() ?? 'ok';
     if (fate === 'refused') return Promise.resolve({ kind: 'refused' });
