--- a/test/store/leader-writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -35,7 +35,10 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  compareAndSwap(conditions: readonly Condition[], changes: readonly Mutation[]): Promise<CompareAndSwapResult> {
+  compareAndSwap(
+    conditions: readonly Condition[],
+    changes: readonly Mutation[],
+  ): Promise<CompareAndSwapResult> {
     this.sent += 1;
     const fate = this.fates.shift() ?? 'ok';
     if (fate === 'refused') return Promise.resolve({ kind: 'refused' });
--- a/test/store/memory.ts
+++ b/test/store/memory.ts
@@ -15,7 +15,10 @@
     return Promise.resolve({ kind: 'ok', value: found ? { key, ...found, lease: null } : null });
   }
 
-  compareAndSwap(conditions: readonly Condition[], changes: readonly Mutation[]): Promise<CompareAndSwapResult> {
+  compareAndSwap(
+    conditions: readonly Condition[],
+    changes: readonly Mutation[],
+  ): Promise<CompareAndSwapResult> {
     const fate = this.fates.shift();
     if (fate === 'over_limit') return Promise.resolve({ kind: 'refused', overLimit: true });
     const result = this.apply(conditions, changes);
