--- a/src/leader/command-dispatcher.ts
+++ b/src/leader/command-dispatcher.ts
@@ -81,9 +81,9 @@
         m.commandInFlight = false;
         for (const a of launched) {
           a.inFlight -= 1;
-          if (result === 'silent') a.inDoubt = true;
+          if (result.kind === 'unanswered') a.inDoubt = true;
         }
-        if (result === 'silent' || result === 'not_sent') {
+        if (result.kind !== 'answered') {
           m.commandNotBefore = now + FAILED_PAUSE_MS;
           m.missedAcknowledgements += 1;
           this.silent.add(m);
@@ -92,7 +92,7 @@
         m.commandNotBefore = now + (result.executed ? DONE_PAUSE_MS : REFUSED_PAUSE_MS);
         m.acknowledged(now);
         this.silent.clear();
-        this.onResponse(result.report);
+        this.onResponse(result.heartbeat);
       });
     });
   }
@@ -106,10 +106,10 @@
     if (this.probing.has(m) || this.probing.size >= most || m.id.address === '') return;
     this.probing.add(m);
     const { host } = this.deps;
-    void host.inspect(m).then((report) => {
+    void host.inspect(m).then((result) => {
       void host.pause(PROBE_PAUSE_MS).then(() => this.probing.delete(m));
       host.enqueue(() => {
-        if (!report) {
+        if (result.kind !== 'answered') {
           m.probesFailed += 1;
           this.silent.add(m);
           return;
@@ -117,7 +117,7 @@
         m.acknowledged(host.clock.now());
         this.silent.clear();
         // Another leads by now. The lease, reports and orders end this leadership; what such a worker does is not ours.
-        if (report.fencingToken <= this.deps.term) this.onResponse(report);
+        if (result.heartbeat.fencingToken <= this.deps.term) this.onResponse(result.heartbeat);
       });
     });
   }
--- a/src/leader/context.ts
+++ b/src/leader/context.ts
@@ -8,8 +8,9 @@
 import type { TeamQuota } from '../jobs/admission.ts';
 import type { LeaderWriter } from '../store/leader-writer.ts';
 import type { JobStatus } from '../wire/user.ts';
-import type { Command, Heartbeat } from '../wire/worker.ts';
+import type { Command } from '../wire/worker.ts';
 import type { Machine } from '../workers/machine.ts';
+import type { CommandResult, InspectResult } from '../workers/worker-client.ts';
 
 /** What the leader does to the world; all of it goes through here, so tests can watch. */
 export interface LeaderHost {
@@ -17,12 +18,9 @@
   log: Logger;
   /** True while no other node can hold the leader key. */
   hasValidLease(): boolean;
-  /** Sends orders straight to a worker; null without an answer. `executed` false: it refused them. */
-  sendCommands(
-    machine: Machine,
-    commands: Command[],
-  ): Promise<{ report: Heartbeat; executed: boolean } | 'not_sent' | 'silent'>;
-  inspect(machine: Machine): Promise<Heartbeat | null>;
+  /** Sends commands straight to a worker. */
+  sendCommands(machine: Machine, commands: Command[]): Promise<CommandResult>;
+  inspect(machine: Machine): Promise<InspectResult>;
   onTerminalState(id: string, status: JobStatus): void;
   isTerminal(id: string): boolean;
   /** The final record of a job may be in the store, though its write isn't confirmed yet. */
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -1,42 +1,76 @@
+/** Client of the workers' own HTTP interface: direct commands and inspections. */
 import type { HttpSender } from '../http/client.ts';
 import { decodeHeartbeat, encodeCommands, type Command, type Heartbeat } from '../wire/worker.ts';
 import type { Machine } from './machine.ts';
 
-export type CommandResult = { report: Heartbeat; executed: boolean } | 'not_sent' | 'silent';
+/** How a message of direct commands ended. Failures are ordinary here: what follows depends on the kind. */
+export type CommandResult =
+  /** The worker answered with its state. `executed` false: it refused the commands. */
+  | { readonly kind: 'answered'; readonly heartbeat: Heartbeat; readonly executed: boolean }
+  /** The commands were not sent, or turned away unread: they are not executed. */
+  | { readonly kind: 'notSent' }
+  /** No usable answer arrived: the commands may be executed, now or later. */
+  | { readonly kind: 'unanswered' };
+
+/** How an inspection of a worker ended. */
+export type InspectResult =
+  | { readonly kind: 'answered'; readonly heartbeat: Heartbeat }
+  /** The connection failed, or nothing came back in time. */
+  | { readonly kind: 'unanswered' }
+  /** The worker answered with an HTTP status other than 200. */
+  | { readonly kind: 'rejected'; readonly status: number }
+  /** The answer does not decode as a heartbeat. */
+  | { readonly kind: 'malformed'; readonly reason: string };
+
+/** Carries requests to workers: the workers' clients share a number of connections. */
+export interface WorkerNetwork {
+  /** The sender of requests to the worker at `address` (host and port). */
+  connect(address: string): HttpSender;
+  close(): void;
+}
 
 const COMMAND_TIMEOUT_MS = 2500;
 const INSPECT_TIMEOUT_MS = 2000;
+const HTTP_OK = 200;
+const HTTP_CONFLICT = 409;
 
-/** Speaks to workers at their own addresses. */
+/** Sends requests to workers at their own addresses. */
 export class WorkerClient {
-  /** `network`: clients of workers that share a number of connections. */
-  constructor(private readonly network: { connect(address: string): HttpSender; close(): void }) {}
+  constructor(private readonly network: WorkerNetwork) {}
 
-  /** `wanted`: whether the orders may still be sent, asked right before they are. */
+  /**
+   * Sends commands for the machine's present incarnation under the fencing token `token`. `mayStillSend` is asked
+   * right before the request is written.
+   */
   async sendCommands(
     machine: Machine,
     token: number,
     commands: readonly Command[],
-    wanted: () => boolean,
+    mayStillSend: () => boolean,
   ): Promise<CommandResult> {
     const body = encodeCommands(token, machine.incarnation, commands);
     const client = this.network.connect(machine.id.address);
-    const result = await client.send('POST', '/orders', body, COMMAND_TIMEOUT_MS, wanted);
-    if (result.kind === 'silent') return result.sent ? 'silent' : 'not_sent';
-    if (result.status !== 200 && result.status !== 409) return 'not_sent';
-    const report = decodeHeartbeat(result.body);
-    // An answer that doesn't decode proves nothing about the orders.
-    return report.ok ? { report: report.value, executed: result.status === 200 } : 'silent';
+    const result = await client.send('POST', '/orders', body, COMMAND_TIMEOUT_MS, mayStillSend);
+    if (result.kind === 'silent') return result.sent ? { kind: 'unanswered' } : { kind: 'notSent' };
+    if (result.status !== HTTP_OK && result.status !== HTTP_CONFLICT) return { kind: 'notSent' };
+    const decoded = decodeHeartbeat(result.body);
+    // An answer that doesn't decode proves nothing about the commands.
+    if (!decoded.ok) return { kind: 'unanswered' };
+    return { kind: 'answered', heartbeat: decoded.value, executed: result.status === HTTP_OK };
   }
 
-  async inspect(machine: Machine): Promise<Heartbeat | null> {
+  /** Asks a worker for its state, outside of its heartbeats. */
+  async inspect(machine: Machine): Promise<InspectResult> {
     const client = this.network.connect(machine.id.address);
     const result = await client.send('GET', '/inspect', null, INSPECT_TIMEOUT_MS);
-    if (result.kind !== 'answer' || result.status !== 200) return null;
-    const report = decodeHeartbeat(result.body);
-    return report.ok ? report.value : null;
+    if (result.kind === 'silent') return { kind: 'unanswered' };
+    if (result.status !== HTTP_OK) return { kind: 'rejected', status: result.status };
+    const decoded = decodeHeartbeat(result.body);
+    if (!decoded.ok) return { kind: 'malformed', reason: decoded.reason };
+    return { kind: 'answered', heartbeat: decoded.value };
   }
 
+  /** Closes the connections to all workers. */
   close(): void {
     this.network.close();
   }
--- a/test/jobs/controllers.ts
+++ b/test/jobs/controllers.ts
@@ -432,8 +432,8 @@
         clock: { now: () => this.sim.at, wall: () => this.sim.at },
         log: silent,
         hasValidLease: () => current() && this.sim.at < held.sureUntil,
-        sendCommands: () => Promise.resolve('not_sent'),
-        inspect: () => Promise.resolve(null),
+        sendCommands: () => Promise.resolve({ kind: 'notSent' }),
+        inspect: () => Promise.resolve({ kind: 'unanswered' }),
         onTerminalState: (id) => {
           finals.add(id);
           endWrites.forget(id);
--- a/test/leader/harness.ts
+++ b/test/leader/harness.ts
@@ -97,10 +97,13 @@
           new Promise((answer) => {
             this.orders.push({ machine: machine.name, session: machine.incarnation, commands, answer });
             const worker = this.workers.get(machine.name);
-            if (worker) answer({ report: worker.execute(commands), executed: true });
+            if (worker) answer({ kind: 'answered', heartbeat: worker.execute(commands), executed: true });
           }),
         inspect: (machine) =>
-          new Promise((answer) => {
+          new Promise((resolve) => {
+            const answer = (report: Heartbeat | null): void => {
+              resolve(report ? { kind: 'answered', heartbeat: report } : { kind: 'unanswered' });
+            };
             this.inspected.push({ machine: machine.name, answer });
             const worker = this.workers.get(machine.name);
             if (worker) answer(worker.report());
--- a/test/leader/leader.test.ts
+++ b/test/leader/leader.test.ts
@@ -54,13 +54,13 @@
     return h;
   };
   const h = await ordered();
-  h.orders[0]!.answer({ report: higher, executed: false });
+  h.orders[0]!.answer({ kind: 'answered', heartbeat: higher, executed: false });
   await h.pass(1);
   assert.equal(h.superseded, 1);
 
   const ended = await ordered();
   ended.leader.stop();
-  ended.orders[0]!.answer({ report: higher, executed: false });
+  ended.orders[0]!.answer({ kind: 'answered', heartbeat: higher, executed: false });
   await ended.pass(1);
   assert.equal(ended.superseded, 0);
 });
@@ -188,7 +188,7 @@
   h.leader.observeOpenRecord(job.id, openValue(job, h.clock.wall()));
   await h.pass(1);
   assert.equal(h.orders[0]?.commands[0]?.op, 'start');
-  h.orders[0].answer('silent');
+  h.orders[0].answer({ kind: 'unanswered' });
   assert.ok(h.leader.cancel(job.id, () => undefined));
   const { cancel_s, lease_s } = SETTINGS.settings.workers;
   assert.equal(await passReporting(cancel_s / 4), true, 'first the cloud is asked to take it back');
--- a/test/leader/standstill.test.ts
+++ b/test/leader/standstill.test.ts
@@ -88,10 +88,10 @@
         hasValidLease: surelyLeading,
         sendCommands: (_machine, commands) => {
           this.note(commands);
-          return Promise.resolve('silent');
+          return Promise.resolve({ kind: 'unanswered' });
         },
         // Questions stay without an answer: as they do from inside a cut.
-        inspect: () => Promise.resolve(null),
+        inspect: () => Promise.resolve({ kind: 'unanswered' }),
         onTerminalState: () => undefined,
         isTerminal: () => false,
         outcomeMayBeWritten: () => false,
