--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -98,14 +98,14 @@
  */
 export class WarmUp {
   private turn = 0;
-  private readonly machine = new Machine(
-    0,
-    { name: 'n-000000', address: 'x:1', machineType: 'x', zone: 'x', spot: false },
-    0,
-    0,
-    0,
-    0,
-  );
+  private readonly machine = new Machine({
+    index: 0,
+    id: { name: 'n-000000', address: 'x:1', machineType: 'x', zone: 'x', spot: false },
+    type: 0,
+    zone: 0,
+    now: 0,
+    answeredBefore: 0,
+  });
   private readonly job: Job | null;
 
   constructor(private readonly turns: number) {
--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -1,5 +1,6 @@
 import type { Job } from '../jobs/job.ts';
-import type { Attempt, Machine } from '../workers/machine.ts';
+import type { Attempt } from '../workers/attempt.ts';
+import type { Machine } from '../workers/machine.ts';
 
 export interface Gang {
   number: number;
--- a/src/leader/command-dispatcher.ts
+++ b/src/leader/command-dispatcher.ts
@@ -1,129 +1,184 @@
+/** Direct requests to workers: commands that can't wait for the next heartbeat, and probes of silent machines. */
+import { BUSY_MS } from '../base/event-loop-lag.ts';
 import type { Command, Heartbeat } from '../wire/worker.ts';
-import { attemptKey, type Attempt, type Machine } from '../workers/machine.ts';
+import { attemptKey, type Attempt } from '../workers/attempt.ts';
+import type { Machine } from '../workers/machine.ts';
 import { commandsFor, startIsDurable } from '../workers/reconcile.ts';
+import type { CommandResult, InspectResult } from '../workers/worker-client.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
-import { BUSY_MS } from '../base/event-loop-lag.ts';
 
 /**
- * Questions to workers under way at once, at least and as a share of all machines: after a takeover, or when many have
- * died, there are as many to ask as there are machines. They stay within the sockets for orders.
+ * Probes in flight at once, at least and as a share of all machines: after a failover, or when many have died, there
+ * are as many to probe as there are machines. They stay within the sockets for direct requests.
  */
-const LEAST_PROBES = 16;
-const PROBES_SHARE = 0.01;
-const MOST_PROBES_BUSY = 4;
+const MIN_CONCURRENT_PROBES = 16;
+const CONCURRENT_PROBES_SHARE = 0.01;
+const MAX_CONCURRENT_PROBES_BUSY = 4;
+/** Least time between the answer to a probe of a machine and its next probe. */
 const PROBE_PAUSE_MS = 800;
+/** Pause before the next commands to a machine that gave no answer. */
 const FAILED_PAUSE_MS = 1000;
+/** Pause after commands that the worker refused. */
 const REFUSED_PAUSE_MS = 50;
-const DONE_PAUSE_MS = 300;
+/** Pause after commands that the worker executed. */
+const EXECUTED_PAUSE_MS = 300;
 
-/** What the leader sends straight to workers: orders that can't wait for the next report, and questions. */
+/** Sends direct commands and probes, and keeps account of the machines that don't answer them. */
 export class CommandDispatcher {
   private readonly probing = new Set<Machine>();
   /** Machines that did not answer since the last one that did. */
-  private readonly silent = new Set<Machine>();
+  private readonly unanswered = new Set<Machine>();
 
   constructor(
     private readonly cluster: Cluster,
     private readonly deps: LeaderDeps,
-    /** Takes in what a worker answered. */
-    private readonly onResponse: (report: Heartbeat) => void,
+    /** Applies what a worker answered. */
+    private readonly onResponse: (heartbeat: Heartbeat) => void,
   ) {}
 
+  /** Whether new tasks may start on the machine now. */
   mayStartOn(machine: Machine): boolean {
     return machine.registered && !machine.terminating && this.deps.host.hasValidLease();
   }
 
-  /** Machines asked or ordered without an answer since any machine last answered. */
+  /** The number of machines that left a direct request unanswered since any machine last answered one. */
   get unreachedCount(): number {
-    return this.silent.size;
+    return this.unanswered.size;
   }
 
-  hasDueCommands(m: Machine): boolean {
-    for (const a of m.attempts.values()) {
-      if (a.released) continue;
-      if (a.stopGraceS !== null ? a.observed : !a.observed && startIsDurable(a) && this.mayStartOn(m))
+  /** Whether a stop or a start should be sent to the machine. */
+  hasDueCommands(machine: Machine): boolean {
+    for (const attempt of machine.attempts.values()) {
+      if (attempt.released) continue;
+      if (attempt.stopGraceS !== null) {
+        if (attempt.observed) return true;
+      } else if (!attempt.observed && startIsDurable(attempt) && this.mayStartOn(machine)) {
         return true;
+      }
     }
     return false;
   }
 
-  /** Sends what is due. Only machines at which something changed are looked at. */
+  /** Sends what is due. Only machines at which something changed are checked. */
   dispatchDue(): void {
     const now = this.deps.host.clock.now();
     const busy = this.deps.host.lagMs() > BUSY_MS;
-    for (const m of this.cluster.commandsDue) {
-      if (m.commandInFlight || now < m.commandNotBefore) continue;
-      if (this.cluster.machines.get(m.name) !== m || !this.hasDueCommands(m)) {
-        this.cluster.commandsDue.delete(m);
+    for (const machine of this.cluster.commandsDue) {
+      if (machine.commandInFlight || now < machine.commandNotBefore) continue;
+      if (this.cluster.machines.get(machine.name) !== machine || !this.hasDueCommands(machine)) {
+        this.cluster.commandsDue.delete(machine);
         continue;
       }
-      if (m.incarnation === 0 || m.leaseExpired) continue;
-      // Starts can go with the answer to the next report, which costs less.
-      if (busy && !hasStopDue(m)) continue;
-      this.dispatch(m, commandsFor(m, this.mayStartOn(m)));
+      if (machine.incarnation === 0 || machine.leaseExpired) continue;
+      // Starts can go with the response to the next heartbeat, which costs less.
+      if (busy && !hasDueStop(machine)) continue;
+      this.dispatch(machine, commandsFor(machine, this.mayStartOn(machine)));
     }
   }
 
-  dispatch(m: Machine, commands: Command[]): void {
-    m.commandInFlight = true;
-    const launched: Attempt[] = [];
-    for (const c of commands) {
-      if (c.op !== 'start') continue;
-      const a = m.attempts.get(attemptKey(c.jobId, c.task, c.attempt));
-      if (a) launched.push(a);
-    }
-    for (const a of launched) a.inFlight += 1;
+  /** Sends commands straight to a machine's worker; without any, the message only shows it our fencing token. */
+  dispatch(machine: Machine, commands: Command[]): void {
+    machine.beginCommand();
+    const started = attemptsStartedBy(machine, commands);
+    for (const attempt of started) attempt.noteStartSent();
     const { host } = this.deps;
-    void host.sendCommands(m, commands).then((result) => {
+    const settle = (result: CommandResult): void => {
       host.enqueue(() => {
-        const now = host.clock.now();
-        m.commandInFlight = false;
-        for (const a of launched) {
-          a.inFlight -= 1;
-          if (result.kind === 'unanswered') a.inDoubt = true;
-        }
-        if (result.kind !== 'answered') {
-          m.commandNotBefore = now + FAILED_PAUSE_MS;
-          m.missedAcknowledgements += 1;
-          this.silent.add(m);
-          return;
-        }
-        m.commandNotBefore = now + (result.executed ? DONE_PAUSE_MS : REFUSED_PAUSE_MS);
-        m.acknowledged(now);
-        this.silent.clear();
-        this.onResponse(result.heartbeat);
+        this.onCommandResult(machine, started, result);
       });
+    };
+    host.sendCommands(machine, commands).then(settle, (error: unknown) => {
+      this.logFailure(machine, error);
+      settle({ kind: 'unanswered' });
     });
   }
 
-  /** Asks a worker directly: its reports may be lost on the way while it lives, or our answers to it. */
-  probe(m: Machine): void {
-    const most =
-      this.deps.host.lagMs() > BUSY_MS
-        ? MOST_PROBES_BUSY
-        : Math.max(LEAST_PROBES, Math.floor(this.cluster.machines.size * PROBES_SHARE));
-    if (this.probing.has(m) || this.probing.size >= most || m.id.address === '') return;
-    this.probing.add(m);
+  private onCommandResult(machine: Machine, started: readonly Attempt[], result: CommandResult): void {
+    const now = this.deps.host.clock.now();
+    for (const attempt of started) attempt.noteStartSettled(result.kind === 'unanswered');
+    if (result.kind !== 'answered') {
+      machine.endCommand(now + FAILED_PAUSE_MS);
+      machine.noteMissedAcknowledgement();
+      this.unanswered.add(machine);
+      return;
+    }
+    machine.endCommand(now + (result.executed ? EXECUTED_PAUSE_MS : REFUSED_PAUSE_MS));
+    machine.acknowledged(now);
+    this.unanswered.clear();
+    this.onResponse(result.heartbeat);
+  }
+
+  /** Asks a worker for its state: its heartbeats may be lost on the way while it lives, or our responses to it. */
+  probe(machine: Machine): void {
+    if (this.probing.has(machine) || this.probing.size >= this.maxConcurrentProbes()) return;
+    if (machine.id.address === '') return;
+    this.probing.add(machine);
     const { host } = this.deps;
-    void host.inspect(m).then((result) => {
-      void host.pause(PROBE_PAUSE_MS).then(() => this.probing.delete(m));
+    const settle = (result: InspectResult): void => {
+      this.allowProbeAfterPause(machine);
       host.enqueue(() => {
-        if (result.kind !== 'answered') {
-          m.probesFailed += 1;
-          this.silent.add(m);
-          return;
-        }
-        m.acknowledged(host.clock.now());
-        this.silent.clear();
-        // Another leads by now. The lease, reports and orders end this leadership; what such a worker does is not ours.
-        if (result.heartbeat.fencingToken <= this.deps.term) this.onResponse(result.heartbeat);
+        this.onProbeResult(machine, result);
       });
+    };
+    host.inspect(machine).then(settle, (error: unknown) => {
+      this.logFailure(machine, error);
+      settle({ kind: 'unanswered' });
     });
   }
+
+  private maxConcurrentProbes(): number {
+    if (this.deps.host.lagMs() > BUSY_MS) return MAX_CONCURRENT_PROBES_BUSY;
+    const share = Math.floor(this.cluster.machines.size * CONCURRENT_PROBES_SHARE);
+    return Math.max(MIN_CONCURRENT_PROBES, share);
+  }
+
+  private allowProbeAfterPause(machine: Machine): void {
+    const allow = (): void => {
+      this.probing.delete(machine);
+    };
+    this.deps.host.pause(PROBE_PAUSE_MS).then(allow, allow);
+  }
+
+  private onProbeResult(machine: Machine, result: InspectResult): void {
+    if (result.kind !== 'answered') {
+      machine.noteFailedProbe();
+      this.unanswered.add(machine);
+      return;
+    }
+    machine.acknowledged(this.deps.host.clock.now());
+    this.unanswered.clear();
+    // With a higher token another leads by now. The lease, heartbeats and commands end this leadership; what such a
+    // worker does is not ours.
+    if (result.heartbeat.fencingToken <= this.deps.term) this.onResponse(result.heartbeat);
+  }
+
+  /** A request that fails other than by its result is a defect; its machine counts as unanswered. */
+  private logFailure(machine: Machine, error: unknown): void {
+    this.deps.host.log.error(
+      {
+        machine: machine.name,
+        error: error instanceof Error ? (error.stack ?? error.message) : String(error),
+      },
+      'direct request failed',
+    );
+  }
 }
 
-function hasStopDue(m: Machine): boolean {
-  for (const a of m.attempts.values()) if (!a.released && a.observed && a.stopGraceS !== null) return true;
+/** The machine's attempts that the commands start. */
+function attemptsStartedBy(machine: Machine, commands: readonly Command[]): Attempt[] {
+  const started: Attempt[] = [];
+  for (const command of commands) {
+    if (command.op !== 'start') continue;
+    const attempt = machine.attempts.get(attemptKey(command.jobId, command.task, command.attempt));
+    if (attempt) started.push(attempt);
+  }
+  return started;
+}
+
+function hasDueStop(machine: Machine): boolean {
+  for (const attempt of machine.attempts.values()) {
+    if (!attempt.released && attempt.observed && attempt.stopGraceS !== null) return true;
+  }
   return false;
 }
--- a/src/leader/gangs.ts
+++ b/src/leader/gangs.ts
@@ -1,5 +1,5 @@
 import type { Job } from '../jobs/job.ts';
-import type { Attempt } from '../workers/machine.ts';
+import type { Attempt } from '../workers/attempt.ts';
 import type { Cluster, Gang } from './cluster.ts';
 import type { Logger } from '../base/log.ts';
 
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -115,17 +115,17 @@
       this.onDirectResponse(report);
     });
     this.rounds = new SchedulingRounds(this.cluster, this.provisioner, views, this.attempts, deps);
-    this.monitor = new MachineMonitor(
-      this.cluster,
-      this.provisioner,
-      this.attempts,
-      this.dispatcher,
-      deps,
-      this.startedAt,
-      (a, reason) => {
-        this.rounds.stopGracefully(a, reason);
+    this.monitor = new MachineMonitor({
+      ...deps,
+      cluster: this.cluster,
+      provisioner: this.provisioner,
+      attempts: this.attempts,
+      dispatcher: this.dispatcher,
+      startedAt: this.startedAt,
+      stopGracefully: (attempt, reason) => {
+        this.rounds.stopGracefully(attempt, reason);
       },
-    );
+    });
     this.registry = new MachineRegistry({
       pageBytes,
       enqueueWrite: (job, urgent) => {
@@ -330,7 +330,9 @@
     );
     const type = this.deps.catalog.typeIndex(id.machineType);
     const zone = this.deps.zones.index(id.zone);
-    return this.cluster.addMachine((index) => new Machine(index, id, type, zone, this.now(), answeredBefore));
+    return this.cluster.addMachine(
+      (index) => new Machine({ index, id, type, zone, now: this.now(), answeredBefore }),
+    );
   }
 
   /** A worker's own report. Returns the commands of the answer, or null if it must not be answered with 200. */
@@ -376,7 +378,10 @@
     }
     this.provisioner.onMachineUp(report.machine);
     const { lease_s, report_s } = this.deps.settings.settings.workers;
-    machine.noteContact(report, direct, this.term, now, {
+    machine.noteContact(report, {
+      direct,
+      term: this.term,
+      now,
       leaseMs: lease_s * 1000,
       reportMs: report_s * 1000,
     });
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -89,7 +89,8 @@
       // Work must not wait on a machine that may be no more than a late copy of a report, or that hears nothing.
       if (m.fencingToken !== this.deps.term || m.missedAcknowledgements > 0) continue;
       if (machineHealth(m.failures, m.index, now) !== 'healthy') continue;
-      const fetchingS = m.fetchingUntil > now ? (m.fetchingUntil - now) / 1000 : 0;
+      const { fetchingUntil } = m.images;
+      const fetchingS = fetchingUntil > now ? (fetchingUntil - now) / 1000 : 0;
       views.push({
         machine: m.index,
         type: m.type,
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -12,7 +12,8 @@
   type QuotaHeadroom,
 } from '../scheduling/snapshot.ts';
 import { machineHealth } from '../workers/failure-attribution.ts';
-import type { Attempt, Machine } from '../workers/machine.ts';
+import type { Attempt } from '../workers/attempt.ts';
+import type { Machine } from '../workers/machine.ts';
 import type { Attempts } from './attempts.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -9,7 +9,8 @@
   type Resources,
   type QuotaHeadroom,
 } from '../scheduling/snapshot.ts';
-import type { Attempt, Machine } from '../workers/machine.ts';
+import type { Attempt } from '../workers/attempt.ts';
+import type { Machine } from '../workers/machine.ts';
 import type { Cluster } from './cluster.ts';
 import { BestEffortWork } from './best-effort-work.ts';
 import { TaskGroups } from './task-groups.ts';
--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -7,11 +7,11 @@
  * - A job is *failing* once it has failed on `FAILING_MACHINES` different machines and none of its tasks has ever
  *   succeeded. A failing job is evidence against no machine.
  * - A failure is *proof* against a machine if a task of the same job has succeeded on another machine, before or after
- *   it. A machine with proof from `FAULTY_JOBS` jobs is *faulty*: it is returned.
- * - A failure is a *suspicion* while the job has failed on no other machine. A machine under suspicion of (or proven
- *   by) `SUSPECTING_JOBS` jobs in all takes no new tasks until `SUSPICION_MS` after its last failure.
+ *   it. A machine with proof from `FAULTY_JOBS` jobs is *faulty*: it is terminated.
+ * - A failure is a *suspicion* while the job has failed on no other machine. A machine with proof or suspicion from
+ *   `QUARANTINE_JOBS` jobs in all is *quarantined*: it takes no new tasks until `QUARANTINE_MS` after its last failure.
  * - Attempts after failures without a success between them are spaced by `retryDelayMs`. Failures of attempts that
- *   were under way at the same time count as one.
+ *   were in progress at the same time count as one.
  *
  * The history lives in the leader's memory. A new leader learns it anew, which costs a failing job a few attempts.
  */
@@ -20,14 +20,16 @@
 export const FAILING_MACHINES = 3;
 /** Jobs whose failures prove a machine to be faulty. */
 export const FAULTY_JOBS = 2;
-/** Jobs whose failures, proven or not, keep new tasks away from a machine for a while. */
+/** Jobs whose failures, proven or not, quarantine a machine. */
 export const QUARANTINE_JOBS = 3;
-/** How long after its last failure a suspected machine takes no new tasks, in milliseconds. */
+/** How long after its last failure a quarantined machine takes no new tasks, in milliseconds. */
 export const QUARANTINE_MS = 60_000;
 /** Delay of the second retry, in milliseconds; the first one is made at once, on another machine. */
 export const RETRY_BASE_MS = 2000;
 /** Greatest delay between two attempts, in milliseconds. */
 export const RETRY_MAX_MS = 60_000;
+/** Doublings of the delay that are ever counted; the greatest delay is reached long before. */
+const MAX_RETRY_DOUBLINGS = 16;
 
 /** What is remembered of one job's attempts. Machines are given by index. */
 export interface JobFailures {
@@ -41,6 +43,7 @@
   succeededOnSeveral: boolean;
   /** Failures since the last success, those of simultaneous attempts counted once. */
   failureCount: number;
+  /** Time of the last failure that was counted, in milliseconds on the steady clock. */
   lastFailureAt: number;
 }
 
@@ -52,8 +55,21 @@
   lastAt: number;
 }
 
+/** One attempt that ended with `error`. Times are in milliseconds on the steady clock. */
+export interface TaskFailure {
+  readonly job: JobFailures;
+  readonly machine: MachineFailures;
+  readonly machineIndex: number;
+  /** When the attempt was assigned to the machine. */
+  readonly assignedAt: number;
+  /** When it ended. */
+  readonly now: number;
+}
+
+/** What a machine's failures say of it: a quarantined one takes no new tasks, a faulty one is terminated. */
 export type MachineHealth = 'healthy' | 'quarantined' | 'faulty';
 
+/** The history of a job that has neither failed nor succeeded. */
 export function newJobFailures(): JobFailures {
   return {
     failedOn: new Set(),
@@ -65,18 +81,13 @@
   };
 }
 
+/** The history of a machine on which nothing has failed. */
 export function newMachineFailures(): MachineFailures {
   return { jobs: new Set(), lastAt: -Infinity };
 }
 
-/** Notes that an attempt, made at `assignedAt`, ended with `error` at `now` (milliseconds, steady clock). */
-export function recordFailure(
-  job: JobFailures,
-  machine: MachineFailures,
-  machineIndex: number,
-  assignedAt: number,
-  now: number,
-): void {
+/** Records that an attempt ended with `error`. */
+export function recordFailure({ job, machine, machineIndex, assignedAt, now }: TaskFailure): void {
   job.failedOn.add(machineIndex);
   if (assignedAt >= job.lastFailureAt) {
     job.failureCount += 1;
@@ -86,7 +97,7 @@
   machine.lastAt = now;
 }
 
-/** Notes that a task of the job was done on this machine. */
+/** Records that a task of the job was done on this machine. */
 export function recordSuccess(job: JobFailures, machineIndex: number): void {
   job.failureCount = 0;
   if (job.succeededOn === null) job.succeededOn = machineIndex;
@@ -102,21 +113,23 @@
 /** How long the job's next attempt waits after its last failure, in milliseconds. */
 export function retryDelayMs(job: JobFailures): number {
   if (job.failureCount <= 1) return 0;
-  return Math.min(RETRY_MAX_MS, RETRY_BASE_MS * 2 ** Math.min(16, job.failureCount - 2));
+  const doublings = Math.min(MAX_RETRY_DOUBLINGS, job.failureCount - 2);
+  return Math.min(RETRY_MAX_MS, RETRY_BASE_MS * 2 ** doublings);
 }
 
 function succeededElsewhere(job: JobFailures, machineIndex: number): boolean {
   return job.succeededOnSeveral || (job.succeededOn !== null && job.succeededOn !== machineIndex);
 }
 
+/** Judges a machine by its failures, at `now` in milliseconds on the steady clock. */
 export function machineHealth(machine: MachineFailures, machineIndex: number, now: number): MachineHealth {
   let proven = 0;
-  let suspecting = 0;
+  let suspicious = 0;
   for (const job of machine.jobs) {
     if (succeededElsewhere(job, machineIndex)) proven += 1;
-    else if (job.failedOn.size === 1) suspecting += 1;
+    else if (job.failedOn.size === 1) suspicious += 1;
   }
   if (proven >= FAULTY_JOBS) return 'faulty';
-  const suspected = proven + suspecting >= QUARANTINE_JOBS && now - machine.lastAt < QUARANTINE_MS;
-  return suspected ? 'quarantined' : 'healthy';
+  const quarantined = proven + suspicious >= QUARANTINE_JOBS && now - machine.lastAt < QUARANTINE_MS;
+  return quarantined ? 'quarantined' : 'healthy';
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,192 +1,300 @@
-import type { Job } from '../jobs/job.ts';
-import type { ExitReason, TaskPhase } from '../wire/worker.ts';
+/** What the leader knows of one machine: its worker's connectivity, incarnation and lease, its tasks and images. */
+import type { Heartbeat } from '../wire/worker.ts';
+import type { Attempt } from './attempt.ts';
 import { newMachineFailures } from './failure-attribution.ts';
+import { ImageCache } from './image-cache.ts';
 
-/** One start of a task on a machine, from the decision until the machine has forgotten it. */
-export interface Attempt {
-  readonly jobId: string;
-  readonly task: number;
-  readonly number: number;
-  readonly machine: Machine;
-  /** null: a task of a job that isn't open, left over from before. */
-  readonly job: Job | null;
-  phase: 'launching' | TaskPhase;
-  /** The worker has reported it in this session. */
-  observed: boolean;
-  /** It no longer counts: ended, or surely gone. */
-  released: boolean;
-  exitReason: ExitReason | null;
-  /** Grace of the stop that was decided, or null. */
-  stopGraceS: number | null;
-  /** Direct launches that had no answer: they may be executed as long as the session lasts. */
-  inDoubt: boolean;
-  /** Direct launches on their way. */
-  inFlight: number;
-  /** The answer to the worker's last report carried a launch, and may still be on its way. */
-  startInResponse: boolean;
-  /** When the watch first saw that it may still start though its job is cancelled, or null. */
-  unwantedSince: number | null;
-  /** Only the end of the session keeps it from starting too late. */
-  awaitingLeaseExpiry: boolean;
-  assignedAt: number;
-  runningSince: number | null;
-}
-
+/** What a machine is, as its worker reports it and the machine registry keeps it. */
 export interface MachineIdentity {
   name: string;
+  /** Host and port of its worker. */
   address: string;
   machineType: string;
   zone: string;
   spot: boolean;
 }
 
-/** What the leader knows of one machine, from its worker's reports. */
+/** How a machine enters the leader's state. */
+export interface MachineOrigin {
+  /** Dense index among all machines of this leadership. */
+  index: number;
+  id: MachineIdentity;
+  /** Index of its type in the catalog. */
+  type: number;
+  /** Index of its zone. */
+  zone: number;
+  /** Milliseconds on the steady clock, as are all times of a machine. */
+  now: number;
+  /** Upper bound for when anyone may have answered a heartbeat of it. */
+  answeredBefore: number;
+}
+
+/** What it takes to judge whether a heartbeat shows that messages pass in both directions. */
+export interface ContactContext {
+  /** It came as the answer to a direct request. */
+  direct: boolean;
+  /** The leader's own fencing token. */
+  term: number;
+  now: number;
+  leaseMs: number;
+  /** Interval between two heartbeats. */
+  reportMs: number;
+}
+
+/** Heartbeat intervals for which a machine may go on with an older fencing token though it is answered. */
+const MOST_INTERVALS_BEHIND = 2;
+
+/** One machine, as far as its worker's messages and the leader's own decisions tell. Fields are grouped by concern. */
 export class Machine {
-  incarnation = 0;
-  sequence = 0;
-  fencingToken = 0;
-  /** When a report (or the answer to an order) last arrived; -Infinity before. */
-  lastMessageAt = -Infinity;
-  /** When a newer report of its own last arrived: only such reports renew its lease. */
-  lastHeartbeatAt = -Infinity;
-  /** Upper bound for when anyone last answered a report of it: its lease counts from before that. */
+  // ---- identity ----
+
+  readonly index: number;
+  readonly id: MachineIdentity;
+  readonly type: number;
+  readonly zone: number;
+
+  // ---- connectivity ----
+
+  private messageAt = -Infinity;
+  private heartbeatAt = -Infinity;
+  private roundTripAt = -Infinity;
+  private failedProbes = 0;
+  private missed = 0;
+  /** When it first reported a token older than ours, though it had been answered. */
+  private behindSince: number | null = null;
+
+  // ---- incarnation and lease ----
+
+  private knownIncarnation = 0;
+  private knownSequence = 0;
+  private highestToken = 0;
+  private expired = false;
+  private reclaimAt: number | null = null;
+  /** Upper bound for when anyone last answered a heartbeat of it: its lease counts from before that. */
   leaseRenewedBefore: number;
-  /** When the cloud takes the machine away. */
-  reclaimedAt: number | null = null;
-  /** The lease of the session known here has surely run out: nothing of it counts any more. */
-  leaseExpired = false;
-  readonly attempts = new Map<string, Attempt>();
-  /** Written to the roster: the condition of its first launch. */
+
+  // ---- registration ----
+
+  /** Written to the machine registry: the condition of its first start. */
   registered = false;
   registrationQueued = false;
   /** Nothing that an earlier leader started can be on it without being known. */
   reconciled = false;
+  /** It is being returned to the cloud and takes no new tasks. */
   terminating = false;
-  idleSince: number;
+
+  // ---- tasks ----
+
+  /** Attempts that may be on it or that its worker still remembers, by `attemptKey`. */
+  readonly attempts = new Map<string, Attempt>();
   readonly failures = newMachineFailures();
-  readonly firstSeenAt: number;
-  /** Direct questions in a row without an answer. */
-  probesFailed = 0;
-  /** Signs in a row that it doesn't hear us: orders without an answer, a session that ended without cause. */
-  missedAcknowledgements = 0;
-  /** The last sign that it both speaks and hears. */
-  lastRoundTripAt = -Infinity;
-  /** When it first reported a token older than ours, though it had been answered. */
-  private behindSince: number | null = null;
-  commandInFlight = false;
+  private idleFrom: number;
+  private commandPending = false;
+  /** Earliest time of the next direct command. */
   commandNotBefore = 0;
-  /** Images it has or fetches, with the time at which each is expected to be there. */
-  readonly images = new Map<string, number>();
-  /** When all fetches under way are expected to be over. */
-  fetchingUntil = -Infinity;
-
-  constructor(
-    readonly index: number,
-    readonly id: MachineIdentity,
-    readonly type: number,
-    readonly zone: number,
-    now: number,
-    answeredBefore: number,
-  ) {
-    this.firstSeenAt = now;
-    this.idleSince = now;
-    this.leaseRenewedBefore = answeredBefore;
+
+  // ---- images ----
+
+  readonly images = new ImageCache();
+
+  constructor(origin: MachineOrigin) {
+    this.index = origin.index;
+    this.id = origin.id;
+    this.type = origin.type;
+    this.zone = origin.zone;
+    this.idleFrom = origin.now;
+    this.leaseRenewedBefore = origin.answeredBefore;
   }
 
   get name(): string {
     return this.id.name;
   }
 
-  /** It answered an order or a question, so the way is open in both directions. */
+  // ---- connectivity ----
+
+  /** When a heartbeat, or the answer to a direct request, last arrived; -Infinity before. */
+  get lastMessageAt(): number {
+    return this.messageAt;
+  }
+
+  /** When a newer heartbeat of its own last arrived: only such heartbeats renew its lease. */
+  get lastHeartbeatAt(): number {
+    return this.heartbeatAt;
+  }
+
+  /** The last sign that messages pass in both directions. */
+  get lastRoundTripAt(): number {
+    return this.roundTripAt;
+  }
+
+  /** Probes in a row without an answer. */
+  get probesFailed(): number {
+    return this.failedProbes;
+  }
+
+  /**
+   * Signs in a row that our messages don't reach it: commands without an answer, an incarnation that ended though its
+   * heartbeats were answered.
+   */
+  get missedAcknowledgements(): number {
+    return this.missed;
+  }
+
+  /** It answered a direct request, so messages pass in both directions. */
   acknowledged(now: number): void {
-    this.missedAcknowledgements = 0;
-    this.probesFailed = 0;
-    this.lastRoundTripAt = now;
+    this.missed = 0;
+    this.failedProbes = 0;
+    this.roundTripAt = now;
+  }
+
+  /** A direct command had no answer. */
+  noteMissedAcknowledgement(): void {
+    this.missed += 1;
+  }
+
+  /** A probe had no answer. */
+  noteFailedProbe(): void {
+    this.failedProbes += 1;
+  }
+
+  /** It is in contact again without having been asked. */
+  clearFailedProbes(): void {
+    this.failedProbes = 0;
   }
 
   /**
-   * Being heard is no proof that it hears. A report of its own counts as contact only while nothing says that
-   * answers and orders don't reach it; a machine that reports and hears nothing once kept its tasks waiting for
-   * starts that never came. To be called before the report is taken in.
+   * A heartbeat shows that the machine's messages arrive, not that ours do. A heartbeat of its own counts as contact
+   * only while nothing says that responses and commands don't reach it; a machine that reported and received nothing
+   * once kept its tasks waiting for starts that never came. To be called before the heartbeat is applied.
    */
-  noteContact(
-    heartbeat: { fencingToken: number; incarnation: number },
-    direct: boolean,
-    term: number,
-    now: number,
-    times: { leaseMs: number; reportMs: number },
-  ): void {
+  noteContact(heartbeat: { fencingToken: number; incarnation: number }, context: ContactContext): void {
+    const { direct, term, now, leaseMs, reportMs } = context;
     if (direct) return;
-    // Sessions end when answers stay away for a lease. Ours were sent: they didn't arrive, or it hung that long.
-    const answered = now - this.leaseRenewedBefore < times.leaseMs;
-    if (this.incarnation > 0 && heartbeat.incarnation > this.incarnation && answered)
-      this.missedAcknowledgements += 1;
+    // Incarnations end when responses stay away for a lease. Ours were sent: they didn't arrive, or it hung that long.
+    const answered = now - this.leaseRenewedBefore < leaseMs;
+    if (this.knownIncarnation > 0 && heartbeat.incarnation > this.knownIncarnation && answered)
+      this.missed += 1;
     if (heartbeat.fencingToken === term) {
-      // The first report with our token shows that an answer arrived.
-      if (this.fencingToken !== term) this.missedAcknowledgements = 0;
-      if (this.missedAcknowledgements === 0) this.lastRoundTripAt = now;
+      // The first heartbeat with our token shows that a response arrived.
+      if (this.highestToken !== term) this.missed = 0;
+      if (this.missed === 0) this.roundTripAt = now;
       return;
     }
     this.behindSince ??= now;
-    if (now - this.behindSince < 2 * times.reportMs) this.lastRoundTripAt = now;
+    if (now - this.behindSince < MOST_INTERVALS_BEHIND * reportMs) this.roundTripAt = now;
+  }
+
+  // ---- incarnation and lease ----
+
+  /** The worker's incarnation; 0 before its first heartbeat. */
+  get incarnation(): number {
+    return this.knownIncarnation;
+  }
+
+  /** Sequence number of the newest heartbeat that was applied. */
+  get sequence(): number {
+    return this.knownSequence;
+  }
+
+  /** The highest fencing token that the worker has shown. */
+  get fencingToken(): number {
+    return this.highestToken;
+  }
+
+  /** The lease of the present incarnation has surely expired: nothing of it counts any more. */
+  get leaseExpired(): boolean {
+    return this.expired;
+  }
+
+  /** When the cloud reclaims the machine, by its interruption notice; null without one. */
+  get reclaimedAt(): number | null {
+    return this.reclaimAt;
+  }
+
+  /** The worker has started anew: it has no tasks and no images. */
+  beginIncarnation(incarnation: number, now: number): void {
+    this.knownIncarnation = incarnation;
+    this.expired = false;
+    // The lease of an incarnation counts from its start at the latest, and it had started when this was sent. Without
+    // this, the end of the old one's lease was taken for the end of the new one's, and its tasks for lost.
+    this.leaseRenewedBefore = Math.max(this.leaseRenewedBefore, now);
+    this.images.clear();
+  }
+
+  /** A newer heartbeat arrived; `direct`: as the answer to a direct request. */
+  noteHeartbeat(heartbeat: Heartbeat, direct: boolean, now: number): void {
+    this.knownSequence = heartbeat.sequence;
+    this.highestToken = Math.max(this.highestToken, heartbeat.fencingToken);
+    this.messageAt = now;
+    this.reclaimAt =
+      heartbeat.interruptionNoticeS === null ? null : now + heartbeat.interruptionNoticeS * 1000;
+    if (direct) return;
+    this.heartbeatAt = now;
+    // A worker has one heartbeat in flight: the responses to all earlier ones were carried out or given up.
+    for (const attempt of this.attempts.values()) attempt.noteResponseSettled();
   }
 
-  /** Tasks that take room. */
+  /** The lease has surely expired, so nothing that any leader started is left on it. */
+  markLeaseExpired(): void {
+    this.expired = true;
+    this.reconciled = true;
+  }
+
+  // ---- direct commands ----
+
+  /** A direct command is on its way; there is one at a time. */
+  get commandInFlight(): boolean {
+    return this.commandPending;
+  }
+
+  /** A direct command leaves. */
+  beginCommand(): void {
+    this.commandPending = true;
+  }
+
+  /** The direct command is settled; the next one may leave at `notBefore`. */
+  endCommand(notBefore: number): void {
+    this.commandPending = false;
+    this.commandNotBefore = notBefore;
+  }
+
+  // ---- tasks ----
+
+  /** Since when no task has been on it. */
+  get idleSince(): number {
+    return this.idleFrom;
+  }
+
+  /** The last task has left. */
+  noteIdle(now: number): void {
+    this.idleFrom = now;
+  }
+
+  /** Attempts that hold resources. */
   live(): Attempt[] {
     const found: Attempt[] = [];
-    for (const a of this.attempts.values()) if (!a.released) found.push(a);
+    for (const attempt of this.attempts.values()) if (!attempt.released) found.push(attempt);
     return found;
   }
 
+  /** The number of attempts that hold resources. */
   get liveCount(): number {
     let count = 0;
-    for (const a of this.attempts.values()) if (!a.released) count += 1;
+    for (const attempt of this.attempts.values()) if (!attempt.released) count += 1;
     return count;
   }
 
-  /** Its reports are not to be answered, so that its session ends. */
+  /** Its heartbeats are not to be answered, so that its lease expires. */
   get awaitingLeaseExpiry(): boolean {
-    for (const a of this.attempts.values())
-      if (a.awaitingLeaseExpiry && !a.observed && !a.released) return true;
+    for (const attempt of this.attempts.values()) {
+      if (attempt.awaitingLeaseExpiry && !attempt.observed && !attempt.released) return true;
+    }
     return false;
   }
 
+  /** It holds tasks of jobs that aren't open. */
   get hasUnknownTasks(): boolean {
-    for (const a of this.attempts.values()) if (!a.released && a.job === null) return true;
+    for (const attempt of this.attempts.values()) if (!attempt.released && attempt.job === null) return true;
     return false;
   }
 }
-
-export function attemptKey(jobId: string, task: number, number: number): string {
-  return `${jobId}/${task}#${number}`;
-}
-
-/** An attempt of which nothing is known yet but where it belongs. */
-export function newAttempt(
-  machine: Machine,
-  job: Job | null,
-  jobId: string,
-  task: number,
-  number: number,
-  now: number,
-): Attempt {
-  return {
-    jobId,
-    task,
-    number,
-    machine,
-    job,
-    phase: 'launching',
-    observed: false,
-    released: false,
-    exitReason: null,
-    stopGraceS: null,
-    inDoubt: false,
-    inFlight: 0,
-    startInResponse: false,
-    unwantedSince: null,
-    awaitingLeaseExpiry: false,
-    assignedAt: now,
-    runningSince: null,
-  };
-}
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,146 +1,158 @@
+/** Reconciles what the leader knows of a machine with its worker's heartbeats, and derives the worker's commands. */
 import type { Job } from '../jobs/job.ts';
-import type { ExitReason, Command, Heartbeat } from '../wire/worker.ts';
-import { attemptKey, newAttempt, type Attempt, type Machine } from './machine.ts';
+import type { Command, Heartbeat, TaskPhase, TaskStatus } from '../wire/worker.ts';
+import { Attempt, attemptKey } from './attempt.ts';
+import type { Machine } from './machine.ts';
 
-/** What a report means for jobs; the order is the order in which it must be taken in. */
+/** What a heartbeat means for jobs; events must be applied in the order in which they were returned. */
 export type WorkerEvent =
-  | { kind: 'seen'; attempt: Attempt }
+  /** The worker reports the attempt for the first time. */
+  | { kind: 'observed'; attempt: Attempt }
   | { kind: 'running'; attempt: Attempt }
-  /** The attempt holds nothing any more. `cause` null: it is gone without having said why. */
-  | { kind: 'released'; attempt: Attempt; cause: ExitReason | null; saved: boolean };
+  /** The attempt holds nothing any more. Its exit reason is null if it is gone without having said why. */
+  | { kind: 'released'; attempt: Attempt; checkpointed: boolean };
 
+/** What reconciliation needs beside the machine and the heartbeat. */
 export interface ReconcileContext {
+  /** Milliseconds on the steady clock. */
   now: number;
+  /** The open job of this id, or null. */
   jobOf(id: string): Job | null;
 }
 
-function release(a: Attempt, cause: ExitReason | null, saved: boolean, events: WorkerEvent[]): void {
-  if (a.released) return;
-  a.released = true;
-  a.exitReason = cause;
-  events.push({ kind: 'released', attempt: a, cause, saved });
+/** Releases an attempt of which nothing is known but that it is gone. */
+function releaseLost(attempt: Attempt, events: WorkerEvent[]): void {
+  if (attempt.release(null)) events.push({ kind: 'released', attempt, checkpointed: false });
 }
 
-/** Everything on the machine is surely gone: a new session, its lease run out, or the machine returned. */
+/** Everything on the machine is surely gone: a new incarnation, an expired lease, or a machine that was returned. */
 export function releaseAll(machine: Machine): WorkerEvent[] {
   const events: WorkerEvent[] = [];
-  for (const a of machine.attempts.values()) release(a, null, false, events);
+  for (const attempt of machine.attempts.values()) releaseLost(attempt, events);
   machine.attempts.clear();
   return events;
 }
 
-/** True if the report is newer than all before. Late copies must change nothing. */
-export function isNewer(machine: Machine, report: Heartbeat): boolean {
-  if (report.incarnation > machine.incarnation) return true;
+/** True if the heartbeat is newer than all before. Late copies must change nothing. */
+export function isNewer(machine: Machine, heartbeat: Heartbeat): boolean {
+  if (heartbeat.incarnation > machine.incarnation) return true;
   return (
-    report.incarnation === machine.incarnation && report.sequence > machine.sequence && !machine.leaseExpired
+    heartbeat.incarnation === machine.incarnation &&
+    heartbeat.sequence > machine.sequence &&
+    !machine.leaseExpired
   );
 }
 
 /**
- * Takes a newer report in. `direct`: it came as the answer to orders, so a launch that is under way by
- * another path may still follow; only a report of the worker's own proves that an earlier answer's launch
+ * Applies a newer heartbeat. `direct`: it came as the answer to direct commands, so a start that is in flight on
+ * another path may still follow; only a heartbeat of the worker's own proves that the start in an earlier response
  * was executed or never will be.
  */
 export function applyHeartbeat(
   machine: Machine,
-  report: Heartbeat,
+  heartbeat: Heartbeat,
   direct: boolean,
-  ctx: ReconcileContext,
+  context: ReconcileContext,
 ): WorkerEvent[] {
   const events: WorkerEvent[] = [];
-  if (report.incarnation > machine.incarnation) {
-    // The worker has killed and forgotten what it had; launches meant for the old session are refused.
+  if (heartbeat.incarnation > machine.incarnation) {
+    // The worker has killed and forgotten what it had; starts meant for the old incarnation are refused.
     if (machine.incarnation > 0) events.push(...releaseAll(machine));
-    machine.incarnation = report.incarnation;
-    machine.leaseExpired = false;
-    // The lease of a session counts from its start at the latest, and it had started when this was sent. Without
-    // this, the end of the old session's lease was taken for the end of the new one's, and its tasks for lost.
-    machine.leaseRenewedBefore = Math.max(machine.leaseRenewedBefore, ctx.now);
-    machine.images.clear();
+    machine.beginIncarnation(heartbeat.incarnation, context.now);
   }
-  machine.sequence = report.sequence;
-  machine.fencingToken = Math.max(machine.fencingToken, report.fencingToken);
-  machine.lastMessageAt = ctx.now;
-  if (!direct) machine.lastHeartbeatAt = ctx.now;
-  machine.reclaimedAt =
-    report.interruptionNoticeS === null ? null : ctx.now + report.interruptionNoticeS * 1000;
-  // A worker has one report in flight: the answers to all earlier ones were carried out or given up.
-  if (!direct) for (const a of machine.attempts.values()) a.startInResponse = false;
-
+  machine.noteHeartbeat(heartbeat, direct, context.now);
   const reported = new Set<string>();
-  for (const t of report.tasks) {
-    const key = attemptKey(t.jobId, t.task, t.attempt);
+  for (const status of heartbeat.tasks) {
+    const key = attemptKey(status.jobId, status.task, status.attempt);
     reported.add(key);
-    let a = machine.attempts.get(key);
-    if (!a) {
-      const job = ctx.jobOf(t.jobId);
-      const known = job && t.task < job.spec.tasks ? job : null;
-      a = newAttempt(machine, known, t.jobId, t.task, t.attempt, ctx.now);
-      machine.attempts.set(key, a);
-    }
-    const first = !a.observed;
-    a.observed = true;
-    const before = a.phase;
-    a.phase = t.phase;
-    if (t.phase === 'running' || t.phase === 'waiting' || t.phase === 'saving') {
-      if (a.job) machine.images.set(a.job.spec.image, ctx.now);
-    }
-    if (first) events.push({ kind: 'seen', attempt: a });
-    if (t.phase === 'running' && before !== 'running') {
-      a.runningSince = ctx.now;
-      events.push({ kind: 'running', attempt: a });
-    }
-    if (t.phase === 'ended') release(a, t.exitReason ?? 'error', t.checkpointed, events);
+    const attempt = machine.attempts.get(key) ?? discover(machine, key, status, context);
+    applyTaskStatus(attempt, status, context.now, events);
   }
-  for (const [key, a] of machine.attempts) {
+  releaseMissing(machine, reported, direct, events);
+  return events;
+}
+
+/** Tracks an attempt that an earlier leader started. */
+function discover(machine: Machine, key: string, status: TaskStatus, context: ReconcileContext): Attempt {
+  const job = context.jobOf(status.jobId);
+  const attempt = new Attempt({
+    machine,
+    job: job && status.task < job.spec.tasks ? job : null,
+    jobId: status.jobId,
+    task: status.task,
+    number: status.attempt,
+    assignedAt: context.now,
+  });
+  machine.attempts.set(key, attempt);
+  return attempt;
+}
+
+function applyTaskStatus(attempt: Attempt, status: TaskStatus, now: number, events: WorkerEvent[]): void {
+  const firstObservation = !attempt.observed;
+  const beginsToRun = attempt.observe(status.phase, now);
+  if (attempt.job && hasImage(status.phase)) attempt.machine.images.notePresent(attempt.job.spec.image, now);
+  if (firstObservation) events.push({ kind: 'observed', attempt });
+  if (beginsToRun) events.push({ kind: 'running', attempt });
+  if (status.phase === 'ended' && attempt.release(status.exitReason ?? 'error'))
+    events.push({ kind: 'released', attempt, checkpointed: status.checkpointed });
+}
+
+/** A task in this phase has its image on the machine. */
+function hasImage(phase: TaskPhase): boolean {
+  return phase === 'running' || phase === 'waiting' || phase === 'saving';
+}
+
+/** Releases the attempts that the heartbeat doesn't show and that can't be on the machine any more. */
+function releaseMissing(
+  machine: Machine,
+  reported: ReadonlySet<string>,
+  direct: boolean,
+  events: WorkerEvent[],
+): void {
+  for (const [key, attempt] of machine.attempts) {
     if (reported.has(key)) continue;
-    if (a.observed) {
-      // Known to the worker before and not any more: it was cleared.
-      machine.attempts.delete(key);
-      release(a, null, false, events);
-    } else if (a.stopGraceS !== null && !direct && !a.inDoubt && a.inFlight === 0) {
-      // Its launch can't be executed any more: answers before this report were, and no order is under way.
-      machine.attempts.delete(key);
-      release(a, null, false, events);
-    }
+    // Known to the worker before and not any more: it has forgotten it.
+    const forgotten = attempt.observed;
+    // Its start can't be executed any more: responses before this heartbeat were, and no command is in flight.
+    const neverStarts = attempt.stopGraceS !== null && !direct && attempt.directStartsSettled;
+    if (!forgotten && !neverStarts) continue;
+    machine.attempts.delete(key);
+    releaseLost(attempt, events);
   }
-  return events;
 }
 
 /**
- * Notes the launches that the answer to a report carries. A direct order can overtake that answer: a task that was
- * refused and forgotten meanwhile would be started anew by it, while it runs elsewhere.
+ * Notes the starts that the response to a heartbeat carries. A direct command can overtake that response: a task that
+ * was refused and forgotten meanwhile would be started anew by it, while it runs elsewhere.
  */
 export function noteResponse(machine: Machine, commands: readonly Command[]): void {
-  for (const c of commands) {
-    if (c.op !== 'start') continue;
-    const a = machine.attempts.get(attemptKey(c.jobId, c.task, c.attempt));
-    if (a) a.startInResponse = true;
+  for (const command of commands) {
+    if (command.op !== 'start') continue;
+    machine.attempts.get(attemptKey(command.jobId, command.task, command.attempt))?.noteStartInResponse();
   }
 }
 
-/** May the worker forget this ended attempt? Not while a launch may arrive, nor before its end is durable. */
-export function mayClear(a: Attempt): boolean {
-  if (a.phase !== 'ended' || a.inDoubt || a.inFlight > 0 || a.startInResponse) return false;
-  return a.exitReason !== 'done' || a.job === null || a.job.isDurable(a.task);
+/** May the worker forget this ended attempt? Not while a start may arrive, nor before its end is durable. */
+export function mayForget(attempt: Attempt): boolean {
+  if (attempt.phase !== 'ended' || !attempt.directStartsSettled || attempt.startInResponse) return false;
+  return attempt.exitReason !== 'done' || attempt.job === null || attempt.job.isDurable(attempt.task);
 }
 
 /** The store says that the task may have been started. */
-export function startIsDurable(a: Attempt): boolean {
-  return a.job !== null && a.task < a.job.durableStartWatermark;
+export function startIsDurable(attempt: Attempt): boolean {
+  return attempt.job !== null && attempt.task < attempt.job.durableStartWatermark;
 }
 
-/** All that the worker should do now. Starts only while the leadership is sure. */
+/** All that the worker should do now. `mayStart`: new tasks too, which takes a valid lease. */
 export function commandsFor(machine: Machine, mayStart: boolean): Command[] {
   const commands: Command[] = [];
-  for (const a of machine.attempts.values()) {
-    const id = { jobId: a.jobId, task: a.task, attempt: a.number };
-    if (a.phase === 'ended') {
-      if (mayClear(a)) commands.push({ op: 'forget', ...id });
-    } else if (a.stopGraceS !== null) {
-      if (a.observed) commands.push({ op: 'stop', ...id, graceS: a.stopGraceS });
-    } else if (!a.observed && mayStart && startIsDurable(a)) {
+  for (const attempt of machine.attempts.values()) {
+    const id = { jobId: attempt.jobId, task: attempt.task, attempt: attempt.number };
+    if (attempt.phase === 'ended') {
+      if (mayForget(attempt)) commands.push({ op: 'forget', ...id });
+    } else if (attempt.stopGraceS !== null) {
+      if (attempt.observed) commands.push({ op: 'stop', ...id, graceS: attempt.stopGraceS });
+    } else if (!attempt.observed && mayStart && startIsDurable(attempt)) {
       commands.push({ op: 'start', ...id });
     }
   }
--- a/test/sim/failures.test.ts
+++ b/test/sim/failures.test.ts
@@ -8,6 +8,7 @@
   machine?: string;
   machines?: string[];
   job?: string;
+  reason?: string;
 }
 
 test('jobs that fail everywhere end with a cancellation; only the faulty machine is returned for it', async () => {
@@ -32,10 +33,12 @@
       told,
       jobs.map((j) => (j.mistaken ? 'aborted' : 'done')),
     );
-    const faulty = entries.filter((e) => e.msg === 'faulty machine, returned').map((e) => e.machine!);
+    const faulty = entries
+      .filter((e) => e.msg === 'machine terminated' && e.reason === 'faulty')
+      .map((e) => e.machine!);
     for (const name of faulty) assert.ok(day.faultyMachines.has(name), `${name} is healthy`);
     returned += faulty.length;
-    const failures = entries.filter((e) => e.msg === 'a task failed' && e.job === 'req-000000').length;
+    const failures = entries.filter((e) => e.msg === 'task failed' && e.job === 'req-000000').length;
     assert.ok(failures >= 5 && failures <= 14, `${failures} attempts of an array that always fails`);
   }
   assert.ok(returned > 0);
--- a/test/workers/contact.test.ts
+++ b/test/workers/contact.test.ts
@@ -1,54 +1,54 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { Machine } from '../../src/workers/machine.ts';
+import type { Machine } from '../../src/workers/machine.ts';
+import { heartbeat, newMachine } from './fixtures.ts';
 
-const TIMES = { leaseMs: 30_000, reportMs: 5000 };
 const TERM = 7;
 
-function known(): Machine {
-  const m = new Machine(
-    0,
-    { name: 'n-1', address: 'x:1', machineType: 'g8', zone: 'a', spot: false },
-    0,
-    0,
-    0,
-    0,
-  );
-  m.incarnation = 1;
-  m.fencingToken = TERM;
-  m.leaseRenewedBefore = 0;
-  return m;
+/** A machine whose first heartbeat, at time 0, showed this token. */
+function knownMachine(fencingToken = TERM): Machine {
+  const machine = newMachine();
+  machine.beginIncarnation(1, 0);
+  machine.noteHeartbeat(heartbeat(1, 1, [], fencingToken), false, 0);
+  assert.deepEqual([machine.incarnation, machine.fencingToken], [1, fencingToken]);
+  assert.equal(machine.leaseRenewedBefore, 0);
+  return machine;
 }
 
-test('reports alone are contact only while nothing says that the machine hears nothing', () => {
-  const m = known();
-  m.noteContact({ fencingToken: TERM, incarnation: 1 }, false, TERM, 1000, TIMES);
-  assert.equal(m.lastRoundTripAt, 1000);
-  // An order got no answer: from now on only an answer, or a start that arrived, counts.
-  m.missedAcknowledgements = 1;
-  m.noteContact({ fencingToken: TERM, incarnation: 1 }, false, TERM, 6000, TIMES);
-  assert.equal(m.lastRoundTripAt, 1000);
-  m.acknowledged(7000);
-  assert.deepEqual([m.lastRoundTripAt, m.missedAcknowledgements], [7000, 0]);
+/** Lets the machine judge a heartbeat of its own that arrives at `now`. */
+function receive(machine: Machine, now: number, fencingToken = TERM, incarnation = 1): void {
+  const context = { direct: false, term: TERM, now, leaseMs: 30_000, reportMs: 5000 };
+  machine.noteContact({ fencingToken, incarnation }, context);
+}
+
+test('heartbeats alone are contact only while nothing says that our messages do not arrive', () => {
+  const machine = knownMachine();
+  receive(machine, 1000);
+  assert.equal(machine.lastRoundTripAt, 1000);
+  // A command had no answer: from now on only an answer, or a start that arrived, counts.
+  machine.noteMissedAcknowledgement();
+  receive(machine, 6000);
+  assert.equal(machine.lastRoundTripAt, 1000);
+  machine.acknowledged(7000);
+  assert.deepEqual([machine.lastRoundTripAt, machine.missedAcknowledgements], [7000, 0]);
 });
 
-test('a session that ends though its reports were answered says that answers do not arrive', () => {
-  const m = known();
-  m.leaseRenewedBefore = 20_000;
-  m.noteContact({ fencingToken: TERM, incarnation: 2 }, false, TERM, 31_000, TIMES);
-  assert.equal(m.missedAcknowledgements, 1);
-  const hung = known();
-  hung.noteContact({ fencingToken: TERM, incarnation: 2 }, false, TERM, 31_000, TIMES);
-  assert.equal(hung.missedAcknowledgements, 0, 'nobody answered it for a lease');
+test('an incarnation that ends though its heartbeats were answered says that responses do not arrive', () => {
+  const machine = knownMachine();
+  machine.leaseRenewedBefore = 20_000;
+  receive(machine, 31_000, TERM, 2);
+  assert.equal(machine.missedAcknowledgements, 1);
+  const paused = knownMachine();
+  receive(paused, 31_000, TERM, 2);
+  assert.equal(paused.missedAcknowledgements, 0, 'nobody answered it for a lease');
 });
 
-test('a token that stays behind is no contact after a while: a deaf machine, or late copies', () => {
-  const m = known();
-  m.fencingToken = TERM - 1;
-  m.noteContact({ fencingToken: TERM - 1, incarnation: 1 }, false, TERM, 1000, TIMES);
-  assert.equal(m.lastRoundTripAt, 1000);
-  m.noteContact({ fencingToken: TERM - 1, incarnation: 1 }, false, TERM, 20_000, TIMES);
-  assert.equal(m.lastRoundTripAt, 1000);
-  m.noteContact({ fencingToken: TERM, incarnation: 1 }, false, TERM, 21_000, TIMES);
-  assert.equal(m.lastRoundTripAt, 21_000);
+test('a token that stays behind is no contact after a while: responses are lost, or heartbeats are late copies', () => {
+  const machine = knownMachine(TERM - 1);
+  receive(machine, 1000, TERM - 1);
+  assert.equal(machine.lastRoundTripAt, 1000);
+  receive(machine, 20_000, TERM - 1);
+  assert.equal(machine.lastRoundTripAt, 1000);
+  receive(machine, 21_000);
+  assert.equal(machine.lastRoundTripAt, 21_000);
 });
--- a/test/workers/failure-attribution.test.ts
+++ b/test/workers/failure-attribution.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
+import { required } from '../../src/base/required.ts';
 import {
   FAILING_MACHINES,
   isFailing,
@@ -11,11 +12,16 @@
   recordSuccess,
   RETRY_MAX_MS,
   retryDelayMs,
+  type JobFailures,
+  type MachineFailures,
   type MachineHealth,
 } from '../../src/workers/failure-attribution.ts';
 import { SEED } from '../helpers.ts';
 
 const MACHINES = 12;
+const TASKS = 4;
+const DURATION_MS = 600_000;
+const STEP_MS = 250;
 const RUN_MS = 20_000;
 const TO_ERROR_MS = 1000;
 
@@ -28,58 +34,115 @@
   picks: number[];
 }
 
+interface SimulatedJob {
+  readonly hasMistake: boolean;
+  readonly failures: JobFailures;
+  /** Tasks that are to be started. */
+  waiting: number;
+  notBefore: number;
+  readonly failedAt: number[];
+}
+
+interface SimulatedMachine {
+  readonly index: number;
+  readonly failures: MachineFailures;
+  terminated: boolean;
+  /** What it was judged to be at some time. */
+  readonly healths: Set<MachineHealth>;
+}
+
+interface SimulatedAttempt {
+  readonly job: SimulatedJob;
+  readonly machine: SimulatedMachine;
+  readonly startedAt: number;
+  readonly endsAt: number;
+}
+
 /**
- * Plays jobs of some tasks on machines that are up all the time. Each attempt goes to a machine on which the job has
- * not failed, and that is not out of use, as the scheduler does it.
+ * Simulates jobs of some tasks on machines that are up all the time. Each attempt goes to a machine on which the job
+ * has not failed, and that is not quarantined, as the scheduler does it.
  */
-function play({ jobs: broken, faulty, picks }: Plan) {
-  const jobs = broken.map((mistake) => ({ mistake, failures: newJobFailures(), waiting: 4, notBefore: 0 }));
-  const machines = Array.from({ length: MACHINES }, (_, index) => ({
-    index,
-    failures: newMachineFailures(),
-    returned: false,
-  }));
-  const attempts: { job: (typeof jobs)[number]; machine: number; at: number; end: number }[] = [];
-  const verdicts = new Map<number, Set<MachineHealth>>();
-  const failedAt = jobs.map((): number[] => []);
-  let pick = 0;
-  for (let now = 0; now < 600_000; now += 250) {
-    for (const attempt of attempts.filter((a) => a.end <= now)) {
-      attempts.splice(attempts.indexOf(attempt), 1);
-      const { job, machine, at } = attempt;
-      if (!job.mistake && !faulty.includes(machine)) {
-        recordSuccess(job.failures, machine);
-        continue;
+class Simulation {
+  readonly jobs: SimulatedJob[];
+  readonly machines: SimulatedMachine[];
+  private readonly attempts = new Set<SimulatedAttempt>();
+  private choices = 0;
+
+  constructor(private readonly plan: Plan) {
+    this.jobs = plan.jobs.map((hasMistake) => ({
+      hasMistake,
+      failures: newJobFailures(),
+      waiting: TASKS,
+      notBefore: 0,
+      failedAt: [],
+    }));
+    this.machines = Array.from({ length: MACHINES }, (_, index) => ({
+      index,
+      failures: newMachineFailures(),
+      terminated: false,
+      healths: new Set(),
+    }));
+  }
+
+  run(): this {
+    for (let now = 0; now < DURATION_MS; now += STEP_MS) {
+      for (const attempt of [...this.attempts]) if (attempt.endsAt <= now) this.end(attempt, now);
+      for (const machine of this.machines) {
+        const health = machineHealth(machine.failures, machine.index, now);
+        machine.healths.add(health);
+        if (health === 'faulty') machine.terminated = true;
       }
-      recordFailure(job.failures, machines[machine]!.failures, machine, at, now);
-      failedAt[jobs.indexOf(job)]!.push(now);
-      job.waiting += 1;
-      job.notBefore = now + retryDelayMs(job.failures);
+      for (const job of this.jobs) if (job.waiting > 0 && now >= job.notBefore) this.start(job, now);
     }
-    for (const m of machines) {
-      const verdict = machineHealth(m.failures, m.index, now);
-      verdicts.set(m.index, (verdicts.get(m.index) ?? new Set()).add(verdict));
-      if (verdict === 'faulty') m.returned = true;
+    return this;
+  }
+
+  private fails(job: SimulatedJob, machine: SimulatedMachine): boolean {
+    return job.hasMistake || this.plan.faulty.includes(machine.index);
+  }
+
+  private end(attempt: SimulatedAttempt, now: number): void {
+    this.attempts.delete(attempt);
+    const { job, machine, startedAt } = attempt;
+    if (!this.fails(job, machine)) {
+      recordSuccess(job.failures, machine.index);
+      return;
     }
-    for (const job of jobs) {
-      if (job.waiting === 0 || now < job.notBefore) continue;
-      const failing = isFailing(job.failures);
-      if (failing && attempts.some((a) => a.job === job)) continue;
-      const usable = machines.filter(
-        (m) =>
-          !m.returned &&
-          (failing || !job.failures.failedOn.has(m.index)) &&
-          machineHealth(m.failures, m.index, now) === 'healthy',
-      );
-      for (let n = failing ? 1 : job.waiting; n > 0 && usable.length > 0; n--) {
-        const { index } = usable[picks[pick++ % picks.length]! % usable.length]!;
-        const lasts = job.mistake || faulty.includes(index) ? TO_ERROR_MS : RUN_MS;
-        attempts.push({ job, machine: index, at: now, end: now + lasts });
-        job.waiting -= 1;
-      }
+    recordFailure({
+      job: job.failures,
+      machine: machine.failures,
+      machineIndex: machine.index,
+      assignedAt: startedAt,
+      now,
+    });
+    job.failedAt.push(now);
+    job.waiting += 1;
+    job.notBefore = now + retryDelayMs(job.failures);
+  }
+
+  private start(job: SimulatedJob, now: number): void {
+    const failing = isFailing(job.failures);
+    if (failing && [...this.attempts].some((attempt) => attempt.job === job)) return;
+    const usable = this.machines.filter(
+      (machine) =>
+        !machine.terminated &&
+        (failing || !job.failures.failedOn.has(machine.index)) &&
+        machineHealth(machine.failures, machine.index, now) === 'healthy',
+    );
+    if (usable.length === 0) return;
+    for (let count = failing ? 1 : job.waiting; count > 0; count--) {
+      const machine = this.choose(usable);
+      const endsAt = now + (this.fails(job, machine) ? TO_ERROR_MS : RUN_MS);
+      this.attempts.add({ job, machine, startedAt: now, endsAt });
+      job.waiting -= 1;
     }
   }
-  return { jobs, machines, verdicts, failedAt };
+
+  private choose(usable: readonly SimulatedMachine[]): SimulatedMachine {
+    const { picks } = this.plan;
+    const pick = required(picks[this.choices++ % picks.length], 'pick');
+    return required(usable[pick % usable.length], 'usable machine');
+  }
 }
 
 const plans = fc.record({
@@ -91,53 +154,65 @@
 test('jobs that fail everywhere and faulty machines are told apart', () => {
   fc.assert(
     fc.property(plans, (plan) => {
-      const { jobs, machines, verdicts, failedAt } = play(plan);
-      jobs.forEach(({ mistake, failures, waiting }, at) => {
+      const { jobs, machines } = new Simulation(plan).run();
+      for (const { hasMistake, failures, waiting, failedAt } of jobs) {
         // Only jobs with a mistake count as failing; the others are done, whatever machines they met.
-        assert.equal(isFailing(failures), mistake);
-        if (!mistake) assert.equal(waiting, 0);
+        assert.equal(isFailing(failures), hasMistake);
+        if (!hasMistake) {
+          assert.equal(waiting, 0);
+          continue;
+        }
         // Attempts are spaced ever further, up to the bound, and go on.
-        const last = failedAt[at]!.slice(-2);
-        if (mistake) assert.ok(last[1]! - last[0]! >= RETRY_MAX_MS, 'attempts are far apart');
-        if (mistake) assert.ok(last[1]! > 600_000 - 2 * RETRY_MAX_MS, 'attempts go on');
-        if (mistake) assert.ok(failedAt[at]!.length < 4 + 4 * FAILING_MACHINES + 20);
-      });
-      for (const m of machines) {
-        const seen = verdicts.get(m.index)!;
-        if (!plan.faulty.includes(m.index)) {
-          assert.ok(!seen.has('faulty'), `machine ${m.index} is healthy`);
+        const [lastButOne, last] = failedAt.slice(-2);
+        assert.ok(lastButOne !== undefined && last !== undefined);
+        assert.ok(last - lastButOne >= RETRY_MAX_MS, 'attempts are far apart');
+        assert.ok(last > DURATION_MS - 2 * RETRY_MAX_MS, 'attempts go on');
+        assert.ok(failedAt.length < 4 + 4 * FAILING_MACHINES + 20);
+      }
+      for (const machine of machines) {
+        if (!plan.faulty.includes(machine.index)) {
+          assert.ok(!machine.healths.has('faulty'), `machine ${machine.index} is healthy`);
           continue;
         }
-        const proofs = [...m.failures.jobs].filter((job) => job.succeededOn !== null).length;
-        assert.equal(m.returned, proofs >= 2);
+        const proofs = [...machine.failures.jobs].filter((job) => job.succeededOn !== null).length;
+        assert.equal(machine.terminated, proofs >= 2);
       }
     }),
     { seed: SEED },
   );
 });
 
-test('a healthy machine is not suspected for long because of jobs that fail everywhere', () => {
+/** Records that a task of the job failed on a machine. */
+function fail(
+  job: JobFailures,
+  at: { machineIndex: number; assignedAt: number; now: number; machine?: MachineFailures },
+): void {
+  recordFailure({ job, machine: newMachineFailures(), ...at });
+}
+
+test('a healthy machine is not quarantined for long because of jobs that fail everywhere', () => {
   // Counted per machine, a tenth of all jobs failing everywhere once took healthy machines out of use.
   const machine = newMachineFailures();
   const jobs = Array.from({ length: 20 }, newJobFailures);
-  for (const job of jobs) recordFailure(job, machine, 0, 0, 100);
+  for (const job of jobs) fail(job, { machine, machineIndex: 0, assignedAt: 0, now: 100 });
   assert.equal(machineHealth(machine, 0, 100), 'quarantined');
-  for (const job of jobs) recordFailure(job, newMachineFailures(), 1, 200, 1200);
+  for (const job of jobs) fail(job, { machineIndex: 1, assignedAt: 200, now: 1200 });
   assert.equal(machineHealth(machine, 0, 1200), 'healthy');
 });
 
-test('tasks of one attempt that fail together count once, and a success ends the row', () => {
+test('tasks of one attempt that fail together count once, and a success resets the count', () => {
   const job = newJobFailures();
   const machine = newMachineFailures();
-  for (let task = 0; task < 100; task++) recordFailure(job, machine, 0, 0, 1000 + task);
+  for (let task = 0; task < 100; task++)
+    fail(job, { machine, machineIndex: 0, assignedAt: 0, now: 1000 + task });
   assert.equal(retryDelayMs(job), 0);
   // One machine, however many tasks fail on it, says nothing of the job.
   assert.ok(!isFailing(job));
   const delays: number[] = [];
-  for (let at = 10_000, n = 1; n < 9; n++) {
-    recordFailure(job, newMachineFailures(), n, at, at + 1000);
+  for (let assignedAt = 10_000, machineIndex = 1; machineIndex < 9; machineIndex++) {
+    fail(job, { machineIndex, assignedAt, now: assignedAt + 1000 });
     delays.push(retryDelayMs(job));
-    at += 1000 + retryDelayMs(job);
+    assignedAt += 1000 + retryDelayMs(job);
   }
   assert.deepEqual(delays, [2000, 4000, 8000, 16_000, 32_000, 60_000, 60_000, 60_000]);
   assert.ok(isFailing(job));
--- /dev/null
+++ b/test/workers/fixtures.ts
@@ -0,0 +1,76 @@
+import assert from 'node:assert/strict';
+import { Job } from '../../src/jobs/job.ts';
+import { decodeStoredJob, type JobRequest } from '../../src/wire/user.ts';
+import type { Heartbeat, TaskStatus } from '../../src/wire/worker.ts';
+import { Attempt, attemptKey } from '../../src/workers/attempt.ts';
+import { Machine, type MachineIdentity } from '../../src/workers/machine.ts';
+import { JOB } from '../wire/sample.ts';
+
+const IDENTITY: MachineIdentity = {
+  name: 'n-1',
+  address: 'x:1',
+  machineType: 'g8',
+  zone: 'a',
+  spot: false,
+};
+
+/** Number of all attempts that `launch` creates and `runningTask` reports. */
+const ATTEMPT_NUMBER = 7;
+
+function storedJob(): JobRequest {
+  const decoded = decodeStoredJob(JOB);
+  assert.ok(decoded.ok);
+  return decoded.value;
+}
+
+/** The job of all tests of this directory. */
+export const SPEC = storedJob();
+
+/** A machine that the leader has heard nothing of, first known at time 0. */
+export function newMachine(zone = 0): Machine {
+  return new Machine({ index: 0, id: IDENTITY, type: 0, zone, now: 0, answeredBefore: 0 });
+}
+
+/** A heartbeat of the machine that `newMachine` returns. */
+export function heartbeat(
+  incarnation: number,
+  sequence: number,
+  tasks: TaskStatus[] = [],
+  fencingToken = 1,
+): Heartbeat {
+  const { name: machine, ...place } = IDENTITY;
+  return { machine, ...place, incarnation, sequence, fencingToken, interruptionNoticeS: null, tasks };
+}
+
+/** What a worker reports of a task; it runs unless `over` says otherwise. */
+export function taskStatus(task: number, over: Partial<TaskStatus> = {}): TaskStatus {
+  return {
+    jobId: SPEC.id,
+    task,
+    attempt: ATTEMPT_NUMBER,
+    phase: 'running',
+    exitReason: null,
+    checkpointed: false,
+    ...over,
+  };
+}
+
+/** A machine and a job all of whose tasks may be started; `launch` assigns one of them to the machine. */
+export function setup(): { machine: Machine; job: Job; launch: (task: number) => Attempt } {
+  const machine = newMachine();
+  const job = new Job(SPEC, 0, 0, 0);
+  job.durableStartWatermark = SPEC.tasks;
+  const launch = (task: number): Attempt => {
+    const attempt = new Attempt({
+      machine,
+      job,
+      jobId: job.id,
+      task,
+      number: ATTEMPT_NUMBER,
+      assignedAt: 0,
+    });
+    machine.attempts.set(attemptKey(job.id, task, ATTEMPT_NUMBER), attempt);
+    return attempt;
+  };
+  return { machine, job, launch };
+}
