--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -1,35 +1,44 @@
+/** The durable registry of machines that may hold tasks, kept in pages of the key-value store. */
 import * as z from 'zod/mini';
-import type { Mutation, Item } from '../wire/state.ts';
+import { required } from '../base/required.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Write } from '../store/leader-writer.ts';
+import type { Item, Mutation } from '../wire/state.ts';
 import type { MachineIdentity } from './machine.ts';
 
+/** Name, address, machine type, zone, and whether it is a spot instance, for each machine of a page. */
 const pageRecord = z.object({
   m: z.array(z.tuple([z.string(), z.string(), z.string(), z.string(), z.boolean()])),
 });
 
+/** Upper bound of the bytes of an entry beside its strings. */
+const ENTRY_OVERHEAD_BYTES = 20;
+
 interface Page {
-  index: number;
-  entries: Map<string, MachineIdentity>;
+  readonly index: number;
+  readonly entries: Map<string, MachineIdentity>;
   bytes: number;
-  /** Changed since the last write began: for new machines, or only for machines that are gone. */
-  dirty: 'no' | 'gone' | 'new';
+  /** Whether it changed since the last write began, and whether by removals alone, which can wait. */
+  changed: 'no' | 'removalsOnly' | 'added';
   writing: boolean;
-  /** Who waits for its machine to be durable, once the next write is. */
-  waiting: (() => void)[];
+  /** Called once the next write of the page is durable. */
+  onDurable: (() => void)[];
 }
 
+/** What the registry needs of the leader. */
 export interface MachineRegistryDeps {
   /** Pages stay below this, so that a change rewrites little and a value is never too long. */
   pageBytes: number;
-  enqueueWrite(job: Write, urgent: boolean): void;
+  /** Queues a write; an urgent one is the condition of starts, another can wait. */
+  enqueueWrite(write: Write, urgent: boolean): void;
+  /** Queues a command of the single writer. */
   enqueue(command: () => void): void;
 }
 
 /**
  * The machines that may hold tasks, as the store knows them: many to a value. One value a machine used up the
- * budget of changes of the state service for a minute whenever some hundred machines reported for the first
- * time. A machine is in a durable page before its first task, and until it surely holds none.
+ * store's budget of writes for a minute whenever some hundred machines sent their first heartbeat. A machine is in a
+ * durable page before its first task, and until it surely holds none.
  */
 export class MachineRegistry {
   private readonly pages: Page[] = [];
@@ -37,31 +46,44 @@
 
   constructor(private readonly deps: MachineRegistryDeps) {}
 
-  /** Takes over what an earlier leader left. */
-  restore(items: readonly Item[], malformed: (key: string) => void): MachineIdentity[] {
-    const found: MachineIdentity[] = [];
+  /** Restores what an earlier leader wrote, and returns its machines. `onMalformed` is told the keys of bad pages. */
+  restore(items: readonly Item[], onMalformed: (key: string) => void): MachineIdentity[] {
+    const restored: MachineIdentity[] = [];
     for (const item of items) {
       const index = Number(item.key.slice(KEYS.machineRegistryPrefix.length));
       const record = pageRecord.safeParse(item.value);
       if (!record.success || !Number.isSafeInteger(index) || index < 0) {
-        malformed(item.key);
+        onMalformed(item.key);
         continue;
       }
       const page = this.page(index);
       for (const [name, address, machineType, zone, spot] of record.data.m) {
         const id = { name, address, machineType, zone, spot };
         this.put(page, id);
-        found.push(id);
+        restored.push(id);
       }
     }
-    return found;
+    return restored;
   }
 
+  /** The page of this index; it and all before it are created if need be. */
   private page(index: number): Page {
-    for (let at = this.pages.length; at <= index; at++) {
-      this.pages.push({ index: at, entries: new Map(), bytes: 0, dirty: 'no', writing: false, waiting: [] });
+    for (let next = this.pages.length; next <= index; next++) {
+      this.pages.push({
+        index: next,
+        entries: new Map(),
+        bytes: 0,
+        changed: 'no',
+        writing: false,
+        onDurable: [],
+      });
     }
-    return this.pages[index]!;
+    return required(this.pages[index], 'page');
+  }
+
+  private pageWithRoom(bytes: number): Page {
+    const found = this.pages.find((page) => page.bytes + bytes <= this.deps.pageBytes);
+    return found ?? this.page(this.pages.length);
   }
 
   private put(page: Page, id: MachineIdentity): void {
@@ -70,55 +92,59 @@
     this.pageOf.set(id.name, page);
   }
 
-  /** Calls back once the machine is in the store. */
-  register(id: MachineIdentity, done: () => void): void {
+  /** Adds a machine with the next flush; calls back once the store holds it. */
+  register(id: MachineIdentity, onDurable: () => void): void {
     let page = this.pageOf.get(id.name);
     if (!page) {
-      const size = sizeOf(id);
-      page = this.pages.find((p) => p.bytes + size <= this.deps.pageBytes) ?? this.page(this.pages.length);
+      page = this.pageWithRoom(sizeOf(id));
       this.put(page, id);
     }
-    page.dirty = 'new';
-    page.waiting.push(done);
+    page.changed = 'added';
+    page.onDurable.push(onDurable);
   }
 
-  /** The machine surely holds nothing any more. */
+  /** Removes a machine that surely holds nothing any more. */
   remove(name: string): void {
     const page = this.pageOf.get(name);
     if (!page) return;
     this.pageOf.delete(name);
-    page.bytes -= sizeOf(page.entries.get(name)!);
+    page.bytes -= sizeOf(required(page.entries.get(name), 'entry of a registered machine'));
     page.entries.delete(name);
-    if (page.dirty === 'no') page.dirty = 'gone';
+    if (page.changed === 'no') page.changed = 'removalsOnly';
   }
 
-  /** Writes what changed. What is only gone can wait for calmer moments: `calm`. */
-  flush(calm: boolean): void {
+  /** Writes the pages that changed; those with removals alone only while the writer has nothing else to do: `idle`. */
+  flush(idle: boolean): void {
     for (const page of this.pages) {
-      if (page.writing || page.dirty === 'no' || (page.dirty === 'gone' && !calm)) continue;
-      const urgent = page.dirty === 'new';
-      const { waiting } = page;
-      page.waiting = [];
-      page.dirty = 'no';
-      page.writing = true;
-      const done = (): void => {
-        this.deps.enqueue(() => {
-          page.writing = false;
-          for (const tell of waiting) tell();
-        });
-      };
-      this.deps.enqueueWrite({ changes: [change(page)], done }, urgent);
+      if (page.writing || page.changed === 'no') continue;
+      if (page.changed === 'removalsOnly' && !idle) continue;
+      this.write(page);
     }
   }
+
+  private write(page: Page): void {
+    const urgent = page.changed === 'added';
+    const callbacks = page.onDurable;
+    page.onDurable = [];
+    page.changed = 'no';
+    page.writing = true;
+    const done = (): void => {
+      this.deps.enqueue(() => {
+        page.writing = false;
+        for (const callback of callbacks) callback();
+      });
+    };
+    this.deps.enqueueWrite({ changes: [mutationOf(page)], done }, urgent);
+  }
 }
 
-function change(page: Page): Mutation {
+function mutationOf(page: Page): Mutation {
   const key = KEYS.machineRegistry(page.index);
   if (page.entries.size === 0) return { delete: key };
-  const m = [...page.entries.values()].map((e) => [e.name, e.address, e.machineType, e.zone, e.spot]);
+  const m = [...page.entries.values()].map((id) => [id.name, id.address, id.machineType, id.zone, id.spot]);
   return { put: key, value: { m } };
 }
 
 function sizeOf(id: MachineIdentity): number {
-  return id.name.length + id.address.length + id.machineType.length + id.zone.length + 20;
+  return id.name.length + id.address.length + id.machineType.length + id.zone.length + ENTRY_OVERHEAD_BYTES;
 }
--- a/test/workers/machine-registry.test.ts
+++ b/test/workers/machine-registry.test.ts
@@ -6,35 +6,51 @@
 import { MachineRegistry } from '../../src/workers/machine-registry.ts';
 import { SEED } from '../helpers.ts';
 
-const PAGE = 400;
-const identity = (n: number): MachineIdentity => ({
-  name: `n-${String(n).padStart(6, '0')}`,
-  address: `10.1.0.${n}:9000`,
-  machineType: 'g8',
-  zone: 'a',
-  spot: n % 2 === 0,
-});
+const PAGE_BYTES = 400;
+/** The registry bounds sizes by its own count, which leaves out some of the JSON punctuation. */
+const SIZE_TOLERANCE = 1.2;
+
+function identity(number: number): MachineIdentity {
+  return {
+    name: `n-${String(number).padStart(6, '0')}`,
+    address: `10.1.0.${number}:9000`,
+    machineType: 'g8',
+    zone: 'a',
+    spot: number % 2 === 0,
+  };
+}
 
-/** A store that takes writes in order, when it is told to. */
+/** A store that executes writes in order, when it is told to. */
 class SlowStore {
+  /** The machines' names by the key of their page. */
   readonly pages = new Map<string, string[]>();
-  readonly queue: Write[] = [];
+  private readonly queue: Write[] = [];
   writes = 0;
 
-  take(): void {
-    const job = this.queue.shift();
-    if (!job) return;
-    for (const c of job.changes) {
+  enqueue(write: Write): void {
+    this.queue.push(write);
+  }
+
+  /** Executes the next write, if there is one. */
+  executeNext(): void {
+    const write = this.queue.shift();
+    if (!write) return;
+    for (const change of write.changes) {
       this.writes += 1;
-      if ('put' in c) {
-        assert.ok(JSON.stringify(c.value).length <= PAGE * 1.2);
+      if ('put' in change) {
+        assert.ok(JSON.stringify(change.value).length <= PAGE_BYTES * SIZE_TOLERANCE);
+        const { m } = change.value as { m: [name: string, ...rest: unknown[]][] };
         this.pages.set(
-          c.put,
-          (c.value as { m: string[][] }).m.map((e) => e[0]!),
+          change.put,
+          m.map(([name]) => name),
         );
-      } else this.pages.delete(c.delete);
+      } else this.pages.delete(change.delete);
     }
-    job.done();
+    write.done();
+  }
+
+  executeAll(): void {
+    while (this.queue.length > 0) this.executeNext();
   }
 
   names(): string[] {
@@ -42,60 +58,66 @@
   }
 }
 
-const make = (store: SlowStore): MachineRegistry =>
-  new MachineRegistry({
-    pageBytes: PAGE,
-    enqueueWrite: (job) => store.queue.push(job),
+function registryOn(store: SlowStore): MachineRegistry {
+  return new MachineRegistry({
+    pageBytes: PAGE_BYTES,
+    enqueueWrite: (write) => {
+      store.enqueue(write);
+    },
     enqueue: (command) => {
       command();
     },
   });
+}
 
-test('a machine counts as written only while a durable page has it, and what is gone leaves in the end', () => {
+test('a machine counts as registered only while a durable page has it, and removed ones leave in the end', () => {
   const step = fc.oneof(
-    fc.record({ op: fc.constant('enroll' as const), n: fc.nat(30) }),
-    fc.record({ op: fc.constant('remove' as const), n: fc.nat(30) }),
-    fc.record({ op: fc.constantFrom('flush' as const, 'calm' as const, 'take' as const), n: fc.constant(0) }),
+    fc.record({ op: fc.constant('register' as const), number: fc.nat(30) }),
+    fc.record({ op: fc.constant('remove' as const), number: fc.nat(30) }),
+    fc.record({
+      op: fc.constantFrom('flush' as const, 'flushIdle' as const, 'execute' as const),
+      number: fc.constant(0),
+    }),
   );
   fc.assert(
     fc.property(fc.array(step, { maxLength: 80 }), (steps) => {
       const store = new SlowStore();
-      const roster = make(store);
-      const there = new Set<string>();
+      const registry = registryOn(store);
+      const present = new Set<string>();
       const durable = new Set<string>();
-      for (const s of steps) {
-        const { name } = identity(s.n);
-        if (s.op === 'enroll' && !there.has(name)) {
-          there.add(name);
-          roster.register(identity(s.n), () => {
-            if (there.has(name)) durable.add(name);
+      for (const { op, number } of steps) {
+        const id = identity(number);
+        if (op === 'register' && !present.has(id.name)) {
+          present.add(id.name);
+          registry.register(id, () => {
+            if (present.has(id.name)) durable.add(id.name);
           });
-        } else if (s.op === 'remove') {
-          there.delete(name);
-          durable.delete(name);
-          roster.remove(name);
-        } else if (s.op === 'flush' || s.op === 'calm') roster.flush(s.op === 'calm');
-        else store.take();
+        } else if (op === 'remove') {
+          present.delete(id.name);
+          durable.delete(id.name);
+          registry.remove(id.name);
+        } else if (op === 'flush' || op === 'flushIdle') registry.flush(op === 'flushIdle');
+        else store.executeNext();
         const written = new Set(store.names());
-        for (const d of durable) assert.ok(written.has(d), `${d} counts as written and isn't`);
+        for (const name of durable) assert.ok(written.has(name), `${name} counts as registered and isn't`);
       }
-      for (let i = 0; i < 3; i++) {
-        roster.flush(true);
-        while (store.queue.length > 0) store.take();
+      for (let round = 0; round < 3; round++) {
+        registry.flush(true);
+        store.executeAll();
       }
-      assert.deepEqual(store.names(), [...there].sort());
+      assert.deepEqual(store.names(), [...present].sort());
     }),
     { seed: SEED, numRuns: 300 },
   );
 });
 
-test('many machines cost few changes, and a new leader reads them all back', () => {
-  // One value a machine once used up the changes of the state service for as long as 224 machines take.
+test('many machines cost few writes, and a new leader reads them all back', () => {
+  // One value a machine once used up the store's budget of writes for as long as 224 machines take.
   const store = new SlowStore();
-  const roster = make(store);
-  for (let n = 0; n < 60; n++) roster.register(identity(n), () => undefined);
-  roster.flush(false);
-  while (store.queue.length > 0) store.take();
+  const registry = registryOn(store);
+  for (let number = 0; number < 60; number++) registry.register(identity(number), () => undefined);
+  registry.flush(false);
+  store.executeAll();
   assert.ok(store.writes <= 12, `${store.writes}`);
   const items = [...store.pages].map(([key, names]) => ({
     key,
@@ -103,10 +125,12 @@
     version: 1,
     lease: null,
   }));
-  const bad: string[] = [];
-  const found = make(new SlowStore()).restore([...items, { ...items[0]!, value: { m: 7 } }], (key) =>
-    bad.push(key),
+  const [first] = items;
+  assert.ok(first);
+  const malformed: string[] = [];
+  const restored = registryOn(new SlowStore()).restore([...items, { ...first, value: { m: 7 } }], (key) =>
+    malformed.push(key),
   );
-  assert.equal(found.length, 60);
-  assert.equal(bad.length, 1);
+  assert.equal(restored.length, 60);
+  assert.equal(malformed.length, 1);
 });
