--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -383,7 +383,7 @@
       term: this.term,
       now,
       leaseMs: lease_s * 1000,
-      reportMs: report_s * 1000,
+      heartbeatIntervalMs: report_s * 1000,
     });
     this.attempts.apply(
       applyHeartbeat(machine, report, direct, { now, jobOf: (id) => this.cluster.jobs.get(id) ?? null }),
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -78,7 +78,7 @@
     this.listeningSince = deps.startedAt;
   }
 
-  private get reportMs(): number {
+  private get heartbeatIntervalMs(): number {
     return this.deps.settings.settings.workers.report_s * 1000;
   }
 
@@ -112,9 +112,9 @@
   }
 
   private livenessContext(now: number): LivenessContext {
-    const { reportMs, listeningSince } = this;
-    const unresponsiveAfterMs = reportMs * this.deps.options.workers.silent_reports;
-    return { now, listeningSince, reportMs, unresponsiveAfterMs };
+    const { heartbeatIntervalMs, listeningSince } = this;
+    const unresponsiveAfterMs = heartbeatIntervalMs * this.deps.options.workers.silent_reports;
+    return { now, listeningSince, heartbeatIntervalMs, unresponsiveAfterMs };
   }
 
   /**
@@ -123,7 +123,8 @@
    */
   private reachesNoWorker(): boolean {
     const { host, dispatcher } = this.deps;
-    const noHeartbeats = host.directHeartbeatAgeMs() > this.reportMs * NO_DIRECT_HEARTBEAT_INTERVALS;
+    const noHeartbeats =
+      host.directHeartbeatAgeMs() > this.heartbeatIntervalMs * NO_DIRECT_HEARTBEAT_INTERVALS;
     return noHeartbeats && dispatcher.unreachedCount >= MIN_MISSING_MACHINES;
   }
 
@@ -216,7 +217,7 @@
     if (now - startedAt < DISCOVERY_MS) return;
     for (const machine of cluster.machines.values()) {
       if (machine.reconciled || machine.commandInFlight) continue;
-      const overdue = now - machine.lastMessageAt > this.reportMs * OVERDUE_INTERVALS;
+      const overdue = now - machine.lastMessageAt > this.heartbeatIntervalMs * OVERDUE_INTERVALS;
       if (machine.incarnation === 0) dispatcher.probe(machine);
       else if (overdue && now >= machine.commandNotBefore) dispatcher.dispatch(machine, []);
     }
--- a/src/workers/liveness.ts
+++ b/src/workers/liveness.ts
@@ -18,7 +18,7 @@
   /** Silence before this says nothing: this controller was not there to listen, or not the leader yet. */
   listeningSince: number;
   /** Interval between two heartbeats. */
-  reportMs: number;
+  heartbeatIntervalMs: number;
   /** Silence after which a machine that answers no probe either is given up. */
   unresponsiveAfterMs: number;
 }
@@ -44,14 +44,14 @@
  */
 export function isMissing(machine: Machine, context: LivenessContext): boolean {
   const silence = silenceMs(machine, context);
-  if (hasBeenInContact(machine, context)) return silence > context.reportMs * MISSED_HEARTBEATS;
+  if (hasBeenInContact(machine, context)) return silence > context.heartbeatIntervalMs * MISSED_HEARTBEATS;
   return silence > context.unresponsiveAfterMs && machine.probesFailed > 0;
 }
 
 /** There is reason to ask the worker directly whether it is alive and receives our messages. */
 export function needsProbe(machine: Machine, context: LivenessContext): boolean {
   return (
-    silenceMs(machine, context) > context.reportMs * PROBE_AFTER_INTERVALS ||
+    silenceMs(machine, context) > context.heartbeatIntervalMs * PROBE_AFTER_INTERVALS ||
     machine.missedAcknowledgements > 0
   );
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -38,7 +38,7 @@
   now: number;
   leaseMs: number;
   /** Interval between two heartbeats. */
-  reportMs: number;
+  heartbeatIntervalMs: number;
 }
 
 /** Heartbeat intervals for which a machine may go on with an older fencing token though it is answered. */
@@ -168,7 +168,7 @@
    * once kept its tasks waiting for starts that never came. To be called before the heartbeat is applied.
    */
   noteContact(heartbeat: { fencingToken: number; incarnation: number }, context: ContactContext): void {
-    const { direct, term, now, leaseMs, reportMs } = context;
+    const { direct, term, now, leaseMs, heartbeatIntervalMs } = context;
     if (direct) return;
     // Incarnations end when responses stay away for a lease. Ours were sent: they didn't arrive, or it hung that long.
     const answered = now - this.leaseRenewedBefore < leaseMs;
@@ -181,7 +181,7 @@
       return;
     }
     this.behindSince ??= now;
-    if (now - this.behindSince < MOST_INTERVALS_BEHIND * reportMs) this.roundTripAt = now;
+    if (now - this.behindSince < MOST_INTERVALS_BEHIND * heartbeatIntervalMs) this.roundTripAt = now;
   }
 
   // ---- incarnation and lease ----
--- a/test/workers/contact.test.ts
+++ b/test/workers/contact.test.ts
@@ -17,7 +17,7 @@
 
 /** Lets the machine judge a heartbeat of its own that arrives at `now`. */
 function receive(machine: Machine, now: number, fencingToken = TERM, incarnation = 1): void {
-  const context = { direct: false, term: TERM, now, leaseMs: 30_000, reportMs: 5000 };
+  const context = { direct: false, term: TERM, now, leaseMs: 30_000, heartbeatIntervalMs: 5000 };
   machine.noteContact({ fencingToken, incarnation }, context);
 }
 
--- a/test/workers/fixtures.ts
+++ b/test/workers/fixtures.ts
@@ -74,3 +74,12 @@
   };
   return { machine, job, launch };
 }
+
+/** The same heartbeat without tasks, as it is on the wire. */
+export function wireHeartbeat(incarnation: number, sequence: number): string {
+  return JSON.stringify({
+    ...{ hearth: IDENTITY.name, address: IDENTITY.address, oven: IDENTITY.machineType },
+    ...{ yard: IDENTITY.zone, borrowed: IDENTITY.spot, shift: incarnation, tick: sequence },
+    ...{ baton: 1, warningS: null, loaves: [] },
+  });
+}
--- /dev/null
+++ b/test/workers/image-cache.test.ts
@@ -0,0 +1,18 @@
+import assert from 'node:assert/strict';
+import test from 'node:test';
+import { ImageCache } from '../../src/workers/image-cache.ts';
+
+test('fetches follow one another, and a machine that was given one up is no warmer for it', () => {
+  const images = new ImageCache();
+  images.noteFetch('first', 10_000, 1000);
+  images.noteFetch('second', 5000, 2000);
+  assert.deepEqual([images.get('first'), images.get('second')], [11_000, 16_000]);
+  assert.equal(images.fetchingUntil, 16_000);
+  images.abandonFetch('second', 3000);
+  assert.equal(images.has('second'), false);
+  assert.equal(images.fetchingUntil, 11_000);
+  images.notePresent('first', 9000);
+  assert.equal(images.get('first'), 9000, 'it was there earlier than expected');
+  images.clear();
+  assert.deepEqual([...images.keys()], []);
+});
--- /dev/null
+++ b/test/workers/liveness.test.ts
@@ -0,0 +1,71 @@
+import assert from 'node:assert/strict';
+import test from 'node:test';
+import {
+  hasBeenInContact,
+  hasLeaseExpired,
+  isMissing,
+  livenessFailure,
+  needsProbe,
+  silenceMs,
+  type LivenessContext,
+} from '../../src/workers/liveness.ts';
+import { heartbeat, newMachine } from './fixtures.ts';
+
+const HEARTBEAT_INTERVAL_MS = 1000;
+
+function at(now: number, listeningSince = 0): LivenessContext {
+  return { now, listeningSince, heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, unresponsiveAfterMs: 2500 };
+}
+
+test('a lease has expired only when it has on a clock that is slow by the drift bound, too', () => {
+  const machine = newMachine();
+  machine.leaseRenewedBefore = 10_000;
+  const leaseMs = 30_000;
+  // 30 s and a thousandth of them, and half a second for messages.
+  assert.equal(hasLeaseExpired(machine, leaseMs, 40_529), false);
+  assert.equal(hasLeaseExpired(machine, leaseMs, 40_531), true);
+});
+
+test('silence counts from the last round trip, or from when this controller began to listen', () => {
+  const machine = newMachine();
+  assert.equal(silenceMs(machine, at(5000, 3000)), 2000);
+  machine.acknowledged(4000);
+  assert.equal(silenceMs(machine, at(5000, 3000)), 1000);
+  assert.equal(hasBeenInContact(machine, at(5000, 3000)), true);
+  // After a pause of the process what was before says nothing.
+  assert.equal(silenceMs(machine, at(9000, 9000)), 0);
+  assert.equal(hasBeenInContact(machine, at(9000, 9000)), false);
+});
+
+test('a machine once in contact is missing after a heartbeat, another only when it answers no probe either', () => {
+  const known = newMachine();
+  known.acknowledged(1);
+  assert.equal(isMissing(known, at(1401)), false);
+  assert.equal(isMissing(known, at(1402)), true);
+  const unknown = newMachine();
+  assert.equal(isMissing(unknown, at(2501)), false);
+  unknown.noteFailedProbe();
+  assert.equal(isMissing(unknown, at(2500)), false);
+  assert.equal(isMissing(unknown, at(2501)), true);
+});
+
+test('a machine is probed when it is silent or has left a command unanswered', () => {
+  const machine = newMachine();
+  machine.acknowledged(0);
+  assert.equal(needsProbe(machine, at(1500)), false);
+  assert.equal(needsProbe(machine, at(1501)), true);
+  machine.noteMissedAcknowledgement();
+  assert.equal(needsProbe(machine, at(1)), true);
+});
+
+test('a machine that is given up either sends nothing or receives nothing', () => {
+  const machine = newMachine();
+  assert.equal(livenessFailure(machine, at(2501)), null, 'not probed yet');
+  machine.noteFailedProbe();
+  assert.equal(livenessFailure(machine, at(2500)), null);
+  assert.equal(livenessFailure(machine, at(2501)), 'unresponsive');
+  machine.noteHeartbeat(heartbeat(1, 1), false, 2000);
+  assert.equal(livenessFailure(machine, at(2501)), 'unacknowledged');
+  machine.acknowledged(2400);
+  assert.equal(livenessFailure(machine, at(2501)), null);
+});
