--- a/eslint.config.js
+++ b/eslint.config.js
@@ -17,7 +17,6 @@
   'src/scheduling/**',
   'src/sim/**',
   'src/store/**',
-  'src/wire/**',
   'src/workers/**',
   'standins/**',
   'test/**',
--- a/src/wire/amounts.ts
+++ b/src/wire/amounts.ts
@@ -1,10 +1,13 @@
 import * as z from 'zod/mini';
 
-/** Building blocks of the codecs. Counts reach 2^64 on the wire; past 2^53 they are refused, never rounded. */
+/** An amount of something, such as cores, GB or seconds: a number of at least 0. */
 export const amount = z.number().check(z.minimum(0));
+/** A count, revision or id. They reach 2^64 on the wire; past 2^53 they are refused, never rounded. */
 export const count = z.int().check(z.minimum(0));
+/** A field that may be absent or null. */
 export const orNull = <T>(type: z.ZodMiniType<T>) => z.nullish(type);
 
+/** The value of a message, or in one line why it is none. Malformed messages are ordinary, so they are no errors. */
 export type Decoded<T> = { ok: true; value: T } | { ok: false; reason: string };
 
 /** Decodes JSON text; a failure carries a one-line reason. */
@@ -18,6 +21,7 @@
   return decodeValue(type, raw);
 }
 
+/** Decodes a parsed JSON object; a failure names the first field that is off, in at most 200 characters. */
 export function decodeValue<T>(type: z.ZodMiniType<T>, raw: unknown): Decoded<T> {
   if (typeof raw !== 'object' || raw === null || Array.isArray(raw)) {
     return { ok: false, reason: 'body is not an object' };
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -18,6 +18,7 @@
   ),
 });
 
+/** A machine type of the cloud's catalog: memory and cache in GB, prices an hour, boot time in seconds. */
 export interface MachineTypeInfo {
   name: string;
   cpus: number;
@@ -31,6 +32,7 @@
   zones: string[];
 }
 
+/** Decodes the catalog. A type without a spot price is rented as a spot machine at its ordinary price. */
 export function decodeCatalog(text: string): Decoded<MachineTypeInfo[]> {
   const decoded = decodeText(wireCatalog, text);
   if (!decoded.ok) return decoded;
@@ -51,6 +53,7 @@
   };
 }
 
+/** A rental of `count` equal machines. Repeated under the same `request` name it rents nothing twice. */
 export interface RentRequest {
   request: string;
   machineType: string;
@@ -59,6 +62,7 @@
   count: number;
 }
 
+/** Encodes the body of a rental. */
 export function encodeRent(r: RentRequest): string {
   return JSON.stringify({
     booking: r.request,
@@ -69,6 +73,7 @@
   });
 }
 
+/** Decodes the answer to a rental: the names of the machines, which may be fewer than were asked for. */
 export function decodeRented(text: string): Decoded<string[]> {
   const decoded = decodeText(z.object({ hearths: z.array(z.string()) }), text);
   return decoded.ok ? { ok: true, value: decoded.value.hearths } : decoded;
@@ -80,6 +85,7 @@
   return decoded.ok && decoded.value.error === 'no capacity';
 }
 
+/** Encodes the body that returns machines by name. */
 export function encodeTermination(names: readonly string[]): string {
   return JSON.stringify({ hearths: names });
 }
@@ -99,6 +105,7 @@
   hasNext: z.boolean(),
 });
 
+/** A machine in the cloud's list, which lags behind rentals and returns. `ageS`: seconds since it was rented. */
 export interface ListedMachine {
   name: string;
   address: string;
@@ -115,6 +122,7 @@
   failed: 'failed',
 };
 
+/** Decodes a page of the machine list, in the order of names; `more`: further pages follow. */
 export function decodeMachineList(text: string): Decoded<{ machines: ListedMachine[]; more: boolean }> {
   const decoded = decodeText(wireList, text);
   if (!decoded.ok) return decoded;
@@ -130,6 +138,7 @@
   return { ok: true, value: { machines, more: decoded.value.hasNext } };
 }
 
+/** Paths of the cloud's HTTP interface, with their queries. */
 export const CLOUD_PATHS = {
   types: '/catalog',
   rent: '/rentals',
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -8,7 +8,8 @@
 const SHAPES = { array: 'array', ensemble: 'gang', daemon: 'array' } as const;
 const RANKS = { critical: 3, urgent: 2, standard: 1, low: 0 } as const;
 
-export type JobStage = 'pending' | 'running' | 'done' | 'cancelled';
+/** A job's stage as its user sees it. */
+type JobStage = 'pending' | 'running' | 'done' | 'cancelled';
 const STAGES: Record<JobStage, string> = {
   pending: 'pending',
   running: 'running',
@@ -64,7 +65,7 @@
 });
 
 /** The user's request in the form in which it is also kept in the store. */
-export type StoredJob = z.infer<typeof wireJob>;
+type StoredJob = z.infer<typeof wireJob>;
 
 /** A job in the service's own terms; names are still names here. */
 export interface JobRequest {
@@ -137,16 +138,19 @@
   return decoded.ok && isJobId(decoded.value.uid) ? decoded.value.uid : null;
 }
 
+/** True if a text has the form of a job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID.test(id);
 }
 
+/** What a user is told of a job: its stage, and how many of its tasks have completed and are running. */
 export interface JobStatus {
   stage: JobStage;
   done: number;
   running: number;
 }
 
+/** Encodes the answer to a question for a job. */
 export function encodeStatus(id: string, status: JobStatus): string {
   return JSON.stringify({
     uid: id,
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,6 +1,7 @@
 import * as z from 'zod/mini';
 import { amount, count, decodeText, orNull, type Decoded } from './amounts.ts';
 
+/** Why a task's attempt has ended, in the service's terms. */
 export type ExitReason =
   | 'done'
   | 'stopped'
@@ -22,6 +23,7 @@
 };
 
 const STAGES = ['fetching', 'waiting', 'running', 'saving', 'ended'] as const;
+/** Where a task's attempt stands on its machine. */
 export type TaskPhase = (typeof STAGES)[number];
 
 const wireHeartbeat = z.object({
@@ -45,6 +47,7 @@
   ),
 });
 
+/** One attempt of a task on a reporting worker's machine. */
 export interface TaskStatus {
   jobId: string;
   task: number;
@@ -55,6 +58,10 @@
   checkpointed: boolean;
 }
 
+/**
+ * A worker's report. `session` and `seq` order the reports of a machine; `token`: the highest it has seen.
+ * `noticeS`: seconds until the cloud takes a spot machine away, or null.
+ */
 export interface Heartbeat {
   machine: string;
   address: string;
@@ -70,6 +77,7 @@
 
 const TASK_ID = /^(.+)\/(\d{1,6})$/;
 
+/** Decodes a report; a failure names the first field that is off. */
 export function decodeHeartbeat(text: string): Decoded<Heartbeat> {
   const decoded = decodeText(wireHeartbeat, text);
   if (!decoded.ok) return decoded;
@@ -77,10 +85,11 @@
   const tasks: TaskStatus[] = [];
   for (const t of w.loaves) {
     const match = TASK_ID.exec(t.loaf);
-    if (!match) return { ok: false, reason: 'field loaves: malformed task id' };
+    const jobId = match?.[1];
+    if (!match || jobId === undefined) return { ok: false, reason: 'field loaves: malformed task id' };
     const ended = t.stage === 'ended';
     tasks.push({
-      jobId: match[1]!,
+      jobId,
       task: Number(match[2]),
       attempt: t.try,
       phase: t.stage,
@@ -166,6 +175,7 @@
   }
 }
 
+/** An order to a worker about one attempt of a task. `graceS`: seconds to save its progress before it is killed. */
 export type Command =
   | { op: 'start'; jobId: string; task: number; attempt: number }
   | { op: 'stop'; jobId: string; task: number; attempt: number; graceS: number }
@@ -183,14 +193,17 @@
   }
 }
 
+/** Encodes the answer to a report: the orders, under the token of the leader that gives them. */
 export function encodeHeartbeatResponse(token: number, commands: readonly Command[]): string {
   return JSON.stringify({ baton: token, orders: commands.map(encodeCommand) });
 }
 
+/** Encodes direct orders. The worker refuses them in another session, or after a higher token. */
 export function encodeCommands(token: number, session: number, commands: readonly Command[]): string {
   return JSON.stringify({ baton: token, shift: session, orders: commands.map(encodeCommand) });
 }
 
+/** Encodes the body that sends a worker to the controller `node`; null: none is known. */
 export function encodeRedirect(node: string | null): string {
   return JSON.stringify(node === null ? {} : { foreman: node });
 }
