--- a/eslint.config.js
+++ b/eslint.config.js
@@ -10,7 +10,6 @@
  */
 const legacyFiles = [
   'src/controller/**',
-  'src/fleet/**',
   'src/jobs/**',
   'src/leader/**',
   'src/leadership/**',
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -37,6 +37,7 @@
   return { types: catalog.types };
 }
 
+/** Reads the stored form of the catalog; null: it has none, or an empty one. */
 export function readCatalogValue(value: unknown): Catalog | null {
   const read = record.safeParse(value);
   return read.success && read.data.types.length > 0 ? new Catalog(read.data.types) : null;
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -3,6 +3,7 @@
 import { RateBudget } from '../store/budget.ts';
 import * as wire from '../wire/cloud.ts';
 
+/** How a rental ended, in the names of the machines if it was carried out. */
 export type RentResult =
   | { kind: 'rented'; names: string[] }
   | { kind: 'no_capacity' }
--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -1,11 +1,13 @@
 import type { Clock } from '../base/clock.ts';
 import type { NameIndex } from '../base/name-index.ts';
 import type { Logger } from '../base/log.ts';
+import { required } from '../base/required.ts';
 import type { Options } from '../config/options.ts';
 import { resourcesOf, type ProvisioningOption } from '../scheduling/snapshot.ts';
 import type { Catalog } from './catalog.ts';
 import type { Cloud } from './cloud.ts';
 
+/** What the fleet needs of the leader it works for. */
 export interface MachineProvisionerDeps {
   clock: Clock;
   log: Logger;
@@ -46,6 +48,7 @@
   running: boolean;
 }
 
+/** A machine without tasks, and for how many milliseconds it has had none. */
 export interface IdleMachine {
   name: string;
   type: number;
@@ -130,7 +133,7 @@
     for (const o of this.options) {
       if (now < o.notBefore || o.asking > 0) continue;
       if (dark.has(o.zone) && tried.has(o.zone)) continue;
-      const type = this.deps.catalog.types[o.type]!;
+      const type = required(this.deps.catalog.types[o.type], 'machine type of the option');
       views.push({
         option: o.index,
         type: o.type,
@@ -163,7 +166,7 @@
     const request = `pw-${term}-${this.requestCount}`;
     const rental = {
       request,
-      machineType: catalog.types[option.type]!.name,
+      machineType: required(catalog.types[option.type], 'machine type of the option').name,
       zone: zones.name(option.zone),
       spot: option.spot,
       count,
