--- a/eslint.config.js
+++ b/eslint.config.js
@@ -13,7 +13,6 @@
   'src/jobs/**',
   'src/leader/**',
   'src/leadership/**',
-  'src/scheduling/**',
   'src/sim/**',
   'src/store/**',
   'src/workers/**',
@@ -97,6 +96,12 @@
       ],
     },
   },
+  {
+    // Inner loops over dense arrays, whose indices are right by construction: a check at each access would cost a
+    // round, or an emulated day, more time than it is worth.
+    files: ['src/scheduling/round.ts', 'src/scheduling/solver.ts', 'src/scheduling/targets.ts'],
+    rules: { '@typescript-eslint/no-non-null-assertion': 'off' },
+  },
   {
     files: ['test/**/*.ts'],
     // Exports of test/ are helpers of neighbouring test files, not an interface.
--- a/src/scheduling/extract.ts
+++ b/src/scheduling/extract.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { FlowNetwork } from './solver.ts';
 import type { Target } from './targets.ts';
 import {
@@ -13,6 +14,7 @@
   type QuotaHeadroom,
 } from './snapshot.ts';
 
+/** An arc of the network over which a group's tasks can flow to a target. `group`: index into the round's groups. */
 export interface Edge {
   group: number;
   target: Target;
@@ -44,7 +46,8 @@
       list = target.views.map((view) => ({ view, room: { ...view.free }, added: 0, images: new Set() }));
       this.lists.set(target, list);
     }
-    const fetch = list[0]!.view.fetchS(group.image, group.imageGb) * this.fetchSteps;
+    const fetch =
+      required(list[0], 'machine of the target').view.fetchS(group.image, group.imageGb) * this.fetchSteps;
     const given = new Map<Member, number>();
     let left = count;
     while (left > 0) {
@@ -86,13 +89,15 @@
   const demand = new Map<number, number>();
   const dropped: number[] = [];
   const byGroup: Edge[][] = groups.map(() => []);
-  for (const edge of edges) if (net.flow(edge.arc) > 0) byGroup[edge.group]!.push(edge);
+  for (const edge of edges) {
+    if (net.flow(edge.arc) > 0) required(byGroup[edge.group], 'group of the edge').push(edge);
+  }
   groups.forEach((group, index) => {
     const placed: Placement[] = [];
     let total = 0;
     let later = 0;
     const wants: { option: number; machines: number }[] = [];
-    for (const edge of byGroup[index]!) {
+    for (const edge of required(byGroup[index], 'edges of the group')) {
       const { target } = edge;
       const flow = net.flow(edge.arc);
       if (target.option) {
@@ -101,11 +106,12 @@
       } else if (target.kind === 'later') {
         later += flow;
       } else {
-        const count = Math.min(flow, quotaFits(group.need, teams[group.team]!));
+        const team = required(teams[group.team], 'room of the team');
+        const count = Math.min(flow, quotaFits(group.need, team));
         if (count <= 0) continue;
         const found = members.place(target, group, count, placed);
-        teams[group.team]!.cpus -= group.need.cpus * found;
-        teams[group.team]!.gpus -= group.need.gpus * found;
+        team.cpus -= group.need.cpus * found;
+        team.gpus -= group.need.gpus * found;
         total += found;
       }
     }
--- a/src/scheduling/forecast.ts
+++ b/src/scheduling/forecast.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { JobRequest } from '../wire/user.ts';
 
 interface ClassHistory {
@@ -6,6 +7,7 @@
   latest: JobRequest;
 }
 
+/** Tasks that are likely to arrive, with the latest job of their class as a pattern. */
 export interface Expected {
   like: JobRequest;
   /** Tasks for which room should be at hand. */
@@ -50,8 +52,8 @@
   expected(nowMs: number, bootS: (job: JobRequest) => number, swing: number): Expected[] {
     const found: Expected[] = [];
     for (const history of this.classes.values()) {
-      const last = history.arrivals.at(-1)!;
-      while (last - history.arrivals[0]! > WINDOW_MS) history.arrivals.shift();
+      const last = required(history.arrivals.at(-1), 'arrival of a noted class');
+      while (last - (history.arrivals[0] ?? last) > WINDOW_MS) history.arrivals.shift();
       const spanMs = Math.min(WINDOW_MS, Math.max(SETTLE_MS, last - this.firstAt));
       const perMs = history.arrivals.length / spanMs;
       // When the class has gone quiet for much longer than its usual gap, room kept for it is paid for nothing.
--- a/src/scheduling/mean-work.ts
+++ b/src/scheduling/mean-work.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { TaskGroup } from './snapshot.ts';
 
 /** The work that waits, of each job against what the jobs of its class have on average. */
@@ -17,7 +18,7 @@
       classes.set(className, { sum: known.sum + work, count: known.count + 1 });
     }
     for (const { group, className, work, perTask } of this.noted) {
-      const { sum, count } = classes.get(className)!;
+      const { sum, count } = required(classes.get(className), 'sum of the class');
       if (!perTask && sum > 0) group.size = (work * count) / sum;
     }
   }
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import { allowed, fetchOn, fitting, type Needs, type Target } from './targets.ts';
 import { BAND, urgency } from './urgency.ts';
 import {
@@ -10,6 +11,7 @@
 } from './snapshot.ts';
 import { pickZone } from './zones.ts';
 
+/** Weights of the costs in the network, from the operators' options. */
 export interface CostOptions {
   /** A job that waited longer keeps its nearest fitting machines free. */
   reserveAfterMs: number;
@@ -55,7 +57,7 @@
 
 /** Tasks of the group that its team's limit takes; a gang goes whole or not at all. */
 export function wantedOf(group: TaskGroup, teamRoom: readonly QuotaHeadroom[]): number {
-  const limit = quotaFits(group.need, teamRoom[group.team]!);
+  const limit = quotaFits(group.need, required(teamRoom[group.team], 'room of the team'));
   if (group.gang) return limit >= group.pending ? group.pending : 0;
   return Math.min(group.pending, limit);
 }
@@ -136,7 +138,7 @@
   ): Bid | null {
     const { options } = this;
     if (target.kind === 'now') {
-      const first = target.views[0]!;
+      const first = required(target.views[0], 'machine of the target');
       if (group.excludedMachines.has(first.machine)) return null;
       const room = group.bestEffort ? groupFits(group, first.free, first.perAccelerator) : each;
       if (room === 0) return null;
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import {
   fits,
   allocate,
@@ -8,6 +9,7 @@
   type QuotaHeadroom,
 } from './snapshot.ts';
 
+/** A task on a machine that may be stopped for others; `item` is whatever the caller knows it by. */
 export interface PreemptionCandidate<T> {
   item: T;
   priority: number;
@@ -24,7 +26,7 @@
  * May this task be stopped for that group? By rank at once. To give a team its guarantee only after a while:
  * machines that end their tasks or that are rented mostly bring it sooner, and stopping loses work.
  */
-export function mayPreempt(
+function mayPreempt(
   group: TaskGroup,
   victim: PreemptionCandidate<unknown>,
   guaranteeAfterMs: number,
@@ -48,9 +50,9 @@
   guaranteeAfterMs: number,
   reserved: ReadonlyMap<number, number>,
   /** Takes the machines that the group will find its room on, those with room already included. */
-  counted: Set<number> = new Set(),
+  counted = new Set<number>(),
 ): T[] | null {
-  let want = Math.min(waiting, quotaFits(group.need, teamRoom[group.team]!));
+  let want = Math.min(waiting, quotaFits(group.need, required(teamRoom[group.team], 'room of the team')));
   if (group.gang && want < group.pending) return [];
   const plans: { machine: number; items: T[]; count: number; loss: number; zone: number }[] = [];
   for (const m of machines) {
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -13,6 +13,7 @@
   type QuotaHeadroom,
 } from './snapshot.ts';
 
+/** Bounds and weights of one round. */
 export interface RoundOptions extends CostOptions {
   /** Groups in one round; the others wait for the next. */
   maxGroups: number;
--- a/src/scheduling/snapshot.ts
+++ b/src/scheduling/snapshot.ts
@@ -1,10 +1,15 @@
-/** What a round sees. Everything is a dense index; no slice's own objects reach the graph. */
+/**
+ * What a round sees. Everything is a dense index; no slice's own objects reach the graph.
+ *
+ * A room is an amount of processor cores, accelerators and GB of memory.
+ */
 export interface Resources {
   cpus: number;
   gpus: number;
   memory: number;
 }
 
+/** The tasks of one job that wait for a place, which are all alike. Prices are an hour's, in the cloud's currency. */
 export interface TaskGroup {
   job: number;
   team: number;
@@ -55,6 +60,7 @@
   size: number;
 }
 
+/** A machine that is up or booting, with what it has free. */
 export interface MachineSnapshot {
   machine: number;
   type: number;
@@ -80,6 +86,7 @@
   price: number;
 }
 
+/** Machines of one type, zone and kind that could be rented: room and boot time of each, price an hour. */
 export interface ProvisioningOption {
   option: number;
   type: number;
@@ -93,17 +100,20 @@
   fetchGbPerS: number;
 }
 
+/** Cores and accelerators that a team's limit leaves it. */
 export interface QuotaHeadroom {
   cpus: number;
   gpus: number;
 }
 
+/** So many tasks of a job go to a machine. */
 export interface Placement {
   job: number;
   machine: number;
   count: number;
 }
 
+/** What a round has decided, by index of job, machine or rent option. */
 export interface RoundResult {
   placements: Placement[];
   /** Machines wanted by option. */
@@ -124,6 +134,7 @@
 
 const EPSILON = 1e-6;
 
+/** How many tasks of this need the free room takes; 1000 for a task that needs nothing. */
 export function fits(need: Resources, free: Resources): number {
   let count = Infinity;
   if (need.cpus > 0) count = Math.min(count, (free.cpus + EPSILON) / need.cpus);
@@ -145,6 +156,7 @@
   return fits(group.need, left);
 }
 
+/** Takes the room of `count` tasks away from `free`; a negative count gives it back. */
 export function allocate(free: Resources, need: Resources, count = 1): void {
   free.cpus -= need.cpus * count;
   free.gpus -= need.gpus * count;
--- a/src/scheduling/urgency.ts
+++ b/src/scheduling/urgency.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { TaskGroup } from './snapshot.ts';
 
 /** Costs on present machines stay below one band, those of room that is yet to come below the second. */
@@ -15,6 +16,7 @@
   return HALF_S / (HALF_S + group.slackS) / (1 + group.size);
 }
 
+/** How much a group presses, in cost steps: the round places the groups with the highest first. */
 export function urgency(group: TaskGroup, reserveAfterMs: number): number {
   if (group.expected) return 0;
   // Rank first, then a team's guarantee, then who will be late soonest, then who waited longest.
@@ -46,7 +48,7 @@
   ordered.sort((a, b) => b.key - a.key);
   for (const { group } of ordered) {
     if (group.probe) continue;
-    const room = left[group.team]!;
+    const room = required(left[group.team], 'guarantee of the team');
     const gpus = group.need.gpus * group.pending;
     const cpus = group.need.cpus * group.pending;
     if (room.cpus === null ? gpus === 0 : cpus > room.cpus + 1e-9) continue;
--- a/src/scheduling/zones.ts
+++ b/src/scheduling/zones.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { TaskGroup } from './snapshot.ts';
 import { allowed, fitting, type Needs, type Target } from './targets.ts';
 
@@ -57,7 +58,8 @@
     }
     if (t.kind === 'now') {
       const there = t.views.filter((v) => !group.excludedMachines.has(v.machine)).length * count;
-      zone.now.push({ count: there, fetchS: t.views[0]!.fetchS(group.image, group.imageGb) });
+      const view = required(t.views[0], 'machine of the target');
+      zone.now.push({ count: there, fetchS: view.fetchS(group.image, group.imageGb) });
     } else if (t.option) zone.rent += count / (1 + t.price);
     else if (t.inS <= SOON_S) zone.soon += count;
   }
