--- a/eslint.config.js
+++ b/eslint.config.js
@@ -84,6 +84,8 @@
           allowRegExp: false,
         },
       ],
+      // A comment that only repeats the name.
+      'jsdoc/informative-docs': 'error',
       'jsdoc/require-jsdoc': [
         'error',
         {
