--- a/test/bench/heartbeat.ts
+++ b/test/bench/heartbeat.ts
@@ -1,5 +1,4 @@
 import { defaultOptions } from '../../src/config/options.ts';
-import type { Settings } from '../../src/config/settings.ts';
 import { HeartbeatHandler } from '../../src/controller/heartbeat-handler.ts';
 import { SETTINGS } from '../config/sample.ts';
 import { silent } from '../helpers.ts';
@@ -59,7 +58,7 @@
     const settings = { ...SETTINGS.settings, limits: { ...SETTINGS.settings.limits, cores: CORES } };
     this.handler = new HeartbeatHandler({
       node: 'hearth-0',
-      settings: settings as Settings['settings'],
+      settings: settings,
       options: defaultOptions(),
       log: silent,
       now: () => this.harness.clock.now(),
