--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -20,6 +20,8 @@
   /** Attempts of a job that may be anywhere. */
   readonly liveAttempts = new Map<Job, Set<Attempt>>();
   readonly usage: { cpus: number; gpus: number }[];
+  /** What earlier leaders stored is known: all open jobs, and all machines that may hold their tasks. */
+  recovered = false;
   /** Something changed that a round should see. */
   dirty = true;
   /** Zones that are cut off, as far as can be told: nothing is rented or waited for there. */
--- /dev/null
+++ b/src/leader/job-registry.ts
@@ -0,0 +1,66 @@
+/** The open jobs of a leadership, kept in step with the job records of the key-value store. */
+import { Job } from '../jobs/job.ts';
+import { readOpen, readTerminal } from '../jobs/records.ts';
+import { KEYS } from '../store/keys.ts';
+import type { Item, WatchEvent } from '../wire/state.ts';
+import type { Arrivals } from './arrivals.ts';
+import type { Cluster } from './cluster.ts';
+import type { LeaderDeps } from './context.ts';
+
+/** The job id in the key of a job record. */
+export function jobIdOfRecordKey(key: string): string {
+  return key.slice(KEYS.openPrefix.length);
+}
+
+/** Adds the jobs that are found in the store, by recovery, the watch, a listing or a read on behalf of a user. */
+export class JobRegistry {
+  constructor(
+    private readonly cluster: Cluster,
+    private readonly arrivals: Arrivals,
+    private readonly deps: LeaderDeps,
+  ) {}
+
+  /** Adds the job of an open record unless it is known already. Any other value is ignored. */
+  add(id: string, value: unknown): void {
+    if (this.cluster.jobs.has(id)) return;
+    const record = readOpen(value);
+    if (!record) return;
+    const { clock, log } = this.deps.host;
+    const { job: spec, createdWall } = record;
+    const team = this.deps.teams.findIndex((candidate) => candidate.name === spec.team);
+    if (team < 0) {
+      log.error({ job: id, team: spec.team }, 'stored job of unknown team');
+      return;
+    }
+    // It has waited since its user was answered, whoever led meanwhile.
+    const ageMs = Math.max(0, clock.wall() - createdWall);
+    const job = new Job(spec, team, createdWall, clock.now() - ageMs);
+    this.cluster.addJob(job);
+    this.arrivals.record(spec, createdWall);
+    log.debug({ job: id, tasks: spec.tasks, class: spec.className }, 'job accepted');
+  }
+
+  /** Changes of job records that the watch reports, in order. */
+  onStoreEvents(events: readonly WatchEvent[]): void {
+    for (const event of events) {
+      const id = jobIdOfRecordKey(event.key);
+      // Events come in order: after that of its terminal record no older one of the job follows.
+      if (event.deleted || readTerminal(event.value)) this.cluster.completedJobs.delete(id);
+      else if (!this.cluster.completedJobs.has(id)) this.add(id, event.value);
+    }
+  }
+
+  /** All job records, listed anew because the watch has missed events; it continues after this listing. */
+  onStoreListed(items: readonly Item[]): void {
+    const listed = new Set(items.map((item) => jobIdOfRecordKey(item.key)));
+    // The terminal records of the others were written and have been moved to the archive meanwhile.
+    for (const id of this.cluster.completedJobs) if (!listed.has(id)) this.cluster.completedJobs.delete(id);
+    this.onStoreEvents(items.map((item) => ({ ...item, deleted: false })));
+  }
+
+  /** A record that this node has read as open; the watch would report it a little later. */
+  observeOpenRecord(id: string, value: unknown): void {
+    const { recovered, completedJobs } = this.cluster;
+    if (recovered && !completedJobs.has(id) && !this.deps.host.isTerminal(id)) this.add(id, value);
+  }
+}
--- /dev/null
+++ b/src/leader/machine-membership.ts
@@ -0,0 +1,121 @@
+/** The machines of a leadership: how they join, become durable in the machine registry, and leave. */
+import type { MachineProvisioner } from '../fleet/machine-provisioner.ts';
+import type { Heartbeat } from '../wire/worker.ts';
+import { Machine, type MachineIdentity } from '../workers/machine.ts';
+import type { MachineRegistry } from '../workers/machine-registry.ts';
+import { releaseAll } from '../workers/reconcile.ts';
+import type { Attempts } from './attempts.ts';
+import type { Cluster } from './cluster.ts';
+import type { LeaderDeps } from './context.ts';
+
+/** The number of machines is asked for with each heartbeat, and counted anew at most this often. */
+const COUNT_INTERVAL_MS = 500;
+
+/** The parts of a leadership that membership works on. */
+export interface MembershipParts {
+  readonly cluster: Cluster;
+  readonly provisioner: MachineProvisioner;
+  readonly attempts: Attempts;
+  readonly registry: MachineRegistry;
+}
+
+/** Adds machines to the cluster and removes them. */
+export class MachineMembership {
+  private lastCount = { at: -Infinity, machines: 0 };
+  private lastAnswerBeforeJoining = -Infinity;
+
+  /** `leaderSince`: when this leadership began, in milliseconds of the steady clock. */
+  constructor(
+    private readonly parts: MembershipParts,
+    private readonly deps: LeaderDeps,
+    private readonly leaderSince: number,
+  ) {}
+
+  private now(): number {
+    return this.deps.host.clock.now();
+  }
+
+  /** Machines that run as far as is known, whether or not they have sent a heartbeat to this leader. */
+  count(): number {
+    const now = this.now();
+    if (now - this.lastCount.at > COUNT_INTERVAL_MS) {
+      const { cluster, provisioner } = this.parts;
+      this.lastCount = { at: now, machines: cluster.machines.size + provisioner.runningUnregistered };
+    }
+    return this.lastCount.machines;
+  }
+
+  /** Adds a machine that an earlier leader registered. */
+  restore(identity: MachineIdentity): void {
+    const machine = this.parts.cluster.machines.get(identity.name) ?? this.add(identity);
+    machine.registered = true;
+  }
+
+  private add(identity: MachineIdentity): Machine {
+    const leaseRenewedBefore = Math.max(
+      this.leaderSince + this.deps.heartbeatGraceMs,
+      this.lastAnswerBeforeJoining,
+    );
+    const type = this.deps.catalog.typeIndex(identity.machineType);
+    const zone = this.deps.zones.index(identity.zone);
+    return this.parts.cluster.addMachine(
+      (index) => new Machine(index, identity, type, zone, this.now(), leaseRenewedBefore),
+    );
+  }
+
+  /**
+   * A heartbeat of an unknown machine. With an older fencing token it comes from a new worker that has seen no answer
+   * of ours yet, and sends another once it has; or it is a copy of an old heartbeat of a machine that is gone: every
+   * machine that holds tasks is in the registry. When such a copy was taken for a machine, it held up work until its
+   * lease had expired. Returns null if the machine does not join.
+   */
+  admit(heartbeat: Heartbeat): Machine | null {
+    const { cluster, provisioner } = this.parts;
+    if (heartbeat.fencingToken !== this.deps.term || provisioner.wasTerminated(heartbeat.machine))
+      return null;
+    const { machine: name, address, machineType, zone, spot } = heartbeat;
+    this.deps.host.log.info({ machine: name, type: machineType, zone }, 'machine joined');
+    cluster.dirty = true;
+    const machine = this.add({ name, address, machineType, zone, spot });
+    // It booted after its termination had been requested: the cloud may take it back at any moment.
+    machine.terminating = provisioner.isTerminating(name);
+    return machine;
+  }
+
+  /** A worker is answered although its machine has not joined: the answer may renew its lease all the same. */
+  noteAnswerBeforeJoining(): void {
+    this.lastAnswerBeforeJoining = this.now();
+  }
+
+  /** Writes the machine to the registry, which is the condition of its first start, unless that is done or queued. */
+  ensureRegistered(machine: Machine): void {
+    if (machine.registered || machine.registrationQueued) return;
+    const { cluster, registry } = this.parts;
+    machine.registrationQueued = true;
+    registry.register(machine.id, () => {
+      machine.registered = true;
+      cluster.dirty = true;
+      cluster.commandsDue.add(machine);
+    });
+  }
+
+  /** The provisioner is about to terminate the machines: they take no new tasks from this moment. */
+  markTerminating(names: readonly string[]): void {
+    for (const name of names) {
+      const machine = this.parts.cluster.machines.get(name);
+      if (machine) machine.terminating = true;
+    }
+  }
+
+  /** The machine and everything on it are gone for certain. */
+  onTerminated(name: string): void {
+    const { cluster, attempts, registry } = this.parts;
+    const machine = cluster.machines.get(name);
+    if (!machine) return;
+    attempts.apply(releaseAll(machine));
+    cluster.machines.delete(name);
+    cluster.commandsDue.delete(machine);
+    cluster.dirty = true;
+    registry.remove(name);
+  }
+}
--- a/src/leader/stored-state.ts
+++ b/src/leader/stored-state.ts
@@ -2,13 +2,21 @@
 import { KEYS } from '../store/keys.ts';
 import type { Item, WatchEvent } from '../wire/state.ts';
 
-/** What earlier leaders and submissions left in the state service. */
-export interface StoredState {
+/** The records that earlier leaders and submissions left in the key-value store. */
+export interface StoredRecords {
+  /** Open jobs, and the terminal records that have not been archived yet. */
   open: readonly Item[];
+  /** Chunks of the completion bitmaps of jobs. */
   completions: readonly Item[];
+  /** Pages that say which tasks may have been started. */
   startWatermarks: readonly Item[];
+  /** Pages of the machines that may hold tasks. */
   machineRegistry: readonly Item[];
-  /** Changes of job records after this revision come by the watch. */
+}
+
+/** The stored records as of one moment. */
+export interface StoredState extends StoredRecords {
+  /** Revision of the store from which the watch of job records continues. */
   revision: number;
 }
 
