--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -1,36 +1,48 @@
+/** The state of one leadership: its jobs, machines and attempts, with the invariants between them. */
+import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import type { Attempt, Machine } from '../workers/machine.ts';
 
+/** One run of a gang: the attempts of all its tasks under one number. */
 export interface Gang {
+  /** The attempt number that all members share; a later run has a higher one. */
   number: number;
   members: Set<Attempt>;
-  /** Set when the run is over or must end; a new one starts once all members are released. */
+  /** Set when the run has ended or must end; a new one starts once all members are released. */
   ending: boolean;
 }
 
-/** The state of one leadership, shared by its parts. It starts empty and is thrown away whole. */
+/** What a team uses now, in CPUs and GPUs. */
+export interface TeamUsage {
+  cpus: number;
+  gpus: number;
+}
+
+/** Shared by the parts of a leadership. It starts empty and is discarded as a whole. */
 export class Cluster {
   readonly jobs = new Map<string, Job>();
   readonly jobsByIndex = new Map<number, Job>();
   private readonly jobIndex = new Map<Job, number>();
-  private nextJob = 0;
+  private nextJobIndex = 0;
   readonly machines = new Map<string, Machine>();
+  /** All machines that ever joined; an index is never used again. */
   readonly machinesByIndex: Machine[] = [];
   readonly gangs = new Map<Job, Gang>();
-  /** Attempts of a job that may be anywhere. */
+  /** Attempts of a job that may be on their machine. */
   readonly liveAttempts = new Map<Job, Set<Attempt>>();
-  readonly usage: { cpus: number; gpus: number }[];
+  /** By the index of the team. */
+  readonly usage: TeamUsage[];
   /** What earlier leaders stored is known: all open jobs, and all machines that may hold their tasks. */
   recovered = false;
-  /** Something changed that a round should see. */
+  /** Something changed that a scheduling round should see. */
   dirty = true;
-  /** Zones that are cut off, as far as can be told: nothing is rented or waited for there. */
+  /** Zones that seem to be cut off, by index: no machine is provisioned or waited for there. */
   readonly unreachableZones = new Set<number>();
-  /** Machines that may need orders sent straight to them. */
+  /** Machines that may need commands sent directly. */
   readonly commandsDue = new Set<Machine>();
   /**
-   * Jobs that this leader has ended, until the watch tells of their final record: a late event of their creation must not
-   * bring them back to life.
+   * Jobs whose outcome this leader has decided, until the watch reports their terminal record: a late event of their
+   * creation must not add them again.
    */
   readonly completedJobs = new Set<string>();
 
@@ -38,15 +50,16 @@
     this.usage = Array.from({ length: teams }, () => ({ cpus: 0, gpus: 0 }));
   }
 
+  /** Adds an open job under the next index. */
   addJob(job: Job): void {
-    const index = this.nextJob++;
+    const index = this.nextJobIndex++;
     this.jobs.set(job.id, job);
     this.jobsByIndex.set(index, job);
     this.jobIndex.set(job, index);
     this.dirty = true;
   }
 
-  /** Drops a job that is over once none of its tasks can be anywhere. */
+  /** Removes a job in a terminal state once none of its attempts can be on any machine. */
   removeIfCompleted(job: Job): void {
     if (job.terminalState === null || (this.liveAttempts.get(job)?.size ?? 0) > 0) return;
     this.jobs.delete(job.id);
@@ -57,54 +70,64 @@
     this.liveAttempts.delete(job);
   }
 
-  /** Nothing an earlier leader started can be unknown any more. */
+  /** True once nothing that an earlier leader started can be on a machine without being known. */
   allReconciled(): boolean {
-    for (const m of this.machines.values()) if (!m.reconciled) return false;
+    for (const machine of this.machines.values()) if (!machine.reconciled) return false;
     return true;
   }
 
   /** From now on the attempt may be on its machine. */
-  track(a: Attempt): void {
-    if (!a.job) return;
-    let live = this.liveAttempts.get(a.job);
+  track(attempt: Attempt): void {
+    const { job } = attempt;
+    if (!job) return;
+    let live = this.liveAttempts.get(job);
     if (!live) {
       live = new Set();
-      this.liveAttempts.set(a.job, live);
+      this.liveAttempts.set(job, live);
     }
-    live.add(a);
-    a.job.holders.set(a.task, (a.job.holders.get(a.task) ?? 0) + 1);
-    const use = this.usage[a.job.team]!;
-    use.cpus += a.job.spec.cpus;
-    use.gpus += a.job.spec.gpus;
+    live.add(attempt);
+    job.holders.set(attempt.task, (job.holders.get(attempt.task) ?? 0) + 1);
+    const usage = this.usageOf(job);
+    usage.cpus += job.spec.cpus;
+    usage.gpus += job.spec.gpus;
   }
 
-  /** The attempt is surely nowhere; returns how many others hold its task, or -1 if it wasn't held. */
-  release(a: Attempt): number {
-    const { job } = a;
-    if (!job || !this.liveAttempts.get(job)?.delete(a)) return -1;
-    const others = job.holders.get(a.task)! - 1;
-    if (others > 0) job.holders.set(a.task, others);
-    else job.holders.delete(a.task);
-    const use = this.usage[job.team]!;
-    use.cpus -= job.spec.cpus;
-    use.gpus -= job.spec.gpus;
+  /**
+   * The attempt is on no machine any more, for certain. Returns how many others hold its task, or -1 if the attempt
+   * wasn't tracked.
+   */
+  release(attempt: Attempt): number {
+    const { job } = attempt;
+    if (!job || !this.liveAttempts.get(job)?.delete(attempt)) return -1;
+    const others = required(job.holders.get(attempt.task), 'count of the attempts that hold a task') - 1;
+    if (others > 0) job.holders.set(attempt.task, others);
+    else job.holders.delete(attempt.task);
+    const usage = this.usageOf(job);
+    usage.cpus -= job.spec.cpus;
+    usage.gpus -= job.spec.gpus;
     return others;
   }
 
-  /** Decides that a task must stop; a shorter grace replaces a longer one. */
-  stop(a: Attempt, graceS: number): void {
-    if (a.released || (a.stopGraceS !== null && a.stopGraceS <= graceS)) return;
-    a.stopGraceS = graceS;
-    a.machine.commandNotBefore = 0;
-    this.commandsDue.add(a.machine);
+  private usageOf(job: Job): TeamUsage {
+    return required(this.usage[job.team], 'usage of the team of a job');
+  }
+
+  /** Decides that an attempt must stop, with a grace in seconds; a shorter grace replaces a longer one. */
+  stop(attempt: Attempt, graceS: number): void {
+    if (attempt.released || (attempt.stopGraceS !== null && attempt.stopGraceS <= graceS)) return;
+    attempt.stopGraceS = graceS;
+    attempt.machine.commandNotBefore = 0;
+    this.commandsDue.add(attempt.machine);
   }
 
+  /** Decides that all attempts of a job must stop, with a grace in seconds. */
   stopAll(job: Job, graceS: number): void {
-    for (const a of this.liveAttempts.get(job) ?? []) this.stop(a, graceS);
+    for (const attempt of this.liveAttempts.get(job) ?? []) this.stop(attempt, graceS);
   }
 
-  addMachine(make: (index: number) => Machine): Machine {
-    const machine = make(this.machinesByIndex.length);
+  /** Adds the machine that `create` makes for the next index. */
+  addMachine(create: (index: number) => Machine): Machine {
+    const machine = create(this.machinesByIndex.length);
     this.machines.set(machine.name, machine);
     this.machinesByIndex.push(machine);
     return machine;
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -1,3 +1,4 @@
+/** Completed tasks and jobs, on their way into the key-value store. */
 import type { Archive } from '../jobs/archive.ts';
 import type { StartWatermarks } from '../jobs/start-watermarks.ts';
 import type { Job } from '../jobs/job.ts';
@@ -6,10 +7,14 @@
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
 
-/** Finished tasks and jobs that end, on their way into the store. */
+/** How a job ends. */
+export type JobOutcome = 'done' | 'cancelled';
+
+/** Writes completion bitmaps and terminal records, and tells the outcome of a job once it is durable. */
 export class Completion {
   private flushDueAt = Infinity;
   private lastFlushAt = -Infinity;
+  /** Jobs with tasks that were completed since their bitmap was last written. */
   private readonly dirtyJobs = new Set<Job>();
 
   constructor(
@@ -19,83 +24,97 @@
     private readonly deps: LeaderDeps,
   ) {}
 
+  /** A task is done; the next flush writes it. */
   taskDone(job: Job, task: number): void {
     job.markDone(task);
     if (job.pendingOutcome !== null) return;
     this.dirtyJobs.add(job);
-    if (this.flushDueAt === Infinity) {
-      const { finish_batch_ms } = this.deps.options.scheduling;
-      this.flushDueAt = Math.max(this.deps.host.clock.now(), this.lastFlushAt + finish_batch_ms);
-    }
+    if (this.flushDueAt !== Infinity) return;
+    this.flushDueAt = Math.max(this.deps.host.clock.now(), this.lastFlushAt + this.flushIntervalMs);
+  }
+
+  private get flushIntervalMs(): number {
+    return this.deps.options.scheduling.finish_batch_ms;
   }
 
+  /** Finishes the job if all its tasks are done and no other outcome is pending. */
   finishIfDone(job: Job): void {
     if (job.pendingOutcome === null && job.allDone) this.finish(job, 'done');
   }
 
-  finish(job: Job, outcome: 'done' | 'cancelled'): void {
-    const { writer, host, settings } = this.deps;
+  /** From now on the job has a pending outcome: it starts no task, and its terminal record is being written. */
+  finish(job: Job, outcome: JobOutcome): void {
     job.pendingOutcome = outcome;
     this.cluster.completedJobs.add(job.id);
     this.cluster.dirty = true;
-    host.log.debug({ job: job.id, outcome }, 'job ends');
+    this.deps.host.log.debug({ job: job.id, outcome }, 'job completing');
     if (outcome === 'cancelled') this.cluster.stopAll(job, 0);
-    // In the place of the open record: one change, and one key that tells what a job is.
+    this.writeTerminalRecord(job, outcome);
+  }
+
+  /**
+   * Writes the terminal record in the place of the open one: one mutation, and one key that tells what a job is. The
+   * completion bitmap goes with it if one transaction holds both, and else when there is nothing more urgent.
+   */
+  private writeTerminalRecord(job: Job, outcome: JobOutcome): void {
+    const { writer, host, settings } = this.deps;
     const value = terminalValue(outcome, job.doneCount);
-    const changes = [{ put: KEYS.open(job.id), value }];
-    const chunks: { delete: string }[] = [];
-    for (const chunk of job.storedChunks) chunks.push({ delete: KEYS.completions(job.id, chunk) });
-    const together = chunks.length + changes.length < settings.settings.state.txn_ops;
+    const record = { put: KEYS.open(job.id), value };
+    const chunks = [...job.storedChunks].map((chunk) => ({ delete: KEYS.completions(job.id, chunk) }));
+    // The transaction holds the mutation of the fence key besides.
+    const together = chunks.length + 1 < settings.settings.state.txn_ops;
     writer.enqueue(
       {
-        changes: together ? [...changes, ...chunks] : changes,
+        changes: together ? [record, ...chunks] : [record],
         done: () => {
           host.enqueue(() => {
             this.onTerminalDurable(job, outcome, value);
           });
         },
       },
-      // Users wait for both, and the finished tasks of other jobs can wait.
+      // Users wait for both outcomes, and the completed tasks of other jobs can wait.
       'ends',
     );
     if (together) return;
-    for (const change of chunks) writer.enqueue({ changes: [change], done: () => undefined }, 'background');
+    for (const chunk of chunks) writer.enqueue({ changes: [chunk], done: () => undefined }, 'background');
   }
 
-  private onTerminalDurable(job: Job, outcome: 'done' | 'cancelled', value: unknown): void {
+  private onTerminalDurable(job: Job, outcome: JobOutcome, value: unknown): void {
     const { host } = this.deps;
     job.terminalState = outcome;
     this.startWatermarks.drop(job.id);
     this.archive.add(job.id, value);
     host.onTerminalState(job.id, job.status());
-    for (const settled of job.onTerminal) settled();
+    for (const notify of job.onTerminal) notify();
     job.onTerminal.length = 0;
-    host.log.info({ job: job.id, outcome }, 'job over');
+    host.log.info({ job: job.id, outcome }, 'job completed');
     this.cluster.removeIfCompleted(job);
   }
 
   /**
-   * Writes finished tasks, at most twice a second, and only when the last ones are written: what a busy store
-   * can't take yet then goes together. A job that is complete goes straight to its final state.
+   * Writes completed tasks, at most once in `finish_batch_ms`, and only when the last ones are written: what a busy
+   * store can't take yet then shares a write. A job whose tasks are all done goes straight to its terminal state.
    */
   flush(): void {
     const { writer, host } = this.deps;
     const now = host.clock.now();
     if (now < this.flushDueAt) return;
-    const calm = writer.backlog === 0;
-    for (const job of this.dirtyJobs) {
-      if (job.pendingOutcome === null && !job.allDone && !calm) continue;
-      this.dirtyJobs.delete(job);
-      if (job.pendingOutcome !== null) continue;
-      if (job.allDone) {
-        this.finish(job, 'done');
-        continue;
-      }
-      for (const chunk of job.dirtyChunks) this.writeChunk(job, chunk);
-      job.dirtyChunks.clear();
-    }
+    const writerIdle = writer.backlog === 0;
+    for (const job of this.dirtyJobs) this.flushJob(job, writerIdle);
     this.lastFlushAt = now;
-    this.flushDueAt = this.dirtyJobs.size > 0 ? now + this.deps.options.scheduling.finish_batch_ms : Infinity;
+    this.flushDueAt = this.dirtyJobs.size > 0 ? now + this.flushIntervalMs : Infinity;
+  }
+
+  private flushJob(job: Job, writerIdle: boolean): void {
+    if (job.pendingOutcome === null && !job.allDone && !writerIdle) return;
+    this.dirtyJobs.delete(job);
+    if (job.pendingOutcome !== null) return;
+    if (job.allDone) {
+      this.finish(job, 'done');
+      return;
+    }
+    for (const chunk of job.dirtyChunks) this.writeChunk(job, chunk);
+    job.dirtyChunks.clear();
   }
 
   private writeChunk(job: Job, chunk: number): void {
--- a/src/leader/context.ts
+++ b/src/leader/context.ts
@@ -1,8 +1,9 @@
+/** What a leadership needs from the controller that it runs in. */
 import type { Clock } from '../base/clock.ts';
-import type { NameIndex } from '../base/name-index.ts';
 import type { Logger } from '../base/log.ts';
-import type { Settings } from '../config/settings.ts';
+import type { NameIndex } from '../base/name-index.ts';
 import type { Options } from '../config/options.ts';
+import type { Settings } from '../config/settings.ts';
 import type { Catalog } from '../fleet/catalog.ts';
 import type { Cloud } from '../fleet/cloud.ts';
 import type { TeamQuota } from '../jobs/admission.ts';
@@ -10,35 +11,42 @@
 import type { JobStatus } from '../wire/user.ts';
 import type { Command, Heartbeat } from '../wire/worker.ts';
 import type { Machine } from '../workers/machine.ts';
+import type { CommandResult } from '../workers/worker-client.ts';
 
-/** What the leader does to the world; all of it goes through here, so tests can watch. */
+/** The effects of the leader on the outside, other than its writes and its requests to the cloud. */
 export interface LeaderHost {
   clock: Clock;
   log: Logger;
   /** True while no other node can hold the leader key. */
   hasValidLease(): boolean;
-  /** Sends orders straight to a worker; null without an answer. `executed` false: it refused them. */
-  sendCommands(
-    machine: Machine,
-    commands: Command[],
-  ): Promise<{ report: Heartbeat; executed: boolean } | 'not_sent' | 'silent'>;
+  /** Sends commands directly to a worker. */
+  sendCommands(machine: Machine, commands: Command[]): Promise<CommandResult>;
+  /** Asks a worker for its state; null without an answer. */
   inspect(machine: Machine): Promise<Heartbeat | null>;
+  /** The terminal record of a job is durable. */
   onTerminalState(id: string, status: JobStatus): void;
+  /** The controller knows a terminal state of the job. */
   isTerminal(id: string): boolean;
-  /** The final record of a job may be in the store, though its write isn't confirmed yet. */
+  /** The terminal record of a job may be in the store, though its write isn't confirmed yet. */
   outcomeMayBeWritten(id: string): boolean;
-  /** Something changed: schedule a batch. */
+  /** Puts a command into the command queue of the single writer; a batch follows. */
   enqueue(command: () => void): void;
+  /** Resolves after a time in milliseconds. */
   pause(ms: number): Promise<void>;
+  /** A worker has seen a higher fencing token: another controller leads by now. */
   superseded(): void;
-  /** This node hears next to no worker; if others do, one of them should lead. */
+  /** This node gets messages from next to no worker; if others do, one of them should lead. */
   lostAllWorkers(): void;
-  /** Milliseconds since a worker last reported to this controller itself, not by way of a follower. */
+  /** Milliseconds since a worker last sent a heartbeat to this controller itself, not by way of a follower. */
   directHeartbeatAgeMs(): number;
-  /** How late this process gets to its work. */
+  /** How far the event loop of this process lags, in milliseconds. */
   lagMs(): number;
 }
 
+/** The queue of a leadership's writes to the key-value store, which `LeaderWriter` implements. */
+export type WriteQueue = Pick<LeaderWriter, 'enqueue' | 'stop' | 'backlog' | 'idle'>;
+
+/** Everything that a leadership is constructed with. */
 export interface LeaderDeps {
   host: LeaderHost;
   settings: Settings;
@@ -47,7 +55,9 @@
   zones: NameIndex;
   catalog: Catalog;
   cloud: Cloud;
-  writer: LeaderWriter;
+  writer: WriteQueue;
+  /** The election term: the fencing token on all commands of this leadership. */
   term: number;
+  /** Milliseconds for which a leader without a valid lease still answers heartbeats. */
   heartbeatGraceMs: number;
 }
--- a/src/leader/stored-state.ts
+++ b/src/leader/stored-state.ts
@@ -1,3 +1,4 @@
+/** Reads the state that a new leader recovers from, and watches the job records afterwards. */
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Item, WatchEvent } from '../wire/state.ts';
@@ -20,51 +21,54 @@
   revision: number;
 }
 
-/** Who is told of changes of job records. */
+/** Takes changes of job records. */
 export interface JobRecordListener {
-  /** False once nobody wants to know any more. */
+  /** False once the changes are of no use any more; the watch then ends. */
   active(): boolean;
+  /** Changes, in order. */
   changed(events: readonly WatchEvent[]): void;
-  /** All records, read anew because the watch has missed changes. */
+  /** All records, listed anew because the watch has missed changes. */
   listed(items: readonly Item[]): void;
 }
 
-type Reader = Pick<KeyValueStore, 'list' | 'watch'>;
+type StateReader = Pick<KeyValueStore, 'list' | 'watch'>;
 type Pause = (ms: number) => Promise<void>;
 
+/** Longest time that one call of the watch stays open. */
 const WATCH_MS = 20_000;
+/** Pause after a call of the watch that failed. */
 const RETRY_MS = 200;
 
 /**
- * Reads everything that a new leader has to know; null: not all of it could be read. All at once: until it is read,
- * the leases of workers with tasks are not renewed.
+ * Reads everything that a new leader has to know; null if any part of it could not be read. All parts at once: until
+ * the state is recovered, the leases of workers with tasks are not renewed.
  */
-export async function readStoredState(store: Reader): Promise<StoredState | null> {
-  const [open, finished, begun, roster] = await Promise.all([
+export async function readStoredState(store: StateReader): Promise<StoredState | null> {
+  const [open, completions, startWatermarks, machineRegistry] = await Promise.all([
     store.list(KEYS.openPrefix, 'lease'),
     store.list(KEYS.completionsPrefix, 'lease'),
     store.list(KEYS.startWatermarksPrefix, 'lease'),
     store.list(KEYS.machineRegistryPrefix, 'lease'),
   ]);
-  if (open.kind !== 'ok' || finished.kind !== 'ok' || begun.kind !== 'ok' || roster.kind !== 'ok')
-    return null;
+  if (open.kind !== 'ok' || completions.kind !== 'ok') return null;
+  if (startWatermarks.kind !== 'ok' || machineRegistry.kind !== 'ok') return null;
   return {
     open: open.value.items,
-    completions: finished.value.items,
-    startWatermarks: begun.value.items,
-    machineRegistry: roster.value.items,
+    completions: completions.value.items,
+    startWatermarks: startWatermarks.value.items,
+    machineRegistry: machineRegistry.value.items,
     revision: open.value.revision,
   };
 }
 
-/** Tells of all changes of job records after a revision, for as long as the listener wants to know. */
+/** Reports all changes of job records after a revision, for as long as the listener is active. */
 export async function watchJobRecords(
-  store: Reader,
-  from: number,
+  store: StateReader,
+  afterRevision: number,
   listener: JobRecordListener,
   pause: Pause,
 ): Promise<void> {
-  let revision = from;
+  let revision = afterRevision;
   while (listener.active()) {
     const watched = await store.watch(KEYS.openPrefix, revision, WATCH_MS);
     if (!listener.active()) return;
@@ -75,6 +79,7 @@
       continue;
     }
     await pause(RETRY_MS);
+    // `gone`: the store has dropped events after our revision, so only a new listing tells what changed.
     if (watched.kind !== 'gone') continue;
     const listed = await store.list(KEYS.openPrefix, 'lease');
     if (listed.kind !== 'ok') continue;
