--- a/test/bench/heartbeat.ts
+++ b/test/bench/heartbeat.ts
@@ -3,7 +3,8 @@
 import { HeartbeatHandler } from '../../src/controller/heartbeat-handler.ts';
 import { SETTINGS } from '../config/sample.ts';
 import { silent } from '../helpers.ts';
-import { jobOf, LeaderHarness, TERM } from '../leader/harness.ts';
+import { jobOf, TERM } from '../leader/fakes.ts';
+import { LeaderHarness } from '../leader/harness.ts';
 import type { Benchmark } from './measure.ts';
 
 const MACHINES = 1300;
@@ -52,8 +53,8 @@
 
   constructor() {
     const jobs = Math.ceil((MACHINES * TASKS_PER_MACHINE) / TASKS_PER_JOB);
-    this.harness.load(
-      Array.from({ length: jobs }, (_, job) => jobOf(jobId(job), { loaves: TASKS_PER_JOB })),
+    this.harness.recover(
+      Array.from({ length: jobs }, (_, job) => jobOf(jobId(job), { tasks: TASKS_PER_JOB })),
       Array.from({ length: MACHINES }, (_, machine) => [machineName(machine), zoneOf(machine)] as const),
     );
     const settings = { ...SETTINGS.settings, limits: { ...SETTINGS.settings.limits, cores: CORES } };
--- a/test/leader/standstill.test.ts
+++ b/test/leader/standstill.test.ts
@@ -2,71 +2,119 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import test from 'node:test';
+import { NameIndex } from '../../src/base/name-index.ts';
 import { defaultOptions } from '../../src/config/options.ts';
 import { parseSettings } from '../../src/config/settings.ts';
-import { NameIndex } from '../../src/base/name-index.ts';
-import { Leader } from '../../src/leader/leader.ts';
 import { Catalog } from '../../src/fleet/catalog.ts';
-import type { Cloud } from '../../src/fleet/cloud.ts';
-import type { Answer } from '../../src/http/server.ts';
 import { HttpClient, passingAgent } from '../../src/http/client.ts';
-import { UserRequests } from '../../src/jobs/user-requests.ts';
-import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
+import type { Answer } from '../../src/http/server.ts';
 import { terminalValue, openValue } from '../../src/jobs/records.ts';
+import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
+import { UserRequests } from '../../src/jobs/user-requests.ts';
+import { Leader } from '../../src/leader/leader.ts';
 import { renewalValidUntil } from '../../src/leadership/election.ts';
 import { RateBudget } from '../../src/store/budget.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import { LeaderWriter } from '../../src/store/leader-writer.ts';
 import type { RentRequest } from '../../src/wire/cloud.ts';
-import { decodeJob } from '../../src/wire/user.ts';
-import type { Command, Heartbeat } from '../../src/wire/worker.ts';
+import type { Item } from '../../src/wire/state.ts';
+import { decodeJob, type JobRequest } from '../../src/wire/user.ts';
+import type { Command } from '../../src/wire/worker.ts';
 import { SETTINGS } from '../config/sample.ts';
 import { BIG, FakeClock, silent } from '../helpers.ts';
 import { JOB } from '../wire/sample.ts';
+import { fakeCloud, fakeHost, heartbeatOf, NO_RESPONSE, settle, TERM } from './fakes.ts';
 
-const TTL_MS = 3000;
-const TERM = 7;
-const ID = 'req-000412';
-const STANDSTILL_MS = 70_000;
+const LEASE_MS = 3000;
+const JOB_ID = 'req-000412';
+const PAUSE_MS = 70_000;
+const HEARTBEAT_GRACE_MS = 12_000;
+const TEAMS = [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }];
 
-const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const STEP_MS = 200;
+const STEPS_PER_HEARTBEAT = 10;
+const SETTLES_PER_STEP = 5;
+
+/** The job of the example with eight tasks, each of which fits a machine of type BIG. */
+function sampleJob(): JobRequest {
+  const decoded = decodeJob(
+    JSON.stringify({
+      ...JOB,
+      shape: 'array',
+      samePlace: false,
+      ovens: ['big'],
+      memGb: 8,
+      cores: 4,
+      loaves: 8,
+    }),
+  );
+  if (!decoded.ok) throw new Error(decoded.reason);
+  return decoded.value;
+}
 
 /**
- * A real leader with its users' side, one machine that reports and one that boots, on a clock that the test moves.
- * Everything that leaves this controller is noted with the time.
+ * A leader with its users' side, one machine that sends heartbeats and one that boots, on a clock that the test moves.
+ * Everything that leaves this controller is recorded.
  */
-class Site {
+class SingleController {
   readonly clock = new FakeClock();
+  /** When a task was started, in milliseconds, once for each start. */
   readonly starts: number[] = [];
   readonly rentals: RentRequest[] = [];
-  readonly returned: string[] = [];
-  /** The state service as all controllers see it. */
+  readonly terminated: string[] = [];
+  /** The key-value store as all controllers see it. */
   readonly store = new Map<string, unknown>();
-  sureUntil = renewalValidUntil(0, TTL_MS);
   readonly leader: Leader;
   readonly users: UserRequests;
-  private seq = 0;
+  private leaseValidUntil = renewalValidUntil(0, LEASE_MS);
+  private sequence = 0;
 
   constructor() {
-    const settings = parseSettings(JSON.stringify({ ...SETTINGS, serve_on: '127.0.0.1:0' }));
-    const options = defaultOptions();
     const catalog = new Catalog([BIG]);
-    const cloud: Cloud = {
-      ready: () => true,
-      catalog: () => Promise.resolve([BIG]),
-      rent: (request) => {
-        this.rentals.push(request);
-        const names = Array.from({ length: request.count }, (_, i) => `${request.request}-${i}`);
-        return Promise.resolve({ kind: 'rented', names });
-      },
-      terminate: (names) => {
-        this.returned.push(...names);
-        return Promise.resolve(true);
-      },
-      list: () => Promise.resolve([]),
-    };
-    const surelyLeading = (): boolean => this.clock.now() < this.sureUntil;
-    const writer = new LeaderWriter(
+    this.leader = this.createLeader(catalog);
+    this.users = this.createUserRequests(catalog);
+    this.store.set(KEYS.open(JOB_ID), openValue(sampleJob(), this.clock.wall()));
+    const open = [this.item(KEYS.open(JOB_ID), this.store.get(KEYS.open(JOB_ID)))];
+    this.leader.recover({ open, completions: [], startWatermarks: [], machineRegistry: [] });
+  }
+
+  private createLeader(catalog: Catalog): Leader {
+    return new Leader({
+      host: fakeHost(this.clock, {
+        hasValidLease: () => this.clock.now() < this.leaseValidUntil,
+        sendCommands: (_machine, commands) => {
+          this.recordStarts(commands);
+          return Promise.resolve(NO_RESPONSE);
+        },
+        // No probe is answered, as from inside a network partition.
+        inspect: () => Promise.resolve(null),
+        pause: () => settle(),
+      }),
+      settings: parseSettings(JSON.stringify({ ...SETTINGS, serve_on: '127.0.0.1:0' })),
+      options: defaultOptions(),
+      teams: TEAMS,
+      zones: new NameIndex(['a', 'b']),
+      catalog,
+      cloud: fakeCloud({
+        catalog: () => Promise.resolve([BIG]),
+        rent: (request) => {
+          this.rentals.push(request);
+          const names = Array.from({ length: request.count }, (_, index) => `${request.request}-${index}`);
+          return Promise.resolve({ kind: 'rented', names });
+        },
+        terminate: (names) => {
+          this.terminated.push(...names);
+          return Promise.resolve(true);
+        },
+      }),
+      writer: this.createWriter(),
+      term: TERM,
+      heartbeatGraceMs: HEARTBEAT_GRACE_MS,
+    });
+  }
+
+  private createWriter(): LeaderWriter {
+    return new LeaderWriter(
       {
         compareAndSwap: () => Promise.resolve({ kind: 'ok', revision: 1 }),
         readFence: () => Promise.resolve(1),
@@ -80,180 +128,135 @@
       new RateBudget(1e6, () => this.clock.now()),
       silent,
     );
-    const teams = [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }];
-    this.leader = new Leader({
-      host: {
-        clock: this.clock,
-        log: silent,
-        hasValidLease: surelyLeading,
-        sendCommands: (_machine, commands) => {
-          this.note(commands);
-          return Promise.resolve('silent');
-        },
-        // Questions stay without an answer: as they do from inside a cut.
-        inspect: () => Promise.resolve(null),
-        onTerminalState: () => undefined,
-        isTerminal: () => false,
-        outcomeMayBeWritten: () => false,
-        enqueue: (command) => {
-          command();
-        },
-        pause: () => settle(),
-        superseded: () => undefined,
-        lagMs: () => 0,
-        lostAllWorkers: () => undefined,
-        directHeartbeatAgeMs: () => 0,
-      },
-      settings,
-      options,
-      teams,
-      zones: new NameIndex(['a', 'b']),
-      catalog,
-      cloud,
-      writer,
-      term: TERM,
-      heartbeatGraceMs: 12_000,
-    });
-    this.users = new UserRequests({
+  }
+
+  private createUserRequests(catalog: Catalog): UserRequests {
+    return new UserRequests({
       clock: this.clock,
-      options,
+      options: defaultOptions(),
       store: {
         get: (key) => {
           const value = this.store.get(key);
-          return Promise.resolve({
-            kind: 'ok',
-            value: value === undefined ? null : { key, value, version: 1, lease: null },
-          });
+          return Promise.resolve({ kind: 'ok', value: value === undefined ? null : this.item(key, value) });
         },
-        compareAndSwap: () => Promise.resolve({ kind: 'conflict', failed: [KEYS.open(ID)] }),
+        compareAndSwap: () => Promise.resolve({ kind: 'conflict', failed: [KEYS.open(JOB_ID)] }),
       },
       terminalStates: new TerminalStateCache(10),
       submissions: new RateBudget(10, () => this.clock.now()),
-      teams,
+      teams: TEAMS,
       catalog: () => catalog,
       leader: () => this.leader,
       beginLeaderlessWrite: () => Promise.resolve(null),
       callLeader: () => Promise.resolve(null),
       callOthers: () => Promise.resolve(null),
     });
-    const job = decodeJob(
-      JSON.stringify({
-        ...JOB,
-        shape: 'array',
-        samePlace: false,
-        ovens: ['big'],
-        memGb: 8,
-        cores: 4,
-        loaves: 8,
-      }),
-    );
-    assert.ok(job.ok);
-    this.store.set(KEYS.open(ID), openValue(job.value, this.clock.wall()));
-    const open = [{ key: KEYS.open(ID), value: this.store.get(KEYS.open(ID)), version: 1, lease: null }];
-    this.leader.recover({ open, completions: [], startWatermarks: [], machineRegistry: [] });
   }
 
-  private note(commands: readonly Command[]): void {
-    for (const c of commands) if (c.op === 'start') this.starts.push(this.clock.now());
+  private item(key: string, value: unknown): Item {
+    return { key, value, version: 1, lease: null };
   }
 
-  /** A worker's own report, with what it was told to start before. */
-  report(machine = 'n-1', tasks: Heartbeat['tasks'] = [], session = 1): void {
-    this.seq += 1;
-    const commands = this.leader.onHeartbeat({
-      machine,
-      address: '10.0.0.1:9000',
-      machineType: 'big',
-      zone: 'a',
-      spot: false,
-      incarnation: session,
-      sequence: this.seq,
-      fencingToken: TERM,
-      interruptionNoticeS: null,
-      tasks,
-    });
-    if (commands) this.note(commands);
+  private recordStarts(commands: readonly Command[]): void {
+    for (const command of commands) if (command.op === 'start') this.starts.push(this.clock.now());
+  }
+
+  /** The worker's own heartbeat; the starts in the response are recorded. */
+  sendHeartbeat(): void {
+    this.sequence += 1;
+    const position = { incarnation: 1, sequence: this.sequence, fencingToken: TERM };
+    const commands = this.leader.onHeartbeat(heartbeatOf('n-1', 'a', position));
+    if (commands) this.recordStarts(commands);
   }
 
-  /** Time passes while the controller works: its timers run, its lease is renewed, its one worker reports. */
-  async work(ms: number, renewing = true): Promise<void> {
+  /**
+   * Time passes while the process runs: its timers fire and, if `renewing`, its lease is renewed and its one worker
+   * sends heartbeats.
+   */
+  async run(ms: number, renewing = true): Promise<void> {
     const until = this.clock.at + ms;
-    for (let next = 0; this.clock.at < until; next += 1) {
-      this.clock.at += 200;
-      if (renewing) this.sureUntil = renewalValidUntil(this.clock.at, TTL_MS);
-      if (renewing && next % 10 === 0) this.report();
+    for (let step = 0; this.clock.at < until; step += 1) {
+      this.clock.at += STEP_MS;
+      if (renewing) this.leaseValidUntil = renewalValidUntil(this.clock.at, LEASE_MS);
+      if (renewing && step % STEPS_PER_HEARTBEAT === 0) this.sendHeartbeat();
       this.leader.afterBatch();
-      for (let i = 0; i < 5; i++) await settle();
+      for (let settles = 0; settles < SETTLES_PER_STEP; settles++) await settle();
     }
   }
 
+  /** Time passes while the process is paused. */
+  pauseProcess(): void {
+    this.clock.at += PAUSE_MS;
+  }
+
   poll(): Promise<Answer> {
     return new Promise((resolve) => {
-      this.users.poll(ID, resolve);
+      this.users.poll(JOB_ID, resolve);
     });
   }
 }
 
-async function busySite(): Promise<Site> {
-  const site = new Site();
-  await site.work(16_000);
-  assert.ok(site.starts.length > 0, 'it has placed');
-  assert.ok(site.rentals.length > 0, 'it has rented');
-  assert.deepEqual(site.returned, []);
-  return site;
+async function busyController(): Promise<SingleController> {
+  const controller = new SingleController();
+  await controller.run(16_000);
+  assert.ok(controller.starts.length > 0, 'it has started tasks');
+  assert.ok(controller.rentals.length > 0, 'it has rented machines');
+  assert.deepEqual(controller.terminated, []);
+  return controller;
 }
 
-test('nothing that a leader does after standing still for longer than its lease counts', async () => {
-  // Its machines looked silent and what it had rented looked as if it had never come up: it asked the cloud to take
-  // back what had long been working for the next leader, before it heard that its lease was over.
-  const site = await busySite();
-  const { starts, rentals } = { starts: site.starts.length, rentals: site.rentals.length };
-  site.clock.at += STANDSTILL_MS;
-  // What waited in its sockets comes first, then all timers at once; it goes on while nobody tells it better.
-  assert.deepEqual(site.leader.lookup(ID), { kind: 'unknown' });
+test('nothing that a leader does after a process pause longer than its lease has an effect', async () => {
+  // Its machines looked silent and what it had rented looked as if it had never joined: it terminated what had long
+  // been working for the next leader, before it learned that its lease had expired.
+  const controller = await busyController();
+  const startsBefore = controller.starts.length;
+  const rentalsBefore = controller.rentals.length;
+  controller.pauseProcess();
+  // What waited in its sockets comes first, then all timers at once; it goes on until it learns of the next leader.
+  assert.deepEqual(controller.leader.lookup(JOB_ID), { kind: 'unknown' });
   assert.equal(
-    site.leader.cancel(ID, () => assert.fail('it confirmed a cancellation')),
+    controller.leader.cancel(JOB_ID, () => assert.fail('it confirmed a cancellation')),
     false,
   );
-  site.report();
-  await site.work(30_000, false);
-  site.report();
-  assert.equal(site.starts.length, starts, 'it started tasks');
-  assert.equal(site.rentals.length, rentals, 'it rented machines');
-  assert.deepEqual(site.returned, [], 'it returned machines');
+  controller.sendHeartbeat();
+  await controller.run(30_000, false);
+  controller.sendHeartbeat();
+  assert.equal(controller.starts.length, startsBefore, 'it started tasks');
+  assert.equal(controller.rentals.length, rentalsBefore, 'it rented machines');
+  assert.deepEqual(controller.terminated, [], 'it terminated machines');
 });
 
-test('users of a leader that stood still are told what the others have done meanwhile', async () => {
-  const site = await busySite();
-  site.clock.at += STANDSTILL_MS;
-  site.store.delete(KEYS.open(ID));
-  site.store.set(KEYS.archived(ID), terminalValue('done', 8));
-  assert.equal((JSON.parse((await site.poll()).body) as { stage: string }).stage, 'done');
+test('users of a leader are told after a process pause what the others have done meanwhile', async () => {
+  const controller = await busyController();
+  controller.pauseProcess();
+  controller.store.delete(KEYS.open(JOB_ID));
+  controller.store.set(KEYS.archived(JOB_ID), terminalValue('done', 8));
+  const answer = await controller.poll();
+  assert.equal((JSON.parse(answer.body) as { stage: string }).stage, 'done');
 });
 
-test('a leader that keeps its lease over a standstill takes no machine for lost that could not report', async () => {
-  // In an outage of the state service leases last, however long their holder stands still.
-  const site = await busySite();
-  site.clock.at += STANDSTILL_MS;
-  await site.work(3000);
-  assert.deepEqual(site.returned, []);
+test('a leader that keeps its lease over a process pause takes no machine for lost', async () => {
+  // In an outage of the key-value store leases last, however long the process of their holder is paused.
+  const controller = await busyController();
+  controller.pauseProcess();
+  await controller.run(3000);
+  assert.deepEqual(controller.terminated, []);
 });
 
-test('an order to start waits for its connection and is not sent if the lease ends before', async () => {
-  // A connection can come about while the process stands still; the order was written when it went on.
+test('a start waits for its connection and is not sent if the lease expires before', async () => {
+  // A connection can be established while the process is paused; the start was written when it went on.
   const server: Server = createServer((_req, res) => res.end('{}'));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   const agent = passingAgent(4);
   const client = new HttpClient(address, agent);
-  let asked = 0;
-  const stale = await client.send('POST', '/orders', '{}', 5000, () => {
-    asked += 1;
+  let checks = 0;
+  const expired = await client.send('POST', '/orders', '{}', 5000, () => {
+    checks += 1;
     return false;
   });
-  assert.deepEqual([stale.kind, stale.kind === 'silent' && stale.sent, asked], ['silent', false, 1]);
-  const wanted = await client.send('POST', '/orders', '{}', 5000, () => true);
-  assert.equal(wanted.kind, 'answer');
+  assert.deepEqual([expired.kind, expired.kind === 'silent' && expired.sent, checks], ['silent', false, 1]);
+  const valid = await client.send('POST', '/orders', '{}', 5000, () => true);
+  assert.equal(valid.kind, 'answer');
   agent.destroy();
   server.close();
 });
