--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -13,7 +13,7 @@
 }
 
 /** What a team uses now, in CPUs and GPUs. */
-export interface TeamUsage {
+interface TeamUsage {
   cpus: number;
   gpus: number;
 }
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -8,7 +8,7 @@
 import type { LeaderDeps } from './context.ts';
 
 /** How a job ends. */
-export type JobOutcome = 'done' | 'cancelled';
+type JobOutcome = 'done' | 'cancelled';
 
 /** Writes completion bitmaps and terminal records, and tells the outcome of a job once it is durable. */
 export class Completion {
--- a/src/leader/heartbeat-intake.ts
+++ b/src/leader/heartbeat-intake.ts
@@ -10,7 +10,7 @@
 import type { MachineMembership } from './machine-membership.ts';
 
 /** The parts of a leadership that heartbeats are applied to. */
-export interface HeartbeatIntakeParts {
+interface HeartbeatIntakeParts {
   readonly cluster: Cluster;
   readonly provisioner: MachineProvisioner;
   readonly attempts: Attempts;
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -62,7 +62,7 @@
     this.cluster = new Cluster(deps.teams.length);
     this.arrivals = new Arrivals(settings.settings);
     this.provisioner = this.createProvisioner();
-    const views = new SchedulingSnapshots(
+    const snapshots = new SchedulingSnapshots(
       {
         cluster: this.cluster,
         provisioner: this.provisioner,
@@ -80,7 +80,7 @@
       // Answers still arrive after the end of this leadership.
       if (!this.stopped) this.heartbeats.onDirectResponse(heartbeat);
     });
-    this.rounds = new SchedulingRounds(this.cluster, this.provisioner, views, this.attempts, deps);
+    this.rounds = new SchedulingRounds(this.cluster, this.provisioner, snapshots, this.attempts, deps);
     this.monitor = new MachineMonitor(
       this.cluster,
       this.provisioner,
--- a/src/leader/machine-membership.ts
+++ b/src/leader/machine-membership.ts
@@ -12,7 +12,7 @@
 const COUNT_INTERVAL_MS = 500;
 
 /** The parts of a leadership that membership works on. */
-export interface MembershipParts {
+interface MembershipParts {
   readonly cluster: Cluster;
   readonly provisioner: MachineProvisioner;
   readonly attempts: Attempts;
--- a/src/leader/state-recovery.ts
+++ b/src/leader/state-recovery.ts
@@ -12,7 +12,7 @@
 import type { StoredRecords } from './stored-state.ts';
 
 /** The parts of a leadership that recovery fills. */
-export interface RecoveryParts {
+interface RecoveryParts {
   readonly cluster: Cluster;
   readonly jobs: JobRegistry;
   readonly archive: Archive;
--- a/test/leader/fakes.ts
+++ b/test/leader/fakes.ts
@@ -120,7 +120,7 @@
 }
 
 /** What a test says of a job besides its id. */
-export type JobOverrides = Partial<Pick<JobRequest, 'tasks' | 'gang' | 'oneZone'>>;
+type JobOverrides = Partial<Pick<JobRequest, 'tasks' | 'gang' | 'oneZone'>>;
 
 /**
  * A job of team `other`, which has no limit, for machines of the type BIG. It is decoded from its wire form, since that
@@ -161,7 +161,7 @@
 }
 
 /** Where a heartbeat stands among those of its machine. */
-export type HeartbeatPosition = Pick<Heartbeat, 'incarnation' | 'sequence' | 'fencingToken'>;
+type HeartbeatPosition = Pick<Heartbeat, 'incarnation' | 'sequence' | 'fencingToken'>;
 
 export function heartbeatOf(
   machine: string,
--- a/test/leader/leader.test.ts
+++ b/test/leader/leader.test.ts
@@ -151,6 +151,23 @@
   }
 });
 
+test('a leader without a valid lease stops no gang that is incomplete after recovery', async () => {
+  // The next leader may have found the missing members.
+  const harness = new LeaderHarness();
+  const gang = jobOf('req-000001', { gang: true, tasks: 2 });
+  harness.recover([gang], [['n-1', 'a']]);
+  const worker = harness.addWorker('n-1', 'a').setTask(taskStatus(gang.id, 0, 8));
+  harness.leaseValid = false;
+  await harness.advance(30);
+  assert.deepEqual(worker.runningTasks(gang.id), [0]);
+  harness.leaseValid = true;
+  await harness.advance(3);
+  const wasStopped = ![...worker.tasks.values()].some(
+    (status) => status.attempt === 8 && status.phase === 'running',
+  );
+  assert.ok(wasStopped);
+});
+
 test('a machine whose heartbeats are lost is given no work, though it responds to commands', async () => {
   // Its lease is not renewed: it was given task after task, each of which ended with the next lease.
   const harness = new LeaderHarness();
