--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -104,7 +104,7 @@
     type: 0,
     zone: 0,
     now: 0,
-    answeredBefore: 0,
+    leaseRenewedBefore: 0,
   });
   private readonly job: Job | null;
 
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -26,7 +26,7 @@
   /** Milliseconds on the steady clock, as are all times of a machine. */
   now: number;
   /** Upper bound for when anyone may have answered a heartbeat of it. */
-  answeredBefore: number;
+  leaseRenewedBefore: number;
 }
 
 /** What it takes to judge whether a heartbeat shows that messages pass in both directions. */
@@ -103,7 +103,7 @@
     this.type = origin.type;
     this.zone = origin.zone;
     this.idleFrom = origin.now;
-    this.leaseRenewedBefore = origin.answeredBefore;
+    this.leaseRenewedBefore = origin.leaseRenewedBefore;
   }
 
   get name(): string {
