--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -49,7 +49,7 @@
     this.requestStartWatermark(job, task);
     const attempt = new Attempt({ machine, job, jobId: job.id, task, number, assignedAt: this.now() });
     machine.attempts.set(attemptKey(job.id, task, number), attempt);
-    machine.commandNotBefore = 0;
+    machine.expediteCommand();
     this.cluster.commandsDue.add(machine);
     this.expectFetch(machine, job);
     this.cluster.track(attempt);
@@ -102,7 +102,7 @@
   private onObserved(attempt: Attempt): void {
     const { job } = attempt;
     if (!job) {
-      attempt.stopGraceS = 0;
+      attempt.decideStop(0);
       return;
     }
     if (this.cluster.liveAttempts.get(job)?.has(attempt)) {
@@ -113,7 +113,7 @@
     // A task that an earlier leader started.
     this.cluster.track(attempt);
     if (!job.adopt(attempt.task)) this.stopOlder(job, attempt);
-    if (job.pendingOutcome !== null) attempt.stopGraceS = 0;
+    if (job.pendingOutcome !== null) attempt.decideStop(0);
     if (job.spec.gang) this.gangs.adopt(job, attempt);
   }
 
--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -116,8 +116,8 @@
   /** Decides that an attempt must stop, with a grace in seconds; a shorter grace replaces a longer one. */
   stop(attempt: Attempt, graceS: number): void {
     if (attempt.released || (attempt.stopGraceS !== null && attempt.stopGraceS <= graceS)) return;
-    attempt.stopGraceS = graceS;
-    attempt.machine.commandNotBefore = 0;
+    attempt.decideStop(graceS);
+    attempt.machine.expediteCommand();
     this.commandsDue.add(attempt.machine);
   }
 
--- a/src/leader/heartbeat-intake.ts
+++ b/src/leader/heartbeat-intake.ts
@@ -65,7 +65,7 @@
     if (!machine) return null;
     if (!isNewer(machine, heartbeat) || this.isStale(machine, heartbeat)) {
       // Sent before the newest known message, so the lease that its answer renews counts from before that.
-      if (!direct) machine.leaseRenewedBefore = Math.max(machine.leaseRenewedBefore, machine.lastMessageAt);
+      if (!direct) machine.noteLeaseRenewal(machine.lastMessageAt);
       return machine;
     }
     this.applyNewer(machine, heartbeat, direct, now);
@@ -87,9 +87,9 @@
       applyHeartbeat(machine, heartbeat, direct, { now, jobOf: (id) => cluster.jobs.get(id) ?? null }),
     );
     // Whatever the response says, it may renew the lease of this worker.
-    if (!direct) machine.leaseRenewedBefore = Math.max(machine.leaseRenewedBefore, now);
+    if (!direct) machine.noteLeaseRenewal(now);
     if (heartbeat.fencingToken === this.deps.term && !machine.reconciled) {
-      machine.reconciled = true;
+      machine.markReconciled();
       cluster.dirty = true;
     }
     membership.ensureRegistered(machine);
--- a/src/leader/machine-membership.ts
+++ b/src/leader/machine-membership.ts
@@ -48,7 +48,7 @@
   /** Adds a machine that an earlier leader registered. */
   restore(identity: MachineIdentity): void {
     const machine = this.parts.cluster.machines.get(identity.name) ?? this.add(identity);
-    machine.registered = true;
+    machine.markRegistered();
   }
 
   private add(identity: MachineIdentity): Machine {
@@ -78,7 +78,7 @@
     cluster.dirty = true;
     const machine = this.add({ name, address, machineType, zone, spot });
     // It booted after its termination had been requested: the cloud may take it back at any moment.
-    machine.terminating = provisioner.isTerminating(name);
+    if (provisioner.isTerminating(name)) machine.markTerminating();
     return machine;
   }
 
@@ -89,11 +89,11 @@
 
   /** Writes the machine to the registry, which is the condition of its first start, unless that is done or queued. */
   ensureRegistered(machine: Machine): void {
-    if (machine.registered || machine.registrationQueued) return;
+    if (!machine.needsRegistration) return;
     const { cluster, registry } = this.parts;
-    machine.registrationQueued = true;
+    machine.markRegistrationQueued();
     registry.register(machine.id, () => {
-      machine.registered = true;
+      machine.markRegistered();
       cluster.dirty = true;
       cluster.commandsDue.add(machine);
     });
@@ -103,7 +103,7 @@
   markTerminating(names: readonly string[]): void {
     for (const name of names) {
       const machine = this.parts.cluster.machines.get(name);
-      if (machine) machine.terminating = true;
+      machine?.markTerminating();
     }
   }
 
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -43,8 +43,7 @@
   private isReleased = false;
   private finalExitReason: ExitReason | null = null;
 
-  /** Grace in seconds of the stop that was decided, or null. */
-  stopGraceS: number | null = null;
+  private decidedStopGraceS: number | null = null;
 
   private directStartsInFlight = 0;
   private startMayBeExecuted = false;
@@ -105,6 +104,18 @@
     return true;
   }
 
+  // ---- stop ----
+
+  /** Grace in seconds of the stop that was decided, or null. */
+  get stopGraceS(): number | null {
+    return this.decidedStopGraceS;
+  }
+
+  /** Decides that it must stop, or changes the grace of its stop. */
+  decideStop(graceS: number): void {
+    this.decidedStopGraceS = graceS;
+  }
+
   // ---- delivery of the start ----
 
   /** Direct commands with its start that are on their way. */
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -41,6 +41,9 @@
   heartbeatIntervalMs: number;
 }
 
+/** Whether the machine registry holds a machine; `queued`: its write has been requested and isn't durable yet. */
+type RegistrationState = 'unregistered' | 'queued' | 'registered';
+
 /** Heartbeat intervals for which a machine may go on with an older fencing token though it is answered. */
 const MOST_INTERVALS_BEHIND = 2;
 
@@ -70,18 +73,13 @@
   private highestToken = 0;
   private expired = false;
   private reclaimAt: number | null = null;
-  /** Upper bound for when anyone last answered a heartbeat of it: its lease counts from before that. */
-  leaseRenewedBefore: number;
+  private renewedBefore: number;
 
   // ---- registration ----
 
-  /** Written to the machine registry: the condition of its first start. */
-  registered = false;
-  registrationQueued = false;
-  /** Nothing that an earlier leader started can be on it without being known. */
-  reconciled = false;
-  /** It is being returned to the cloud and takes no new tasks. */
-  terminating = false;
+  private registration: RegistrationState = 'unregistered';
+  private isReconciled = false;
+  private isTerminating = false;
 
   // ---- tasks ----
 
@@ -90,8 +88,7 @@
   readonly failures = newMachineFailures();
   private idleFrom: number;
   private commandPending = false;
-  /** Earliest time of the next direct command. */
-  commandNotBefore = 0;
+  private nextCommandAt = 0;
 
   // ---- images ----
 
@@ -103,7 +100,7 @@
     this.type = origin.type;
     this.zone = origin.zone;
     this.idleFrom = origin.now;
-    this.leaseRenewedBefore = origin.leaseRenewedBefore;
+    this.renewedBefore = origin.leaseRenewedBefore;
   }
 
   get name(): string {
@@ -171,7 +168,7 @@
     const { direct, term, now, leaseMs, heartbeatIntervalMs } = context;
     if (direct) return;
     // Incarnations end when responses stay away for a lease. Ours were sent: they didn't arrive, or it hung that long.
-    const answered = now - this.leaseRenewedBefore < leaseMs;
+    const answered = now - this.renewedBefore < leaseMs;
     if (this.knownIncarnation > 0 && heartbeat.incarnation > this.knownIncarnation && answered)
       this.missed += 1;
     if (heartbeat.fencingToken === term) {
@@ -206,6 +203,11 @@
     return this.expired;
   }
 
+  /** Upper bound for when anyone last answered a heartbeat of it: its lease counts from before that. */
+  get leaseRenewedBefore(): number {
+    return this.renewedBefore;
+  }
+
   /** When the cloud reclaims the machine, by its interruption notice; null without one. */
   get reclaimedAt(): number | null {
     return this.reclaimAt;
@@ -217,7 +219,7 @@
     this.expired = false;
     // The lease of an incarnation counts from its start at the latest, and it had started when this was sent. Without
     // this, the end of the old one's lease was taken for the end of the new one's, and its tasks for lost.
-    this.leaseRenewedBefore = Math.max(this.leaseRenewedBefore, now);
+    this.noteLeaseRenewal(now);
     this.images.clear();
   }
 
@@ -234,10 +236,57 @@
     for (const attempt of this.attempts.values()) attempt.noteResponseSettled();
   }
 
+  /** Its lease may have been renewed by a heartbeat that was answered up to `before`. */
+  noteLeaseRenewal(before: number): void {
+    this.renewedBefore = Math.max(this.renewedBefore, before);
+  }
+
   /** The lease has surely expired, so nothing that any leader started is left on it. */
   markLeaseExpired(): void {
     this.expired = true;
-    this.reconciled = true;
+    this.isReconciled = true;
+  }
+
+  // ---- registration ----
+
+  /** Written to the machine registry: the condition of its first start. */
+  get registered(): boolean {
+    return this.registration === 'registered';
+  }
+
+  /** It is to be written to the machine registry, and nobody has begun to. */
+  get needsRegistration(): boolean {
+    return this.registration === 'unregistered';
+  }
+
+  /** Its write to the machine registry is queued. */
+  markRegistrationQueued(): void {
+    this.registration = 'queued';
+  }
+
+  /** The machine registry holds it durably. */
+  markRegistered(): void {
+    this.registration = 'registered';
+  }
+
+  /** Nothing that an earlier leader started can be on it without being known. */
+  get reconciled(): boolean {
+    return this.isReconciled;
+  }
+
+  /** Its worker has shown all that it holds, under our fencing token. */
+  markReconciled(): void {
+    this.isReconciled = true;
+  }
+
+  /** It is being returned to the cloud and takes no new tasks. */
+  get terminating(): boolean {
+    return this.isTerminating;
+  }
+
+  /** Its termination is requested; that is never taken back. */
+  markTerminating(): void {
+    this.isTerminating = true;
   }
 
   // ---- direct commands ----
@@ -247,6 +296,16 @@
     return this.commandPending;
   }
 
+  /** Earliest time of the next direct command. */
+  get commandNotBefore(): number {
+    return this.nextCommandAt;
+  }
+
+  /** What it is to be told can't wait: no pause is kept before the next direct command. */
+  expediteCommand(): void {
+    this.nextCommandAt = 0;
+  }
+
   /** A direct command leaves. */
   beginCommand(): void {
     this.commandPending = true;
@@ -255,7 +314,7 @@
   /** The direct command is settled; the next one may leave at `notBefore`. */
   endCommand(notBefore: number): void {
     this.commandPending = false;
-    this.commandNotBefore = notBefore;
+    this.nextCommandAt = notBefore;
   }
 
   // ---- tasks ----
--- a/test/workers/attempt-deadlines.test.ts
+++ b/test/workers/attempt-deadlines.test.ts
@@ -24,7 +24,7 @@
 test('a start in doubt of a task to be stopped is overdue after a quarter of the time to cancel', () => {
   const { attempt, job } = startInDoubt();
   assert.equal(isStartInDoubtOverdue(attempt, TIMES, 15_001, false), false, 'it is wanted');
-  attempt.stopGraceS = 0;
+  attempt.decideStop(0);
   assert.equal(isStartInDoubtOverdue(attempt, TIMES, 15_000, false), false);
   assert.equal(isStartInDoubtOverdue(attempt, TIMES, 15_001, false), true);
   assert.equal(isStartInDoubtOverdue(attempt, TIMES, 15_001, true), false, 'overloaded');
@@ -54,6 +54,6 @@
   machine.noteHeartbeat({ ...heartbeat(1, 1), interruptionNoticeS: 120 }, false, 0);
   assert.equal(mustCheckpointNow(attempt, MARGIN_S, 120_000 - neededMs), false);
   assert.equal(mustCheckpointNow(attempt, MARGIN_S, 120_001 - neededMs), true);
-  attempt.stopGraceS = 30;
+  attempt.decideStop(30);
   assert.equal(mustCheckpointNow(attempt, MARGIN_S, 120_001 - neededMs), false, 'it is stopping already');
 });
--- a/test/workers/contact.test.ts
+++ b/test/workers/contact.test.ts
@@ -35,7 +35,7 @@
 
 test('an incarnation that ends though its heartbeats were answered says that responses do not arrive', () => {
   const machine = knownMachine();
-  machine.leaseRenewedBefore = 20_000;
+  machine.noteLeaseRenewal(20_000);
   receive(machine, 31_000, TERM, 2);
   assert.equal(machine.missedAcknowledgements, 1);
   const paused = knownMachine();
--- a/test/workers/liveness.test.ts
+++ b/test/workers/liveness.test.ts
@@ -19,7 +19,7 @@
 
 test('a lease has expired only when it has on a clock that is slow by the drift bound, too', () => {
   const machine = newMachine();
-  machine.leaseRenewedBefore = 10_000;
+  machine.noteLeaseRenewal(10_000);
   const leaseMs = 30_000;
   // 30 s and a thousandth of them, and half a second for messages.
   assert.equal(hasLeaseExpired(machine, leaseMs, 40_529), false);
--- a/test/workers/reconcile.test.ts
+++ b/test/workers/reconcile.test.ts
@@ -33,7 +33,7 @@
   const context = { now: 1, jobOf: () => job };
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
   const inDoubt = launch(0);
-  inDoubt.stopGraceS = 0;
+  inDoubt.decideStop(0);
   inDoubt.noteStartSent();
   inDoubt.noteStartSettled(true);
   assert.deepEqual(
@@ -42,7 +42,7 @@
     'a direct start without answer',
   );
   const attempt = launch(1);
-  attempt.stopGraceS = 0;
+  attempt.decideStop(0);
   attempt.noteStartSent();
   assert.deepEqual(applyHeartbeat(machine, heartbeat(1, 3), false, context), [], 'a command in flight');
   attempt.noteStartSettled(false);
