--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -107,7 +107,7 @@
     }
     if (this.cluster.liveAttempts.get(job)?.has(attempt)) {
       // Our own start has arrived, whichever way.
-      attempt.machine.acknowledged(this.now());
+      attempt.machine.connectivity.acknowledged(this.now());
       return;
     }
     // A task that an earlier leader started.
--- a/src/leader/command-dispatcher.ts
+++ b/src/leader/command-dispatcher.ts
@@ -99,12 +99,12 @@
     for (const attempt of started) attempt.noteStartSettled(result.kind === 'unanswered');
     if (result.kind !== 'answered') {
       machine.endCommand(now + FAILED_PAUSE_MS);
-      machine.noteMissedAcknowledgement();
+      machine.connectivity.noteMissedAcknowledgement();
       this.unanswered.add(machine);
       return;
     }
     machine.endCommand(now + (result.executed ? EXECUTED_PAUSE_MS : REFUSED_PAUSE_MS));
-    machine.acknowledged(now);
+    machine.connectivity.acknowledged(now);
     this.unanswered.clear();
     this.onResponse(result.heartbeat);
   }
@@ -142,11 +142,11 @@
 
   private onProbeResult(machine: Machine, result: InspectResult): void {
     if (result.kind !== 'answered') {
-      machine.noteFailedProbe();
+      machine.connectivity.noteFailedProbe();
       this.unanswered.add(machine);
       return;
     }
-    machine.acknowledged(this.deps.host.clock.now());
+    machine.connectivity.acknowledged(this.deps.host.clock.now());
     this.unanswered.clear();
     // With a higher token another leads by now. The lease, heartbeats and commands end this leadership; what such a
     // worker does is not ours.
--- a/src/leader/heartbeat-intake.ts
+++ b/src/leader/heartbeat-intake.ts
@@ -65,7 +65,7 @@
     if (!machine) return null;
     if (!isNewer(machine, heartbeat) || this.isStale(machine, heartbeat)) {
       // Sent before the newest known message, so the lease that its answer renews counts from before that.
-      if (!direct) machine.noteLeaseRenewal(machine.lastMessageAt);
+      if (!direct) machine.noteLeaseRenewal(machine.connectivity.lastMessageAt);
       return machine;
     }
     this.applyNewer(machine, heartbeat, direct, now);
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -166,7 +166,7 @@
     if (!machine.terminating && machineHealth(machine.failures, machine.index, context.now) === 'faulty')
       this.terminate(machine, 'faulty', { jobs: machine.failures.jobs.size });
     if (needsProbe(machine, context)) this.deps.dispatcher.probe(machine);
-    else machine.clearFailedProbes();
+    else machine.connectivity.clearFailedProbes();
     this.terminateUnresponsive(machine, leaseExpired, context);
   }
 
@@ -217,7 +217,7 @@
     if (now - startedAt < DISCOVERY_MS) return;
     for (const machine of cluster.machines.values()) {
       if (machine.reconciled || machine.commandInFlight) continue;
-      const overdue = now - machine.lastMessageAt > this.heartbeatIntervalMs * OVERDUE_INTERVALS;
+      const overdue = now - machine.connectivity.lastMessageAt > this.heartbeatIntervalMs * OVERDUE_INTERVALS;
       if (machine.incarnation === 0) dispatcher.probe(machine);
       else if (overdue && now >= machine.commandNotBefore) dispatcher.dispatch(machine, []);
     }
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -83,11 +83,11 @@
       if (!type || m.terminating || m.reclaimedAt !== null) continue;
       if (m.incarnation === 0 || m.leaseExpired) continue;
       const reportMs = this.deps.settings.settings.workers.report_s * 1000;
-      if (now - m.lastMessageAt > reportMs * MOST_SILENT_REPORTS) continue;
+      if (now - m.connectivity.lastMessageAt > reportMs * MOST_SILENT_REPORTS) continue;
       // Answers to orders and questions renew no lease: what is started on a machine that reaches nobody dies with it.
-      if (now - m.lastHeartbeatAt > reportMs * MOST_REPORTS_MISSED) continue;
+      if (now - m.connectivity.lastHeartbeatAt > reportMs * MOST_REPORTS_MISSED) continue;
       // Work must not wait on a machine that may be no more than a late copy of a report, or that hears nothing.
-      if (m.fencingToken !== this.deps.term || m.missedAcknowledgements > 0) continue;
+      if (m.fencingToken !== this.deps.term || m.connectivity.missedAcknowledgements > 0) continue;
       if (machineHealth(m.failures, m.index, now) !== 'healthy') continue;
       const { fetchingUntil } = m.images;
       const fetchingS = fetchingUntil > now ? (fetchingUntil - now) / 1000 : 0;
--- a/src/workers/liveness.ts
+++ b/src/workers/liveness.ts
@@ -30,12 +30,12 @@
 
 /** How long there has been no sign that messages to and from the machine arrive, in milliseconds. */
 export function silenceMs(machine: Machine, context: LivenessContext): number {
-  return context.now - Math.max(machine.lastRoundTripAt, context.listeningSince);
+  return context.now - Math.max(machine.connectivity.lastRoundTripAt, context.listeningSince);
 }
 
 /** There has been a sign of contact since this controller listens. */
 export function hasBeenInContact(machine: Machine, context: LivenessContext): boolean {
-  return machine.lastRoundTripAt > context.listeningSince;
+  return machine.connectivity.lastRoundTripAt > context.listeningSince;
 }
 
 /**
@@ -45,14 +45,14 @@
 export function isMissing(machine: Machine, context: LivenessContext): boolean {
   const silence = silenceMs(machine, context);
   if (hasBeenInContact(machine, context)) return silence > context.heartbeatIntervalMs * MISSED_HEARTBEATS;
-  return silence > context.unresponsiveAfterMs && machine.probesFailed > 0;
+  return silence > context.unresponsiveAfterMs && machine.connectivity.probesFailed > 0;
 }
 
 /** There is reason to ask the worker directly whether it is alive and receives our messages. */
 export function needsProbe(machine: Machine, context: LivenessContext): boolean {
   return (
     silenceMs(machine, context) > context.heartbeatIntervalMs * PROBE_AFTER_INTERVALS ||
-    machine.missedAcknowledgements > 0
+    machine.connectivity.missedAcknowledgements > 0
   );
 }
 
@@ -65,6 +65,7 @@
   context: LivenessContext,
 ): 'unresponsive' | 'unacknowledged' | null {
   const { now, unresponsiveAfterMs } = context;
-  if (silenceMs(machine, context) <= unresponsiveAfterMs || machine.probesFailed === 0) return null;
-  return now - machine.lastMessageAt < unresponsiveAfterMs ? 'unacknowledged' : 'unresponsive';
+  if (silenceMs(machine, context) <= unresponsiveAfterMs || machine.connectivity.probesFailed === 0)
+    return null;
+  return now - machine.connectivity.lastMessageAt < unresponsiveAfterMs ? 'unacknowledged' : 'unresponsive';
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,6 +1,7 @@
 /** What the leader knows of one machine: its worker's connectivity, incarnation and lease, its tasks and images. */
 import type { Heartbeat } from '../wire/worker.ts';
 import type { Attempt } from './attempt.ts';
+import { Connectivity, type ContactContext } from './connectivity.ts';
 import { newMachineFailures } from './failure-attribution.ts';
 import { ImageCache } from './image-cache.ts';
 
@@ -29,24 +30,9 @@
   leaseRenewedBefore: number;
 }
 
-/** What it takes to judge whether a heartbeat shows that messages pass in both directions. */
-export interface ContactContext {
-  /** It came as the answer to a direct request. */
-  direct: boolean;
-  /** The leader's own fencing token. */
-  term: number;
-  now: number;
-  leaseMs: number;
-  /** Interval between two heartbeats. */
-  heartbeatIntervalMs: number;
-}
-
 /** Whether the machine registry holds a machine; `queued`: its write has been requested and isn't durable yet. */
 type RegistrationState = 'unregistered' | 'queued' | 'registered';
 
-/** Heartbeat intervals for which a machine may go on with an older fencing token though it is answered. */
-const MOST_INTERVALS_BEHIND = 2;
-
 /** One machine, as far as its worker's messages and the leader's own decisions tell. Fields are grouped by concern. */
 export class Machine {
   // ---- identity ----
@@ -58,13 +44,7 @@
 
   // ---- connectivity ----
 
-  private messageAt = -Infinity;
-  private heartbeatAt = -Infinity;
-  private roundTripAt = -Infinity;
-  private failedProbes = 0;
-  private missed = 0;
-  /** When it first reported a token older than ours, though it had been answered. */
-  private behindSince: number | null = null;
+  readonly connectivity = new Connectivity();
 
   // ---- incarnation and lease ----
 
@@ -109,76 +89,9 @@
 
   // ---- connectivity ----
 
-  /** When a heartbeat, or the answer to a direct request, last arrived; -Infinity before. */
-  get lastMessageAt(): number {
-    return this.messageAt;
-  }
-
-  /** When a newer heartbeat of its own last arrived: only such heartbeats renew its lease. */
-  get lastHeartbeatAt(): number {
-    return this.heartbeatAt;
-  }
-
-  /** The last sign that messages pass in both directions. */
-  get lastRoundTripAt(): number {
-    return this.roundTripAt;
-  }
-
-  /** Probes in a row without an answer. */
-  get probesFailed(): number {
-    return this.failedProbes;
-  }
-
-  /**
-   * Signs in a row that our messages don't reach it: commands without an answer, an incarnation that ended though its
-   * heartbeats were answered.
-   */
-  get missedAcknowledgements(): number {
-    return this.missed;
-  }
-
-  /** It answered a direct request, so messages pass in both directions. */
-  acknowledged(now: number): void {
-    this.missed = 0;
-    this.failedProbes = 0;
-    this.roundTripAt = now;
-  }
-
-  /** A direct command had no answer. */
-  noteMissedAcknowledgement(): void {
-    this.missed += 1;
-  }
-
-  /** A probe had no answer. */
-  noteFailedProbe(): void {
-    this.failedProbes += 1;
-  }
-
-  /** It is in contact again without having been asked. */
-  clearFailedProbes(): void {
-    this.failedProbes = 0;
-  }
-
-  /**
-   * A heartbeat shows that the machine's messages arrive, not that ours do. A heartbeat of its own counts as contact
-   * only while nothing says that responses and commands don't reach it; a machine that reported and received nothing
-   * once kept its tasks waiting for starts that never came. To be called before the heartbeat is applied.
-   */
-  noteContact(heartbeat: { fencingToken: number; incarnation: number }, context: ContactContext): void {
-    const { direct, term, now, leaseMs, heartbeatIntervalMs } = context;
-    if (direct) return;
-    // Incarnations end when responses stay away for a lease. Ours were sent: they didn't arrive, or it hung that long.
-    const answered = now - this.renewedBefore < leaseMs;
-    if (this.knownIncarnation > 0 && heartbeat.incarnation > this.knownIncarnation && answered)
-      this.missed += 1;
-    if (heartbeat.fencingToken === term) {
-      // The first heartbeat with our token shows that a response arrived.
-      if (this.highestToken !== term) this.missed = 0;
-      if (this.missed === 0) this.roundTripAt = now;
-      return;
-    }
-    this.behindSince ??= now;
-    if (now - this.behindSince < MOST_INTERVALS_BEHIND * heartbeatIntervalMs) this.roundTripAt = now;
+  /** Judges by a heartbeat whether messages pass in both directions; to be called before the heartbeat is applied. */
+  noteContact(heartbeat: Pick<Heartbeat, 'fencingToken' | 'incarnation'>, context: ContactContext): void {
+    this.connectivity.noteContact(this, heartbeat, context);
   }
 
   // ---- incarnation and lease ----
@@ -227,11 +140,10 @@
   noteHeartbeat(heartbeat: Heartbeat, direct: boolean, now: number): void {
     this.knownSequence = heartbeat.sequence;
     this.highestToken = Math.max(this.highestToken, heartbeat.fencingToken);
-    this.messageAt = now;
+    this.connectivity.noteMessage(direct, now);
     this.reclaimAt =
       heartbeat.interruptionNoticeS === null ? null : now + heartbeat.interruptionNoticeS * 1000;
     if (direct) return;
-    this.heartbeatAt = now;
     // A worker has one heartbeat in flight: the responses to all earlier ones were carried out or given up.
     for (const attempt of this.attempts.values()) attempt.noteResponseSettled();
   }
--- a/src/workers/reachability.ts
+++ b/src/workers/reachability.ts
@@ -42,7 +42,8 @@
     zone.total += 1;
     const missing = isMissing(machine, context);
     if (missing) zone.missing += 1;
-    else if (context.now - machine.lastRoundTripAt < context.heartbeatIntervalMs) zone.inContact = true;
+    else if (context.now - machine.connectivity.lastRoundTripAt < context.heartbeatIntervalMs)
+      zone.inContact = true;
     if (!hasBeenInContact(machine, context)) continue;
     contacted += 1;
     if (missing) contactLost += 1;
--- a/test/workers/contact.test.ts
+++ b/test/workers/connectivity.test.ts
@@ -24,31 +24,34 @@
 test('heartbeats alone are contact only while nothing says that our messages do not arrive', () => {
   const machine = knownMachine();
   receive(machine, 1000);
-  assert.equal(machine.lastRoundTripAt, 1000);
+  assert.equal(machine.connectivity.lastRoundTripAt, 1000);
   // A command had no answer: from now on only an answer, or a start that arrived, counts.
-  machine.noteMissedAcknowledgement();
+  machine.connectivity.noteMissedAcknowledgement();
   receive(machine, 6000);
-  assert.equal(machine.lastRoundTripAt, 1000);
-  machine.acknowledged(7000);
-  assert.deepEqual([machine.lastRoundTripAt, machine.missedAcknowledgements], [7000, 0]);
+  assert.equal(machine.connectivity.lastRoundTripAt, 1000);
+  machine.connectivity.acknowledged(7000);
+  assert.deepEqual(
+    [machine.connectivity.lastRoundTripAt, machine.connectivity.missedAcknowledgements],
+    [7000, 0],
+  );
 });
 
 test('an incarnation that ends though its heartbeats were answered says that responses do not arrive', () => {
   const machine = knownMachine();
   machine.noteLeaseRenewal(20_000);
   receive(machine, 31_000, TERM, 2);
-  assert.equal(machine.missedAcknowledgements, 1);
+  assert.equal(machine.connectivity.missedAcknowledgements, 1);
   const paused = knownMachine();
   receive(paused, 31_000, TERM, 2);
-  assert.equal(paused.missedAcknowledgements, 0, 'nobody answered it for a lease');
+  assert.equal(paused.connectivity.missedAcknowledgements, 0, 'nobody answered it for a lease');
 });
 
 test('a token that stays behind is no contact after a while: responses are lost, or heartbeats are late copies', () => {
   const machine = knownMachine(TERM - 1);
   receive(machine, 1000, TERM - 1);
-  assert.equal(machine.lastRoundTripAt, 1000);
+  assert.equal(machine.connectivity.lastRoundTripAt, 1000);
   receive(machine, 20_000, TERM - 1);
-  assert.equal(machine.lastRoundTripAt, 1000);
+  assert.equal(machine.connectivity.lastRoundTripAt, 1000);
   receive(machine, 21_000);
-  assert.equal(machine.lastRoundTripAt, 21_000);
+  assert.equal(machine.connectivity.lastRoundTripAt, 21_000);
 });
--- a/test/workers/liveness.test.ts
+++ b/test/workers/liveness.test.ts
@@ -29,7 +29,7 @@
 test('silence counts from the last round trip, or from when this controller began to listen', () => {
   const machine = newMachine();
   assert.equal(silenceMs(machine, at(5000, 3000)), 2000);
-  machine.acknowledged(4000);
+  machine.connectivity.acknowledged(4000);
   assert.equal(silenceMs(machine, at(5000, 3000)), 1000);
   assert.equal(hasBeenInContact(machine, at(5000, 3000)), true);
   // After a pause of the process what was before says nothing.
@@ -39,33 +39,33 @@
 
 test('a machine once in contact is missing after a heartbeat, another only when it answers no probe either', () => {
   const known = newMachine();
-  known.acknowledged(1);
+  known.connectivity.acknowledged(1);
   assert.equal(isMissing(known, at(1401)), false);
   assert.equal(isMissing(known, at(1402)), true);
   const unknown = newMachine();
   assert.equal(isMissing(unknown, at(2501)), false);
-  unknown.noteFailedProbe();
+  unknown.connectivity.noteFailedProbe();
   assert.equal(isMissing(unknown, at(2500)), false);
   assert.equal(isMissing(unknown, at(2501)), true);
 });
 
 test('a machine is probed when it is silent or has left a command unanswered', () => {
   const machine = newMachine();
-  machine.acknowledged(0);
+  machine.connectivity.acknowledged(0);
   assert.equal(needsProbe(machine, at(1500)), false);
   assert.equal(needsProbe(machine, at(1501)), true);
-  machine.noteMissedAcknowledgement();
+  machine.connectivity.noteMissedAcknowledgement();
   assert.equal(needsProbe(machine, at(1)), true);
 });
 
 test('a machine that is given up either sends nothing or receives nothing', () => {
   const machine = newMachine();
   assert.equal(livenessFailure(machine, at(2501)), null, 'not probed yet');
-  machine.noteFailedProbe();
+  machine.connectivity.noteFailedProbe();
   assert.equal(livenessFailure(machine, at(2500)), null);
   assert.equal(livenessFailure(machine, at(2501)), 'unresponsive');
   machine.noteHeartbeat(heartbeat(1, 1), false, 2000);
   assert.equal(livenessFailure(machine, at(2501)), 'unacknowledged');
-  machine.acknowledged(2400);
+  machine.connectivity.acknowledged(2400);
   assert.equal(livenessFailure(machine, at(2501)), null);
 });
--- a/test/workers/reachability.test.ts
+++ b/test/workers/reachability.test.ts
@@ -16,7 +16,7 @@
 function machinesOf(zone: number, roundTripsAt: readonly number[]): Machine[] {
   return roundTripsAt.map((roundTripAt) => {
     const machine = newMachine(zone);
-    machine.acknowledged(roundTripAt);
+    machine.connectivity.acknowledged(roundTripAt);
     return machine;
   });
 }
