--- a/src/leader/command-dispatcher.ts
+++ b/src/leader/command-dispatcher.ts
@@ -32,7 +32,7 @@
 
   constructor(
     private readonly cluster: Cluster,
-    private readonly deps: LeaderDeps,
+    private readonly deps: Pick<LeaderDeps, 'host' | 'term'>,
     /** Applies what a worker answered. */
     private readonly onResponse: (heartbeat: Heartbeat) => void,
   ) {}
--- a/src/workers/liveness.ts
+++ b/src/workers/liveness.ts
@@ -57,7 +57,7 @@
 }
 
 /**
- * Why a machine is to be given up, or null if it isn't: `unresponsive` if nothing is heard of it, `unacknowledged` if
+ * Why a machine is to be given up, or null if it isn't: `unresponsive` if nothing arrives from it, `unacknowledged` if
  * its heartbeats arrive and our messages don't reach it.
  */
 export function livenessFailure(
--- /dev/null
+++ b/test/leader/command-dispatcher.test.ts
@@ -0,0 +1,79 @@
+import assert from 'node:assert/strict';
+import test from 'node:test';
+import { Cluster } from '../../src/leader/cluster.ts';
+import { CommandDispatcher } from '../../src/leader/command-dispatcher.ts';
+import type { LeaderHost } from '../../src/leader/context.ts';
+import type { Heartbeat } from '../../src/wire/worker.ts';
+import { commandsFor } from '../../src/workers/reconcile.ts';
+import { FakeClock } from '../helpers.ts';
+import { fakeHost, settle, TERM } from './fakes.ts';
+import { heartbeat, newMachine, setup } from '../workers/fixtures.ts';
+
+function dispatcherOn(overrides: Partial<LeaderHost>): {
+  dispatcher: CommandDispatcher;
+  responses: Heartbeat[];
+} {
+  const responses: Heartbeat[] = [];
+  const host = fakeHost(new FakeClock(), overrides);
+  const dispatcher = new CommandDispatcher(new Cluster(0), { host, term: TERM }, (response) =>
+    responses.push(response),
+  );
+  return { dispatcher, responses };
+}
+
+test('a start is in doubt without an answer, or if its request fails in a way that nobody foresaw', async () => {
+  const unanswered = () => Promise.resolve({ kind: 'unanswered' } as const);
+  for (const sendCommands of [unanswered, () => Promise.reject(new Error('defect'))]) {
+    const { machine, assign } = setup();
+    const attempt = assign(0);
+    const { dispatcher, responses } = dispatcherOn({ sendCommands });
+    dispatcher.dispatch(machine, commandsFor(machine, true));
+    assert.deepEqual([attempt.inFlight, attempt.inDoubt, machine.commandInFlight], [1, false, true]);
+    await settle();
+    assert.deepEqual([attempt.inFlight, attempt.inDoubt, machine.commandInFlight], [0, true, false]);
+    assert.equal(machine.connectivity.missedAcknowledgements, 1);
+    assert.equal(dispatcher.unreachedCount, 1);
+    assert.deepEqual(responses, []);
+  }
+});
+
+test('a start that was not sent is not in doubt', async () => {
+  const { machine, assign } = setup();
+  const attempt = assign(0);
+  const { dispatcher } = dispatcherOn({ sendCommands: () => Promise.resolve({ kind: 'notSent' }) });
+  dispatcher.dispatch(machine, commandsFor(machine, true));
+  await settle();
+  assert.deepEqual([attempt.inFlight, attempt.inDoubt, machine.commandInFlight], [0, false, false]);
+  assert.equal(machine.connectivity.missedAcknowledgements, 1);
+});
+
+test('an answer shows that messages pass in both directions, and is applied', async () => {
+  const { machine, assign } = setup();
+  const attempt = assign(0);
+  const answer = heartbeat(1, 1, [], TERM);
+  const { dispatcher, responses } = dispatcherOn({
+    sendCommands: () => Promise.resolve({ kind: 'answered', heartbeat: answer, executed: true }),
+  });
+  machine.connectivity.noteMissedAcknowledgement();
+  dispatcher.dispatch(machine, commandsFor(machine, true));
+  await settle();
+  assert.deepEqual([attempt.inFlight, attempt.inDoubt, machine.commandInFlight], [0, false, false]);
+  assert.equal(machine.connectivity.missedAcknowledgements, 0);
+  assert.deepEqual(responses, [answer]);
+});
+
+test('a probe fails without an answer and if its request fails in a way that nobody foresaw', async () => {
+  const unanswered = () => Promise.resolve({ kind: 'unanswered' } as const);
+  for (const inspect of [unanswered, () => Promise.reject(new Error('defect'))]) {
+    const machine = newMachine();
+    const { dispatcher } = dispatcherOn({ inspect });
+    dispatcher.probe(machine);
+    await settle();
+    assert.equal(machine.connectivity.probesFailed, 1);
+    assert.equal(dispatcher.unreachedCount, 1);
+    // The pause after a probe never ends here, so a second one is not sent.
+    dispatcher.probe(machine);
+    await settle();
+    assert.equal(machine.connectivity.probesFailed, 1);
+  }
+});
--- a/test/workers/attempt-deadlines.test.ts
+++ b/test/workers/attempt-deadlines.test.ts
@@ -14,8 +14,8 @@
 
 /** An attempt assigned at time 0 whose direct start had no answer. */
 function startInDoubt(): { attempt: Attempt; job: Job } {
-  const { job, launch } = setup();
-  const attempt = launch(0);
+  const { job, assign } = setup();
+  const attempt = assign(0);
   attempt.noteStartSent();
   attempt.noteStartSettled(true);
   return { attempt, job };
@@ -47,8 +47,8 @@
 });
 
 test('before the cloud reclaims a machine its tasks save checkpoints, with time to spare', () => {
-  const { machine, launch } = setup();
-  const attempt = launch(0);
+  const { machine, assign } = setup();
+  const attempt = assign(0);
   const neededMs = (SPEC.checkpointDurationS + MARGIN_S) * 1000;
   assert.equal(mustCheckpointNow(attempt, MARGIN_S, 0), false, 'no notice');
   machine.noteHeartbeat({ ...heartbeat(1, 1), interruptionNoticeS: 120 }, false, 0);
--- a/test/workers/fixtures.ts
+++ b/test/workers/fixtures.ts
@@ -14,7 +14,7 @@
   spot: false,
 };
 
-/** Number of all attempts that `launch` creates and `runningTask` reports. */
+/** Number of all attempts that `assign` creates and `taskStatus` reports. */
 const ATTEMPT_NUMBER = 7;
 
 function storedJob(): JobRequest {
@@ -26,7 +26,7 @@
 /** The job of all tests of this directory. */
 export const SPEC = storedJob();
 
-/** A machine that the leader has heard nothing of, first known at time 0. */
+/** A machine that has sent nothing yet, known since time 0. */
 export function newMachine(zone = 0): Machine {
   return new Machine({ index: 0, id: IDENTITY, type: 0, zone, now: 0, leaseRenewedBefore: 0 });
 }
@@ -42,8 +42,8 @@
   return { machine, ...place, incarnation, sequence, fencingToken, interruptionNoticeS: null, tasks };
 }
 
-/** What a worker reports of a task; it runs unless `over` says otherwise. */
-export function taskStatus(task: number, over: Partial<TaskStatus> = {}): TaskStatus {
+/** What a worker reports of a task; it runs unless `overrides` says otherwise. */
+export function taskStatus(task: number, overrides: Partial<TaskStatus> = {}): TaskStatus {
   return {
     jobId: SPEC.id,
     task,
@@ -51,16 +51,16 @@
     phase: 'running',
     exitReason: null,
     checkpointed: false,
-    ...over,
+    ...overrides,
   };
 }
 
-/** A machine and a job all of whose tasks may be started; `launch` assigns one of them to the machine. */
-export function setup(): { machine: Machine; job: Job; launch: (task: number) => Attempt } {
+/** A machine and a job all of whose tasks may be started; `assign` creates an attempt of one of them on the machine. */
+export function setup(): { machine: Machine; job: Job; assign: (task: number) => Attempt } {
   const machine = newMachine();
   const job = new Job(SPEC, 0, 0, 0);
   job.durableStartWatermark = SPEC.tasks;
-  const launch = (task: number): Attempt => {
+  const assign = (task: number): Attempt => {
     const attempt = new Attempt({
       machine,
       job,
@@ -72,7 +72,7 @@
     machine.attempts.set(attemptKey(job.id, task, ATTEMPT_NUMBER), attempt);
     return attempt;
   };
-  return { machine, job, launch };
+  return { machine, job, assign };
 }
 
 /** The same heartbeat without tasks, as it is on the wire. */
--- a/test/workers/reconcile.test.ts
+++ b/test/workers/reconcile.test.ts
@@ -13,10 +13,10 @@
 import { heartbeat, setup, SPEC, taskStatus } from './fixtures.ts';
 
 test('an unobserved start stays with its machine until a new incarnation, and is sent again', () => {
-  const { machine, job, launch } = setup();
+  const { machine, job, assign } = setup();
   const context = { now: 1, jobOf: () => job };
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
-  const attempt = launch(0);
+  const attempt = assign(0);
   assert.deepEqual(applyHeartbeat(machine, heartbeat(1, 2), false, context), []);
   assert.equal(commandsFor(machine, true)[0]?.op, 'start');
   assert.deepEqual(commandsFor(machine, false), [], 'nothing starts without a valid lease');
@@ -29,10 +29,10 @@
 });
 
 test('a stopped start that was never observed is released only when it cannot be executed any more', () => {
-  const { machine, job, launch } = setup();
+  const { machine, job, assign } = setup();
   const context = { now: 1, jobOf: () => job };
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
-  const inDoubt = launch(0);
+  const inDoubt = assign(0);
   inDoubt.decideStop(0);
   inDoubt.noteStartSent();
   inDoubt.noteStartSettled(true);
@@ -41,7 +41,7 @@
     [],
     'a direct start without answer',
   );
-  const attempt = launch(1);
+  const attempt = assign(1);
   attempt.decideStop(0);
   attempt.noteStartSent();
   assert.deepEqual(applyHeartbeat(machine, heartbeat(1, 3), false, context), [], 'a command in flight');
@@ -57,9 +57,9 @@
 });
 
 test('an ended attempt is forgotten only when durable and with no start in doubt', () => {
-  const { machine, job, launch } = setup();
+  const { machine, job, assign } = setup();
   const context = { now: 1, jobOf: () => job };
-  const attempt = launch(3);
+  const attempt = assign(3);
   const done = taskStatus(3, { phase: 'ended', exitReason: 'done' });
   applyHeartbeat(machine, heartbeat(1, 1, [done]), false, context);
   job.markDone(3);
@@ -74,10 +74,10 @@
 
 test('an attempt is not forgotten while a response with its start may still be on its way', () => {
   // Forgotten by a direct command that overtakes the response, the start in the response would start it anew.
-  const { machine, job, launch } = setup();
+  const { machine, job, assign } = setup();
   const context = { now: 1, jobOf: () => job };
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
-  const attempt = launch(0);
+  const attempt = assign(0);
   noteResponse(machine, commandsFor(machine, true));
   const refused = [taskStatus(0, { phase: 'ended', exitReason: 'insufficientResources' })];
   applyHeartbeat(machine, heartbeat(1, 2, refused), true, context);
@@ -129,10 +129,10 @@
 });
 
 test('nothing starts before the store says that it may have been started', () => {
-  const { machine, job, launch } = setup();
+  const { machine, job, assign } = setup();
   job.durableStartWatermark = 1;
-  launch(0);
-  launch(1);
+  assign(0);
+  assign(1);
   assert.deepEqual(
     commandsFor(machine, true).map((command) => command.task),
     [0],
