--- /dev/null
+++ b/src/jobs/job-cancellation.ts
@@ -0,0 +1,114 @@
+/** Users' cancellations of jobs. */
+import type { Reply } from '../http/server.ts';
+import { KEYS } from '../store/keys.ts';
+import { isJobId } from '../wire/user.ts';
+import { isTerminal, type JobLookup } from './job-lookup.ts';
+import type { JobStateReader } from './job-state-reader.ts';
+import { cancelRequest, lookupFromReply } from './peer-messages.ts';
+import { readOpen, readTerminal, terminalValue } from './records.ts';
+import type { UserAnswers } from './user-answers.ts';
+import type { UserRequestDeps } from './user-request-deps.ts';
+
+/** Wait in ms for the answer of another controller to a cancellation. */
+const CANCEL_FORWARD_MS = 2500;
+
+type JobCancellationDeps = Pick<
+  UserRequestDeps,
+  'beginLeaderlessWrite' | 'callLeader' | 'callOthers' | 'leader' | 'store' | 'terminalStates'
+>;
+
+/**
+ * Cancels jobs: through the leader, or in a leaderless write while there is none. A cancellation is idempotent; one
+ * of a job that is done already is answered with that.
+ */
+export class JobCancellation {
+  constructor(
+    private readonly deps: JobCancellationDeps,
+    private readonly reader: JobStateReader,
+    private readonly answers: UserAnswers,
+  ) {}
+
+  cancel(id: string, reply: Reply): void {
+    if (!isJobId(id)) {
+      reply(this.answers.notFound());
+      return;
+    }
+    const terminalState = this.deps.terminalStates.get(id);
+    if (terminalState) {
+      reply(this.answers.status(id, terminalState));
+      return;
+    }
+    void this.cancelAnywhere(id).then((lookup) => {
+      // Only a terminal state answers a cancellation: a job can be created while it is being looked up.
+      if (lookup.kind === 'found' && isTerminal(lookup.status)) {
+        reply(this.answers.status(id, lookup.status));
+      } else if (lookup.kind === 'notFound') {
+        reply(this.answers.notFound());
+      } else {
+        reply(this.answers.unavailable('can not be cancelled now'));
+      }
+    });
+  }
+
+  private async cancelAnywhere(id: string): Promise<JobLookup> {
+    if (this.deps.leader()) return this.cancelAsLeader(id);
+    const request = cancelRequest(id);
+    const byLeader = await this.reader.unlessOvertaken(async () =>
+      lookupFromReply(await this.deps.callLeader(request, CANCEL_FORWARD_MS)),
+    );
+    if (byLeader.kind !== 'unavailable') return byLeader;
+    const leaderless = await this.cancelWithoutLeader(id);
+    if (leaderless.kind !== 'unavailable') return leaderless;
+    // This node may know of no leader, or of one that was, while another leads.
+    return this.reader.unlessOvertaken(async () =>
+      lookupFromReply(await this.deps.callOthers(request, CANCEL_FORWARD_MS)),
+    );
+  }
+
+  /** Cancels the job through the leadership on this node. */
+  async cancelAsLeader(id: string): Promise<JobLookup> {
+    const term = this.deps.leader()?.term;
+    const cancelled = await this.cancelByLocalLeader(id);
+    if (cancelled) return cancelled;
+    // Not known here: terminal already, never accepted, or created a moment ago by another node.
+    const open = await this.deps.store.get(KEYS.open(id), 'user');
+    if (open.kind !== 'ok') return { kind: 'unavailable' };
+    if (!open.value || readTerminal(open.value.value)) return this.reader.lookupInStore(id);
+    const leader = this.deps.leader();
+    // A leader of another term may have loaded its jobs after this one became terminal: it must not be brought back.
+    if (!leader || leader.term !== term) return { kind: 'unavailable' };
+    leader.observeOpenRecord(id, open.value.value);
+    return (await this.cancelByLocalLeader(id)) ?? { kind: 'unavailable' };
+  }
+
+  /** null: this node doesn't lead, or its leader doesn't know the job. */
+  private cancelByLocalLeader(id: string): Promise<JobLookup | null> {
+    return new Promise((resolve) => {
+      const leader = this.deps.leader();
+      const accepted = leader?.cancel(id, (status) => {
+        resolve(status ? { kind: 'found', status } : { kind: 'unavailable' });
+      });
+      if (!accepted) resolve(null);
+    });
+  }
+
+  /** Only while no node holds the leader key: a leader would go on telling what it knows. */
+  private async cancelWithoutLeader(id: string): Promise<JobLookup> {
+    const write = await this.deps.beginLeaderlessWrite('user');
+    if (!write) return { kind: 'unavailable' };
+    const open = await this.deps.store.get(KEYS.open(id), 'user');
+    if (open.kind !== 'ok' || !open.value || !readOpen(open.value.value)) {
+      write.abandon();
+      // Terminal, archived, or never accepted: another read tells which.
+      const isNotOpen = open.kind === 'ok' && (!open.value || readTerminal(open.value.value) !== null);
+      return isNotOpen ? this.reader.lookupInStore(id) : { kind: 'unavailable' };
+    }
+    const result = await write.commit(
+      [{ key: KEYS.open(id), version: open.value.version }],
+      [{ put: KEYS.open(id), value: terminalValue('cancelled', 0) }],
+      'user',
+    );
+    if (result.kind !== 'ok') return { kind: 'unavailable' };
+    return { kind: 'found', status: { stage: 'cancelled', done: 0, running: 0 } };
+  }
+}
--- /dev/null
+++ b/src/jobs/job-query.ts
@@ -0,0 +1,55 @@
+/** Users' polls for the state of a job. */
+import type { Answer, Reply } from '../http/server.ts';
+import { isJobId } from '../wire/user.ts';
+import type { JobLookup } from './job-lookup.ts';
+import type { JobStateReader } from './job-state-reader.ts';
+import { lookupFromReply, pollRequest } from './peer-messages.ts';
+import type { UserAnswers } from './user-answers.ts';
+import type { UserRequestDeps } from './user-request-deps.ts';
+
+/** Answers polls: from memory where that is certain, else from the leader, else from the store. */
+export class JobQuery {
+  constructor(
+    private readonly deps: Pick<UserRequestDeps, 'callLeader' | 'options'>,
+    private readonly reader: JobStateReader,
+    private readonly answers: UserAnswers,
+  ) {}
+
+  /** The answer to a poll that needs nobody else, or null. */
+  pollFromMemory(id: string): Answer | null {
+    if (!isJobId(id)) return this.answers.notFound();
+    const known = this.reader.lookupInMemory(id);
+    return known.kind === 'found' ? this.answers.status(id, known.status) : null;
+  }
+
+  poll(id: string, reply: Reply): void {
+    const known = this.pollFromMemory(id);
+    if (known) {
+      reply(known);
+      return;
+    }
+    void this.lookupElsewhere(id).then((lookup) => {
+      reply(this.answerTo(id, lookup));
+    });
+  }
+
+  private answerTo(id: string, lookup: JobLookup): Answer {
+    switch (lookup.kind) {
+      case 'found':
+        return this.answers.status(id, lookup.status);
+      case 'notFound':
+        return this.answers.notFound();
+      case 'unavailable':
+        return this.answers.unavailable('state not known now');
+    }
+  }
+
+  /** The leader answers from memory, so that a job it doesn't know may exist all the same: the store decides. */
+  private async lookupElsewhere(id: string): Promise<JobLookup> {
+    const { forward_ms } = this.deps.options.users;
+    const fromLeader = await this.reader.unlessOvertaken(async () =>
+      lookupFromReply(await this.deps.callLeader(pollRequest(id), forward_ms)),
+    );
+    return fromLeader.kind === 'found' ? fromLeader : this.reader.lookupInStoreOrByPeers(id, 'poll');
+  }
+}
--- /dev/null
+++ b/src/jobs/job-submission.ts
@@ -0,0 +1,129 @@
+/** Users' submissions of new jobs. */
+import { failure, type Answer, type Reply } from '../http/server.ts';
+import { KEYS } from '../store/keys.ts';
+import { decodeJob, peekJobId, type JobRequest } from '../wire/user.ts';
+import { infeasibility } from './admission.ts';
+import { MAX_LOOKUP_AGE_MS, type JobLookup } from './job-lookup.ts';
+import { PENDING_STATUS, type JobStateReader } from './job-state-reader.ts';
+import { lookupFromReply, submitRequest, wasCreated } from './peer-messages.ts';
+import { openValue } from './records.ts';
+import type { UserAnswers } from './user-answers.ts';
+import type { UserRequestDeps } from './user-request-deps.ts';
+
+/** Wait in ms for the answer to the write of a new job's record, before a read whether it is there. */
+const CREATE_TIMEOUT_MS = 1000;
+/**
+ * Time in ms in which no submission is sent after the state service has refused one for its rate: what it still
+ * takes is for other writes.
+ */
+const OVER_LIMIT_REST_MS = 1000;
+
+/** What came of the write of a new job's record. A lookup tells that the job may have been there before. */
+export type Creation =
+  | JobLookup
+  | { kind: 'created' }
+  /** Too many submissions for the state service; nothing was written. */
+  | { kind: 'rateLimited' };
+
+type JobSubmissionDeps = Pick<
+  UserRequestDeps,
+  'callOthers' | 'catalog' | 'clock' | 'options' | 'store' | 'submissions' | 'teams'
+>;
+
+/**
+ * Accepts new jobs. That needs the store alone. A submission is idempotent: a job that is known already is answered
+ * with its state, whatever else was sent with its id.
+ */
+export class JobSubmission {
+  constructor(
+    private readonly deps: JobSubmissionDeps,
+    private readonly reader: JobStateReader,
+    private readonly answers: UserAnswers,
+  ) {}
+
+  submit(body: string, reply: Reply): void {
+    void this.answerTo(body).then(reply);
+  }
+
+  private async answerTo(body: string): Promise<Answer> {
+    const decoded = decodeJob(body);
+    const id = decoded.ok ? decoded.value.id : peekJobId(body);
+    if (id === null) return failure(400, decoded.ok ? 'malformed' : decoded.reason);
+    const known = this.reader.lookupInMemory(id);
+    if (known.kind === 'found') return this.answers.status(id, known.status);
+    if (known.kind === 'uncertain') return this.answerFromStore(id);
+    if (!decoded.ok) return this.unlessAccepted(id, failure(400, decoded.reason));
+    const job = decoded.value;
+    const catalog = this.deps.catalog();
+    const team = this.deps.teams.find(({ name }) => name === job.team);
+    // An unknown team or a limit that is too small needs no machine types to be told.
+    const reason = infeasibility(job, team, catalog);
+    if (reason !== null) return this.unlessAccepted(id, failure(422, reason));
+    if (!catalog) return this.unlessAccepted(id, this.answers.unavailable('machine types not known yet'));
+    const creation = await this.create(job);
+    if (creation.kind === 'created') return this.answers.status(id, PENDING_STATUS, 201);
+    if (creation.kind === 'found') return this.answers.status(id, creation.status);
+    if (creation.kind === 'rateLimited') return this.answers.unavailable('too many submissions');
+    return this.createByPeers(id, body);
+  }
+
+  private async createByPeers(id: string, body: string): Promise<Answer> {
+    let created = false;
+    const lookup = await this.reader.unlessOvertaken(async () => {
+      const timeoutMs = this.deps.options.users.forward_ms * 2;
+      const reply = await this.deps.callOthers(submitRequest(id, body), timeoutMs);
+      created = wasCreated(reply);
+      return lookupFromReply(reply);
+    });
+    if (lookup.kind === 'found') return this.answers.status(id, lookup.status, created ? 201 : 200);
+    return this.storeUnavailable();
+  }
+
+  /** A job whose terminal state is being written: only the store can say whether it is durable. */
+  private async answerFromStore(id: string): Promise<Answer> {
+    const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
+    if (lookup.kind === 'found') return this.answers.status(id, lookup.status);
+    return this.answers.unavailable('state not known now');
+  }
+
+  /** The refusal, unless the id is that of an accepted job: to refuse that would call it forgotten. */
+  private async unlessAccepted(id: string, refusal: Answer): Promise<Answer> {
+    const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
+    if (lookup.kind === 'found') return this.answers.status(id, lookup.status);
+    return lookup.kind === 'notFound' ? refusal : this.storeUnavailable();
+  }
+
+  private storeUnavailable(): Answer {
+    return this.answers.unavailable('the state service can not be reached');
+  }
+
+  /** Writes the record of a new job, conditional on there being none of that id, neither open nor archived. */
+  async create(job: JobRequest): Promise<Creation> {
+    if (!this.deps.submissions.take()) return { kind: 'rateLimited' };
+    const value = openValue(job, this.deps.clock.wall());
+    const startedAt = this.deps.clock.now();
+    const result = await this.deps.store.compareAndSwap(
+      [
+        { key: KEYS.open(job.id), version: 0 },
+        { key: KEYS.archived(job.id), version: 0 },
+      ],
+      [{ put: KEYS.open(job.id), value }],
+      'user',
+      CREATE_TIMEOUT_MS,
+    );
+    if (result.kind === 'conflict') return this.reader.lookupInStore(job.id);
+    if (result.kind === 'refused' && result.overLimit) {
+      this.deps.submissions.rest(OVER_LIMIT_REST_MS);
+      return { kind: 'rateLimited' };
+    }
+    if (result.kind === 'unknown') {
+      const lookup = await this.reader.lookupInStore(job.id);
+      // The write may be carried out later still, so that nothing is there proves nothing.
+      return lookup.kind === 'found' ? lookup : { kind: 'unavailable' };
+    }
+    if (result.kind !== 'ok') return { kind: 'unavailable' };
+    // After a slow answer the job may be terminal already, and its user may have been told so elsewhere.
+    const tookMs = this.deps.clock.now() - startedAt;
+    return tookMs <= MAX_LOOKUP_AGE_MS ? { kind: 'created' } : this.reader.lookupInStore(job.id);
+  }
+}
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -300,7 +300,7 @@
     const job = this.cluster.jobs.get(id);
     if (!job) return { kind: 'unknown' };
     if (job.outcomeUnconfirmed && this.deps.host.outcomeMayBeWritten(id)) return { kind: 'uncertain' };
-    return { kind: 'status', status: job.status() };
+    return { kind: 'found', status: job.status() };
   }
 
   /**
--- a/test/jobs/controllers.ts
+++ b/test/jobs/controllers.ts
@@ -4,7 +4,8 @@
 import { Leader } from '../../src/leader/leader.ts';
 import { Catalog } from '../../src/fleet/catalog.ts';
 import type { Answer, Reply } from '../../src/http/server.ts';
-import { UserRequests, type UserRequestDeps } from '../../src/jobs/user-requests.ts';
+import { UserRequests } from '../../src/jobs/user-requests.ts';
+import type { UserRequestDeps } from '../../src/jobs/user-request-deps.ts';
 import { TerminalWrites } from '../../src/jobs/terminal-writes.ts';
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { answerBatch, PollBatcher } from '../../src/jobs/poll-batches.ts';
@@ -502,7 +503,7 @@
   complete(job: number): void {
     const c = this.nodes.find((n) => n.leader);
     const known = c?.leader?.lookup(jobId(job));
-    if (c?.leader && c.held && known?.kind === 'status' && known.status.stage === 'pending') {
+    if (c?.leader && c.held && known?.kind === 'found' && known.status.stage === 'pending') {
       this.report(c.leader, c.held.term, job);
     }
     const stage = this.newest.get(job);
--- a/test/leader/leader.test.ts
+++ b/test/leader/leader.test.ts
@@ -74,7 +74,7 @@
   h.inspected[0]!.answer(reportOf('n-1', 'a', order, [task(job.id, 0, 9)]));
   await h.pass(1);
   const view = h.leader.lookup(job.id);
-  assert.ok(view.kind === 'status');
+  assert.ok(view.kind === 'found');
   assert.equal(view.status.running, 0);
 });
 
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -158,7 +158,7 @@
           ? {
               term: election.current()?.term ?? 0,
               lookup: () =>
-                election.hasValidLease() ? { kind: 'status', status: RUNNING } : { kind: 'unknown' },
+                election.hasValidLease() ? { kind: 'found', status: RUNNING } : { kind: 'unknown' },
               cancel: () => false,
               observeOpenRecord: () => undefined,
             }
