--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -1,5 +1,6 @@
 /** Users' submissions of new jobs. */
 import { failure, type Answer, type Reply } from '../http/server.ts';
+import type { PeerReply } from '../peers/frames.ts';
 import { KEYS } from '../store/keys.ts';
 import { decodeJob, peekJobId, type JobRequest } from '../wire/user.ts';
 import { infeasibility } from './admission.ts';
@@ -67,16 +68,16 @@
     return this.createByPeers(id, body);
   }
 
+  /** Has the job created by a controller that the state service serves; that is fresh as long as any lookup. */
   private async createByPeers(id: string, body: string): Promise<Answer> {
-    let created = false;
+    const timeoutMs = this.deps.options.users.forward_ms * 2;
+    const received: { reply: PeerReply | null } = { reply: null };
     const lookup = await this.reader.unlessOvertaken(async () => {
-      const timeoutMs = this.deps.options.users.forward_ms * 2;
-      const reply = await this.deps.callOthers(submitRequest(id, body), timeoutMs);
-      created = wasCreated(reply);
-      return lookupFromReply(reply);
+      received.reply = await this.deps.callOthers(submitRequest(id, body), timeoutMs);
+      return lookupFromReply(received.reply);
     });
-    if (lookup.kind === 'found') return this.answers.status(id, lookup.status, created ? 201 : 200);
-    return this.storeUnavailable();
+    if (lookup.kind !== 'found') return this.storeUnavailable();
+    return this.answers.status(id, lookup.status, wasCreated(received.reply) ? 201 : 200);
   }
 
   /** A job whose terminal state is being written: only the store can say whether it is durable. */
