--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -1,26 +1,38 @@
-import type { JobRequest } from '../wire/user.ts';
+/** Admission of new jobs: whether a job can ever run, by its team's quota and the machine types. */
 import type { Catalog } from '../fleet/catalog.ts';
+import type { JobRequest } from '../wire/user.ts';
 
-/** A team's guarantee and limits, from the settings. */
+/** A team's fair share and limits, from the settings. */
 export interface TeamQuota {
   name: string;
+  /** CPUs that are guaranteed to the team. */
   cpus: number;
+  /** GPUs that are guaranteed to the team. */
   gpus: number;
-  /** 0: no limit. */
+  /** Most CPUs of the team at once; 0: no limit. */
   cpusMax: number;
-  /** 0: no limit. */
+  /** Most GPUs of the team at once; 0: no limit. */
   gpusMax: number;
 }
 
 /** Amounts are decimal numbers; sums of them may be off by this much. */
 const ROUNDING = 1e-9;
 
+function exceeds(amount: number, limit: number): boolean {
+  return amount > limit + ROUNDING;
+}
+
 /** Why the job's team can never run it, or null. Needs nothing but the settings. */
 export function infeasibleForTeam(job: JobRequest, team: TeamQuota | undefined): string | null {
   if (!team) return 'unknown team';
-  const tasks = job.gang ? job.tasks : 1;
-  if (team.cpusMax > 0 && job.cpus * tasks > team.cpusMax + ROUNDING) return "over the team's limit of CPUs";
-  if (team.gpusMax > 0 && job.gpus * tasks > team.gpusMax + ROUNDING) return "over the team's limit of GPUs";
+  // All tasks of a gang run at once; those of an array may run one after the other.
+  const concurrentTasks = job.gang ? job.tasks : 1;
+  if (team.cpusMax > 0 && exceeds(job.cpus * concurrentTasks, team.cpusMax)) {
+    return "over the team's limit of CPUs";
+  }
+  if (team.gpusMax > 0 && exceeds(job.gpus * concurrentTasks, team.gpusMax)) {
+    return "over the team's limit of GPUs";
+  }
   return null;
 }
 
@@ -30,9 +42,9 @@
     (type) =>
       (job.types === null || job.types.includes(type.name)) &&
       (job.zone === null || type.zones.includes(job.zone)) &&
-      job.cpus <= type.cpus + ROUNDING &&
-      job.gpus <= type.gpus + ROUNDING &&
-      job.memory <= type.memory + ROUNDING,
+      !exceeds(job.cpus, type.cpus) &&
+      !exceeds(job.gpus, type.gpus) &&
+      !exceeds(job.memory, type.memory),
   );
   return fits ? null : 'a task fits no allowed machine type';
 }
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -1,15 +1,25 @@
+/**
+ * The values of jobs in the store, encoded and decoded. Earlier and later versions read them: their fields never
+ * change. Every decoder returns null for a value that is no such record.
+ */
 import * as z from 'zod/mini';
 import { decodeStoredJob, type JobRequest, type JobStatus } from '../wire/user.ts';
 
+/** `at`: when the job was accepted, as time of day in ms. `job`: what the user submitted. */
 const openRecord = z.object({ at: z.number(), job: z.unknown() });
+/** `s`: the outcome. `n`: number of tasks that are done. */
 const terminalRecord = z.object({ s: z.enum(['done', 'cancelled']), n: z.int() });
+/** `b`: job ids with their start watermarks. */
 const startWatermarksRecord = z.object({ b: z.array(z.tuple([z.string(), z.int().check(z.minimum(0))])) });
+/** `b`: the completion bitmap in base64. */
 const chunkRecord = z.object({ b: z.string() });
 
+/** The record of an accepted job. `wall`: time of day in ms. */
 export function openValue(job: JobRequest, wall: number): unknown {
   return { at: wall, job: job.stored };
 }
 
+/** The job that an open record holds, and when it was accepted, as time of day in ms. */
 export function readOpen(value: unknown): { job: JobRequest; createdWall: number } | null {
   const record = openRecord.safeParse(value);
   if (!record.success) return null;
@@ -17,30 +27,34 @@
   return job.ok ? { job: job.value, createdWall: record.data.at } : null;
 }
 
+/** The record of a terminal state. `done`: number of tasks that are done. */
 export function terminalValue(stage: 'done' | 'cancelled', done: number): unknown {
   return { s: stage, n: done };
 }
 
-/** The state that a final record tells; null for a record of an open job. */
+/** The state that a terminal record tells; null for a record of an open job. */
 export function readTerminal(value: unknown): JobStatus | null {
   const record = terminalRecord.safeParse(value);
   return record.success ? { stage: record.data.s, done: record.data.n, running: 0 } : null;
 }
 
-/** For each job: its tasks from this one on have never been started by anybody. */
+/** A page of start watermarks: tasks of the job from this number on have never been started by anybody. */
 export function startWatermarksValue(entries: Iterable<readonly [string, number]>): unknown {
   return { b: [...entries] };
 }
 
+/** The entries of a page of start watermarks. */
 export function readStartWatermarks(value: unknown): [string, number][] | null {
   const record = startWatermarksRecord.safeParse(value);
   return record.success ? record.data.b : null;
 }
 
+/** One chunk of a job's completion bitmap. */
 export function chunkValue(bits: Uint8Array): unknown {
   return { b: Buffer.from(bits).toString('base64') };
 }
 
+/** The bits of a chunk. Damaged base64 is read as far as it goes. */
 export function readChunk(value: unknown): Uint8Array | null {
   const record = chunkRecord.safeParse(value);
   return record.success ? Buffer.from(record.data.b, 'base64') : null;
--- a/src/jobs/terminal-writes.ts
+++ b/src/jobs/terminal-writes.ts
@@ -1,57 +1,64 @@
+/** Which terminal states a leader may have written, as far as the outcomes of its transactions tell. */
 import type { CompareAndSwapResult } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
-import type { Mutation, Condition } from '../wire/state.ts';
+import type { Condition, Mutation } from '../wire/state.ts';
 
-type Transact<Rest extends unknown[]> = (
+type CompareAndSwap<Rest extends unknown[]> = (
   conditions: readonly Condition[],
-  changes: readonly Mutation[],
+  mutations: readonly Mutation[],
   ...rest: Rest
 ) => Promise<CompareAndSwapResult>;
 
-/** `sent`: every attempt so far was refused, the last one is under way. */
-type WriteAttempt = 'sent' | 'perhaps carried out';
+/**
+ * State of the write of one job's terminal record. `inFlight`: every attempt so far was refused, and the last one
+ * has no result yet. `inDoubt`: an attempt was carried out, or may have been or may be later.
+ */
+type WriteState = 'inFlight' | 'inDoubt';
 
 /** The jobs whose open records a transaction changes. */
-function changedJobs(changes: readonly Mutation[]): string[] {
-  const keys = changes.map((change) => ('put' in change ? change.put : change.delete));
+function changedJobs(mutations: readonly Mutation[]): string[] {
+  const keys = mutations.map((mutation) => ('put' in mutation ? mutation.put : mutation.delete));
   return keys
     .filter((key) => key.startsWith(KEYS.openPrefix))
     .map((key) => key.slice(KEYS.openPrefix.length));
 }
 
 /**
- * Of which jobs the final record may be in the state service by now, as far as a leader's transactions tell. Once a
- * job is to end, its end is the only change that the leader makes to its open record. An end that waits to be sent,
- * or that was always refused (as in an outage), has surely not been written, so its job is still open for certain.
+ * Tells of which jobs the terminal record may be in the state service by now. Once a job has a pending outcome, its
+ * terminal record is the only change that the leader makes to its open record. A write that waits to be sent, or
+ * that was always refused (as in an outage), has surely not been carried out, so its job is still open for certain.
  */
 export class TerminalWrites {
-  private readonly attempts = new Map<string, WriteAttempt>();
+  private readonly states = new Map<string, WriteState>();
 
-  /** `isEnding`: the leader has begun to end this job, and the end isn't known to be durable. */
+  /** `outcomeUnconfirmed`: the leader has begun to end this job, and its terminal record isn't known to be durable. */
   constructor(private readonly outcomeUnconfirmed: (id: string) => boolean) {}
 
-  /** The same transactions, with their outcomes noted. */
-  tracking<Rest extends unknown[]>(transact: Transact<Rest>): Transact<Rest> {
-    return async (conditions, changes, ...rest) => {
-      const ids = changedJobs(changes).filter((id) => this.outcomeUnconfirmed(id));
-      for (const id of ids) if (!this.attempts.has(id)) this.attempts.set(id, 'sent');
-      const result = await transact(conditions, changes, ...rest);
-      for (const id of ids) this.answered(id, result);
+  /** The same transactions, with the outcome of every terminal write recorded. */
+  tracking<Rest extends unknown[]>(compareAndSwap: CompareAndSwap<Rest>): CompareAndSwap<Rest> {
+    return async (conditions, mutations, ...rest) => {
+      const ids = changedJobs(mutations).filter((id) => this.outcomeUnconfirmed(id));
+      for (const id of ids) {
+        if (!this.states.has(id)) this.states.set(id, 'inFlight');
+      }
+      const result = await compareAndSwap(conditions, mutations, ...rest);
+      for (const id of ids) this.recordResult(id, result);
       return result;
     };
   }
 
-  private answered(id: string, result: CompareAndSwapResult): void {
-    if (result.kind !== 'refused') this.attempts.set(id, 'perhaps carried out');
-    else if (this.attempts.get(id) === 'sent') this.attempts.delete(id);
+  private recordResult(id: string, result: CompareAndSwapResult): void {
+    if (result.kind !== 'refused') this.states.set(id, 'inDoubt');
+    else if (this.states.get(id) === 'inFlight') this.states.delete(id);
   }
 
+  /** Whether the job's terminal record may be in the state service, without a confirmation. */
   mayBeWritten(id: string): boolean {
-    return this.attempts.has(id);
+    return this.states.has(id);
   }
 
-  /** The job's end is known to be durable. */
+  /** The job's terminal record is known to be durable. */
   forget(id: string): void {
-    this.attempts.delete(id);
+    this.states.delete(id);
   }
 }
