--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -1,34 +1,41 @@
+/** Batching of polls that one controller hands on to the leader. */
 import { BatchPacer, type PacerTimers } from '../base/batch-pacer.ts';
 import type { PollAnswer } from '../peers/frames.ts';
 
-/** Least time between two batches to the leader. */
-export const BATCH_GAP_MS = 10;
-/** Jobs in one batch; a frame between controllers holds several times as many. */
-export const MOST_IN_BATCH = 1000;
+/** Least time in ms between two batches to the leader. */
+export const MIN_BATCH_INTERVAL_MS = 10;
+/** Most jobs in one batch; a frame between controllers holds several times as many. */
+export const MAX_BATCH_JOBS = 1000;
 
+/** Gets the answer to one poll; null: the leader can't be asked now. */
 type Waiter = (answer: PollAnswer | null) => void;
 
+/** Timers, and the way to the leader. */
 export interface PollBatcherDeps extends PacerTimers {
-  /** Asks the leader of now; null when there is none or it doesn't answer in time. */
+  /**
+   * Asks the leader of now for the answers in the order of `jobIds`; null when there is none or it doesn't answer in
+   * time. Never rejected.
+   */
   send(jobIds: string[]): Promise<readonly PollAnswer[] | null>;
 }
 
 /**
- * Hands polls to the leader in batches, so that the leader's work hangs on the number of controllers and unfinished
- * jobs and not on how often users ask. A poll alone is sent at once; the next ones wait until the gap is over. A
- * poll only ever shares a batch that is sent after it came in: its answer is as fresh as if it had been sent alone.
+ * Hands polls to the leader in batches, so that the leader's work depends on the number of controllers and of
+ * unfinished jobs and not on how often users ask. A poll alone is sent at once; the next ones wait until the interval
+ * is over. A poll only ever shares a batch that is sent after it came in: its answer is as fresh as if it had been
+ * sent alone.
  */
 export class PollBatcher {
   private waiting = new Map<string, Waiter[]>();
   private readonly pacer: BatchPacer;
 
   constructor(private readonly deps: PollBatcherDeps) {
-    this.pacer = new BatchPacer(deps, BATCH_GAP_MS, () => {
+    this.pacer = new BatchPacer(deps, MIN_BATCH_INTERVAL_MS, () => {
       this.flush();
     });
   }
 
-  /** null: the leader can't be asked now. */
+  /** The leader's answer for one job; null: the leader can't be asked now. Never rejected. */
   poll(jobId: string): Promise<PollAnswer | null> {
     return new Promise((resolve) => {
       const sharing = this.waiting.get(jobId);
@@ -36,7 +43,7 @@
         sharing.push(resolve);
         return;
       }
-      if (this.waiting.size >= MOST_IN_BATCH) {
+      if (this.waiting.size >= MAX_BATCH_JOBS) {
         resolve(null);
         return;
       }
@@ -61,8 +68,8 @@
 }
 
 /**
- * Answers a batch from what is known without waiting. A job whose state takes a while to find out is answered
- * `unable`, so that one of them doesn't hold up all others; the asking controller then finds it out by itself.
+ * Answers a batch from what is known without waiting. A job whose lookup takes a while is answered as unavailable,
+ * so that one of them doesn't hold up all others; the asking controller then looks it up by itself.
  */
 export function answerBatch(
   jobIds: readonly string[],
@@ -70,8 +77,8 @@
 ): PollAnswer[] {
   return jobIds.map((jobId) => {
     let answer: PollAnswer = { kind: 'unable' };
-    answerOne(jobId, (found) => {
-      answer = found;
+    answerOne(jobId, (known) => {
+      answer = known;
     });
     return answer;
   });
--- a/src/jobs/shared-reads.ts
+++ b/src/jobs/shared-reads.ts
@@ -1,61 +1,69 @@
-/** Least time between the beginnings of two reads of one key: a tenth of what users wait for the answer to a poll. */
-export const READ_GAP_MS = 200;
+/** Coalescing of concurrent reads of one key. */
 
-export interface SharedReadsDeps<T, U> {
+/**
+ * Least time in ms between the starts of two reads of one key: a tenth of what users wait for the answer to a poll.
+ */
+export const MIN_READ_INTERVAL_MS = 200;
+
+/** Clock, timer and the read that is shared. `Result`: what a read returns; `Priority`: how urgent one is. */
+export interface SharedReadsDeps<Result, Priority> {
   /** Steady milliseconds. */
   now(): number;
+  /** Runs something once, after a time in ms. */
   after(ms: number, run: () => void): void;
-  read(key: string, urgency: U): Promise<T>;
+  read(key: string, priority: Priority): Promise<Result>;
   /** True if the first is more urgent than the second. */
-  moreUrgent(first: U, second: U): boolean;
+  moreUrgent(first: Priority, second: Priority): boolean;
 }
 
-interface NextRead<T, U> {
-  urgency: U;
-  result: Promise<T>;
+interface ScheduledRead<Result, Priority> {
+  /** That of the most urgent request that shares the read. */
+  priority: Priority;
+  result: Promise<Result>;
 }
 
 /**
- * Concurrent reads of one key as one. A request never joins a read that has begun: what it returns may be older
- * than the request. It joins the next one, which begins once the gap since the last has passed, whether or not that
- * one has been answered; so a read that hangs holds nobody up.
+ * Coalesces concurrent reads of one key. Unlike with single flight, a request never joins a read in flight: what
+ * that returns may be older than the request. It joins the next one, which starts once the interval since the last
+ * start has passed, whether or not that one has been answered; so a read that hangs holds nobody up.
  */
-export class SharedReads<T, U> {
-  private readonly beganAt = new Map<string, number>();
-  private readonly next = new Map<string, NextRead<T, U>>();
+export class SharedReads<Result, Priority> {
+  private readonly startedAt = new Map<string, number>();
+  private readonly scheduled = new Map<string, ScheduledRead<Result, Priority>>();
 
-  constructor(private readonly deps: SharedReadsDeps<T, U>) {}
+  constructor(private readonly deps: SharedReadsDeps<Result, Priority>) {}
 
-  get(key: string, urgency: U): Promise<T> {
-    const joined = this.next.get(key);
+  /** Reads the key, at once or with the next shared read. Fails as that read does. */
+  get(key: string, priority: Priority): Promise<Result> {
+    const joined = this.scheduled.get(key);
     if (joined) {
-      if (this.deps.moreUrgent(urgency, joined.urgency)) joined.urgency = urgency;
+      if (this.deps.moreUrgent(priority, joined.priority)) joined.priority = priority;
       return joined.result;
     }
-    const waitMs = (this.beganAt.get(key) ?? -Infinity) + READ_GAP_MS - this.deps.now();
-    if (waitMs <= 0) return this.begin(key, urgency);
-    const result = new Promise<T>((resolve, reject) => {
+    const waitMs = (this.startedAt.get(key) ?? -Infinity) + MIN_READ_INTERVAL_MS - this.deps.now();
+    if (waitMs <= 0) return this.start(key, priority);
+    const result = new Promise<Result>((resolve, reject) => {
       this.deps.after(waitMs, () => {
-        const due = this.next.get(key);
-        this.next.delete(key);
-        this.begin(key, due?.urgency ?? urgency).then(resolve, reject);
+        const due = this.scheduled.get(key);
+        this.scheduled.delete(key);
+        this.start(key, due?.priority ?? priority).then(resolve, reject);
       });
     });
-    this.next.set(key, { urgency, result });
+    this.scheduled.set(key, { priority, result });
     return result;
   }
 
-  private begin(key: string, urgency: U): Promise<T> {
-    const at = this.deps.now();
-    this.beganAt.set(key, at);
-    this.deps.after(READ_GAP_MS, () => {
-      if (this.beganAt.get(key) === at) this.beganAt.delete(key);
+  private start(key: string, priority: Priority): Promise<Result> {
+    const startedAt = this.deps.now();
+    this.startedAt.set(key, startedAt);
+    this.deps.after(MIN_READ_INTERVAL_MS, () => {
+      if (this.startedAt.get(key) === startedAt) this.startedAt.delete(key);
     });
-    return this.deps.read(key, urgency);
+    return this.deps.read(key, priority);
   }
 
-  /** Keys read within the last gap. */
+  /** Number of keys read within the last interval. */
   get size(): number {
-    return this.beganAt.size;
+    return this.startedAt.size;
   }
 }
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import { answerBatch, BATCH_GAP_MS, MOST_IN_BATCH, PollBatcher } from '../../src/jobs/poll-batches.ts';
-import { READ_GAP_MS, SharedReads } from '../../src/jobs/shared-reads.ts';
+import { answerBatch, MIN_BATCH_INTERVAL_MS, MAX_BATCH_JOBS, PollBatcher } from '../../src/jobs/poll-batches.ts';
+import { MIN_READ_INTERVAL_MS, SharedReads } from '../../src/jobs/shared-reads.ts';
 import type { PollAnswer } from '../../src/peers/frames.ts';
 import { moreUrgent, type Urgency } from '../../src/store/key-value-store.ts';
 import { SEED } from '../helpers.ts';
@@ -50,7 +50,7 @@
           void shared.get(`job ${job}`, 'poll').then((readAt) => {
             answered += 1;
             assert.ok(readAt >= cameIn, 'told from a read that had begun before');
-            assert.ok(readAt <= cameIn + READ_GAP_MS, 'kept waiting for longer than the gap');
+            assert.ok(readAt <= cameIn + MIN_READ_INTERVAL_MS, 'kept waiting for longer than the gap');
           });
         });
       }
@@ -58,7 +58,7 @@
       assert.equal(answered, requests.length);
       for (const key of new Set(reads.map((r) => r.key))) {
         const at = reads.filter((r) => r.key === key).map((r) => r.at);
-        for (let i = 1; i < at.length; i++) assert.ok(at[i]! - at[i - 1]! >= READ_GAP_MS);
+        for (let i = 1; i < at.length; i++) assert.ok(at[i]! - at[i - 1]! >= MIN_READ_INTERVAL_MS);
       }
       assert.equal(shared.size, 0, 'nothing is remembered of keys that nobody asks about');
     }),
@@ -127,13 +127,13 @@
             answered += 1;
             assert.ok(answer?.kind === 'status');
             assert.equal(answer.running, job);
-            assert.ok(answer.done >= cameIn && answer.done <= cameIn + BATCH_GAP_MS);
+            assert.ok(answer.done >= cameIn && answer.done <= cameIn + MIN_BATCH_INTERVAL_MS);
           });
         });
       }
       await sim.run(10_000);
       assert.equal(answered, requests.length);
-      for (let i = 1; i < batches.length; i++) assert.ok(batches[i]!.at - batches[i - 1]!.at >= BATCH_GAP_MS);
+      for (let i = 1; i < batches.length; i++) assert.ok(batches[i]!.at - batches[i - 1]!.at >= MIN_BATCH_INTERVAL_MS);
     }),
     { seed: SEED, numRuns: 30 },
   );
@@ -145,12 +145,12 @@
   const batched = batcher(sim, batches, () => Promise.resolve(null));
   const answers: (PollAnswer | null)[] = [];
   sim.after(0, () => {
-    for (let i = 0; i < MOST_IN_BATCH + 10; i++) void batched.poll(String(i)).then((a) => answers.push(a));
+    for (let i = 0; i < MAX_BATCH_JOBS + 10; i++) void batched.poll(String(i)).then((a) => answers.push(a));
   });
   await sim.run(1000);
-  assert.equal(answers.length, MOST_IN_BATCH + 10);
+  assert.equal(answers.length, MAX_BATCH_JOBS + 10);
   assert.ok(answers.every((a) => a === null));
-  assert.ok(batches.every((b) => b.jobIds.length <= MOST_IN_BATCH));
+  assert.ok(batches.every((b) => b.jobIds.length <= MAX_BATCH_JOBS));
 });
 
 test('a job whose state takes a while to find out does not hold up the other answers of its batch', () => {
