--- /dev/null
+++ b/src/jobs/completion-chunks.ts
@@ -0,0 +1,31 @@
+/** A job's completion bitmap, kept in the store in chunks of a bounded size. */
+
+/** Tasks in one chunk: a value of 512 bytes before its encoding. */
+export const CHUNK_TASKS = 4096;
+
+/** The chunk that holds a task. */
+export function chunkOf(task: number): number {
+  return Math.floor(task / CHUNK_TASKS);
+}
+
+/** The tasks of a chunk: from `first` on, and below `end`. */
+export function chunkRange(chunk: number, jobTasks: number): { first: number; end: number } {
+  const first = chunk * CHUNK_TASKS;
+  return { first, end: Math.min(jobTasks, first + CHUNK_TASKS) };
+}
+
+/** A bitmap for so many tasks, all of its bits unset. */
+export function newBitmap(tasks: number): Uint8Array {
+  return new Uint8Array(Math.ceil(tasks / 8));
+}
+
+/** Whether a bit is set; bits beyond the end of the bitmap are not. */
+export function hasBit(bitmap: Uint8Array, index: number): boolean {
+  return ((bitmap[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
+}
+
+/** Sets a bit, which must be inside the bitmap. */
+export function setBit(bitmap: Uint8Array, index: number): void {
+  const byte = index >> 3;
+  bitmap[byte] = (bitmap[byte] ?? 0) | (1 << (index & 7));
+}
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,60 +1,94 @@
-import { newJobFailures } from '../workers/failure-attribution.ts';
+/** The leader's state of one job: which of its tasks are pending, assigned, done and durable. */
 import type { JobRequest, JobStatus } from '../wire/user.ts';
+import { newJobFailures } from '../workers/failure-attribution.ts';
+import { chunkOf, chunkRange, hasBit, newBitmap, setBit } from './completion-chunks.ts';
 
+/** State of a task that waits to be assigned to a machine. */
 export const PENDING = 0;
+/** State of a task that is assigned to a machine, or may still run on one. */
 export const ASSIGNED = 1;
-/** Done, but not yet durable. */
+/** State of a task that is done, but whose completion is not yet durable. */
 export const DONE = 2;
+/** State of a task whose completion is durable. */
 export const DURABLE = 3;
 
-/** Finished tasks are kept in the store in chunks of this many bits. */
-export const CHUNK_TASKS = 4096;
+/** State of one task. A task that is done stays so. */
+export type TaskState = typeof PENDING | typeof ASSIGNED | typeof DONE | typeof DURABLE;
+
+/** How a job ended, or is to end. */
+export type JobOutcome = 'done' | 'cancelled';
+
+/** A machine on which capacity is being made for a job. */
+export interface NominatedMachine {
+  /** Index of the machine. */
+  machine: number;
+  /** The job waits for it until then, in ms on the steady clock. */
+  until: number;
+}
+
+/** Machines on which other work was preempted for a job, or that it waits for besides. */
+export interface Reservation {
+  /** Indices of the machines. */
+  machines: ReadonlySet<number>;
+  /** Index of the zone that the machines are in. */
+  zone: number;
+  /** The job waits for them until then, in ms on the steady clock. */
+  until: number;
+}
 
 /** A job as the leader knows it. Work on it goes by counts and short lists, never over all its tasks. */
 export class Job {
+  /** A `TaskState` for each task. */
   readonly taskStates: Uint8Array;
-  /** Next task that was never assigned; tasks below it that came back are in `returned`. */
-  private next = 0;
-  private returned: number[] = [];
+  /** The first task that was never assigned; tasks below it that were requeued are in `requeued`. */
+  private nextTask = 0;
+  private readonly requeued: number[] = [];
   pendingCount: number;
+  /** Number of tasks that are done, durable ones included. */
   doneCount = 0;
   durableCount = 0;
-  /** Tasks reported as running. */
+  /** Number of tasks reported as running. */
   running = 0;
-  /** Chunks with finished tasks that are not durable yet. */
+  /** Chunks of the completion bitmap with tasks that are done and not durable yet. */
   readonly dirtyChunks = new Set<number>();
-  /** Chunks that have a record in the store. */
+  /** Chunks of the completion bitmap that have a record in the store. */
   readonly storedChunks = new Set<number>();
   /** Set once the job is to end; no task starts from then on. */
-  pendingOutcome: 'done' | 'cancelled' | null = null;
-  /** Called with the final state once it is durable. */
+  pendingOutcome: JobOutcome | null = null;
+  /** Called once the terminal state is durable, or this leadership has ended. */
   readonly onTerminal: (() => void)[] = [];
-  terminalState: 'done' | 'cancelled' | null = null;
+  /** Set once its record is durable. */
+  terminalState: JobOutcome | null = null;
   readonly failures = newJobFailures();
-  /** No task is started before this time, in milliseconds on the steady clock. */
+  /** No task is started before this time, in ms on the steady clock. */
   notBefore = 0;
   /**
-   * How many attempts hold a task. After a takeover a late report can show a task on a machine that is gone
+   * How many attempts hold a task. After a failover a late heartbeat can show a task on a machine that is gone
    * while it runs elsewhere: the end of one of the two must not free the task.
    */
   readonly holders = new Map<number, number>();
-  /** A machine on which room is being made for it, and until when it waits for that. */
-  nominatedMachine: { machine: number; until: number } | null = null;
-  /** Machines (by index) on which others were stopped for it or that it waits for besides, and until when. */
-  reservation: { machines: ReadonlySet<number>; zone: number; until: number } | null = null;
-  /** The zone that the last round chose for a job that must stay in one, or -1. */
+  nominatedMachine: NominatedMachine | null = null;
+  reservation: Reservation | null = null;
+  /** Index of the zone that the last round chose for a job that must stay in one, or -1. */
   zoneHint = -1;
-  /** Machines (by index) on which a task of this job failed. */
+  /** Indices of the machines on which a task of this job failed. */
   readonly excludedMachines = new Set<number>();
-  /** Tasks below this may be started: the store says that they may have been. No task starts before that. */
+  /**
+   * Tasks below this may be started: the store says that they may have been, and a later leader reads it there. No
+   * task starts before that.
+   */
   durableStartWatermark = 0;
-  /** What the store has been asked to say. */
+  /** The start watermark that the store has been asked to hold. */
   requestedStartWatermark = 0;
-  /** Of an earlier leader: tasks below it may run on machines that are not heard yet, the others surely don't. */
+  /**
+   * The start watermark of an earlier leader: tasks below it may run on machines that have not reported yet, the
+   * others surely don't. 0: no earlier leader has started any.
+   */
   inheritedStartWatermark = 0;
-  /** When the job began to wait, on the steady clock; moves on whenever a task is placed. */
+  /** When the job began to wait, in ms on the steady clock; moves on whenever a task is placed. */
   waitingSince: number;
 
+  /** `team`: its index. `createdWall`: when the job was accepted, as time of day in ms. `now`: steady ms. */
   constructor(
     readonly spec: JobRequest,
     readonly team: number,
@@ -70,12 +104,12 @@
     return this.spec.id;
   }
 
-  /** Found in the store by a new leader. */
-  restore(begun: number, now: number): void {
-    if (begun > 0) this.waitingSince = now;
-    this.durableStartWatermark = begun;
-    this.requestedStartWatermark = begun;
-    this.inheritedStartWatermark = begun;
+  /** Takes over the start watermark that a new leader has found in the store. `now`: steady ms. */
+  restore(startWatermark: number, now: number): void {
+    if (startWatermark > 0) this.waitingSince = now;
+    this.durableStartWatermark = startWatermark;
+    this.requestedStartWatermark = startWatermark;
+    this.inheritedStartWatermark = startWatermark;
   }
 
   /** No task of it has ever been started. */
@@ -83,7 +117,7 @@
     return this.requestedStartWatermark === 0;
   }
 
-  /** Tasks that nobody can be running while machines of an earlier leader are unheard. */
+  /** Number of tasks that nobody can be running while machines of an earlier leader are not reconciled. */
   startableCount(): number {
     if (this.inheritedStartWatermark === 0) return this.pendingCount;
     // Where the others of the job are decides where these may go.
@@ -95,26 +129,27 @@
     return count;
   }
 
-  /** Takes the next pending task, or -1; `sure`: only one that nobody can be running. */
-  takePending(sure = false): number {
-    if (sure && this.inheritedStartWatermark > 0) {
-      for (let task = this.inheritedStartWatermark; task < this.spec.tasks; task++) {
-        if (this.taskStates[task] === PENDING) return this.assign(task);
-      }
-      return -1;
+  /** Assigns the next pending task and returns it, or -1. `onlyStartable`: only one that nobody can be running. */
+  takePending(onlyStartable = false): number {
+    if (onlyStartable && this.inheritedStartWatermark > 0) return this.takeStartable();
+    for (let task = this.requeued.pop(); task !== undefined; task = this.requeued.pop()) {
+      if (this.taskStates[task] === PENDING) return this.assign(task);
     }
-    while (this.returned.length > 0) {
-      const task = this.returned.pop()!;
+    while (this.nextTask < this.spec.tasks) {
+      const task = this.nextTask++;
       if (this.taskStates[task] === PENDING) return this.assign(task);
     }
-    while (this.next < this.spec.tasks) {
-      const task = this.next++;
+    return -1;
+  }
+
+  private takeStartable(): number {
+    for (let task = this.inheritedStartWatermark; task < this.spec.tasks; task++) {
       if (this.taskStates[task] === PENDING) return this.assign(task);
     }
     return -1;
   }
 
-  /** Assigns a certain task, found running after a takeover. */
+  /** Assigns a certain task, found running after a failover. False: the task is not pending. */
   adopt(task: number): boolean {
     if (this.taskStates[task] !== PENDING) return false;
     this.assign(task);
@@ -127,54 +162,53 @@
     return task;
   }
 
-  /** A task that was assigned is surely nowhere any more. */
+  /** Makes an assigned task pending again, once it surely runs nowhere any more. `now`: steady ms. */
   requeue(task: number, now: number): void {
     if (this.taskStates[task] !== ASSIGNED) return;
     this.taskStates[task] = PENDING;
     this.pendingCount += 1;
     if (this.pendingCount === 1) this.waitingSince = now;
-    this.returned.push(task);
+    this.requeued.push(task);
   }
 
+  /** False: there is no such task, or it was done before. */
   markDone(task: number): boolean {
     const state = this.taskStates[task];
     if (state === undefined || state >= DONE) return false;
     if (state === PENDING) this.pendingCount -= 1;
     this.taskStates[task] = DONE;
     this.doneCount += 1;
-    this.dirtyChunks.add(Math.floor(task / CHUNK_TASKS));
+    this.dirtyChunks.add(chunkOf(task));
     return true;
   }
 
+  /** The store holds these bits of the completion bitmap: the tasks whose bits are set are durable. */
   markChunkDurable(chunk: number, bits: Uint8Array): void {
     this.storedChunks.add(chunk);
-    const from = chunk * CHUNK_TASKS;
-    const to = Math.min(this.spec.tasks, from + CHUNK_TASKS);
-    for (let task = from; task < to; task++) {
-      const at = task - from;
-      const set = ((bits[at >> 3] ?? 0) & (1 << (at & 7))) !== 0;
-      const before = this.taskStates[task]!;
-      if (!set || before === DURABLE) continue;
-      if (before === PENDING) this.pendingCount -= 1;
-      if (before < DONE) this.doneCount += 1;
+    const { first, end } = chunkRange(chunk, this.spec.tasks);
+    for (let task = first; task < end; task++) {
+      const state = this.taskStates[task] ?? PENDING;
+      if (!hasBit(bits, task - first) || state === DURABLE) continue;
+      if (state === PENDING) this.pendingCount -= 1;
+      if (state < DONE) this.doneCount += 1;
       this.failures.succeededBefore = true;
       this.taskStates[task] = DURABLE;
       this.durableCount += 1;
     }
   }
 
+  /** The completion bitmap of a chunk as it is now, for the store. */
   chunkBits(chunk: number): Uint8Array {
-    const from = chunk * CHUNK_TASKS;
-    const to = Math.min(this.spec.tasks, from + CHUNK_TASKS);
-    const bits = new Uint8Array(Math.ceil((to - from) / 8));
-    for (let task = from; task < to; task++) {
-      if (this.taskStates[task]! >= DONE) bits[(task - from) >> 3]! |= 1 << ((task - from) & 7);
+    const { first, end } = chunkRange(chunk, this.spec.tasks);
+    const bits = newBitmap(end - first);
+    for (let task = first; task < end; task++) {
+      if (this.isDone(task)) setBit(bits, task - first);
     }
     return bits;
   }
 
   isDone(task: number): boolean {
-    return this.taskStates[task]! >= DONE;
+    return (this.taskStates[task] ?? PENDING) >= DONE;
   }
 
   isDurable(task: number): boolean {
@@ -185,11 +219,12 @@
     return this.doneCount === this.spec.tasks;
   }
 
-  /** The job is to end, and its final record isn't known to be durable. */
+  /** The job is to end, and its terminal record isn't known to be durable. */
   get outcomeUnconfirmed(): boolean {
     return this.pendingOutcome !== null && this.terminalState === null;
   }
 
+  /** The state as users are told it: of an open job, only tasks whose completion is durable count as done. */
   status(): JobStatus {
     if (this.terminalState) return { stage: this.terminalState, done: this.doneCount, running: 0 };
     return {
