--- a/test/jobs/consistency.test.ts
+++ b/test/jobs/consistency.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { SEED } from '../helpers.ts';
-import { CALM, Controllers, type Luck } from './controllers.ts';
+import { CALM, Controllers, type Luck } from './support/controllers.ts';
 
 type Step =
   | { kind: 'submit' | 'poll' | 'cancel'; node: number; job: number }
--- a/test/jobs/controllers.ts
+++ b/test/jobs/support/controllers.ts
@@ -1,32 +1,32 @@
-import { defaultOptions } from '../../src/config/options.ts';
-import type { Settings } from '../../src/config/settings.ts';
-import { NameIndex } from '../../src/base/name-index.ts';
-import { Leader } from '../../src/leader/leader.ts';
-import { Catalog } from '../../src/fleet/catalog.ts';
-import type { Answer, Reply } from '../../src/http/server.ts';
-import { UserRequests } from '../../src/jobs/user-requests.ts';
-import type { UserRequestDeps } from '../../src/jobs/user-request-deps.ts';
-import { TerminalWrites } from '../../src/jobs/terminal-writes.ts';
-import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
-import { answerBatch, PollBatcher } from '../../src/jobs/poll-batches.ts';
-import { SharedReads } from '../../src/jobs/shared-reads.ts';
-import type { PeerReply, PeerRequest, PollAnswer } from '../../src/peers/frames.ts';
-import { RateBudget } from '../../src/store/budget.ts';
+import { defaultOptions } from '../../../src/config/options.ts';
+import type { Settings } from '../../../src/config/settings.ts';
+import { NameIndex } from '../../../src/base/name-index.ts';
+import { Leader } from '../../../src/leader/leader.ts';
+import { Catalog } from '../../../src/fleet/catalog.ts';
+import type { Answer, Reply } from '../../../src/http/server.ts';
+import { UserRequests } from '../../../src/jobs/user-requests.ts';
+import type { UserRequestDeps } from '../../../src/jobs/user-request-deps.ts';
+import { TerminalWrites } from '../../../src/jobs/terminal-writes.ts';
+import { TerminalStateCache } from '../../../src/jobs/terminal-state-cache.ts';
+import { answerBatch, PollBatcher } from '../../../src/jobs/poll-batches.ts';
+import { SharedReads } from '../../../src/jobs/shared-reads.ts';
+import type { PeerReply, PeerRequest, PollAnswer } from '../../../src/peers/frames.ts';
+import { RateBudget } from '../../../src/store/budget.ts';
 import {
   moreUrgent,
   type StoreResult,
   type CompareAndSwapResult,
   type Urgency,
-} from '../../src/store/key-value-store.ts';
-import { KEYS } from '../../src/store/keys.ts';
-import { LeaderWriter } from '../../src/store/leader-writer.ts';
-import type { Mutation, Condition, Item, WatchEvent } from '../../src/wire/state.ts';
-import { SETTINGS } from '../config/sample.ts';
-import { BIG, silent } from '../helpers.ts';
-import { Sim } from '../model/sim.ts';
-import { StateModel } from '../model/state.ts';
-import { JOB } from '../wire/sample.ts';
-import { leaderlessWrite } from './leaderless.ts';
+} from '../../../src/store/key-value-store.ts';
+import { KEYS } from '../../../src/store/keys.ts';
+import { LeaderWriter } from '../../../src/store/leader-writer.ts';
+import type { Mutation, Condition, Item, WatchEvent } from '../../../src/wire/state.ts';
+import { SETTINGS } from '../../config/sample.ts';
+import { BIG, silent } from '../../helpers.ts';
+import { Sim } from '../../model/sim.ts';
+import { StateModel } from '../../model/state.ts';
+import { JOB } from '../../wire/sample.ts';
+import { leaderlessWrite } from './leaderless-write.ts';
 
 const READ_TIMEOUT_MS = 1500;
 const WRITE_TIMEOUT_MS = 2000;
--- a/test/jobs/leaderless.ts
+++ b/test/jobs/support/leaderless-write.ts
@@ -1,6 +1,6 @@
-import type { LeaderlessWrite } from '../../src/leadership/election.ts';
-import type { KeyValueStore } from '../../src/store/key-value-store.ts';
-import { KEYS } from '../../src/store/keys.ts';
+import type { LeaderlessWrite } from '../../../src/leadership/election.ts';
+import type { KeyValueStore } from '../../../src/store/key-value-store.ts';
+import { KEYS } from '../../../src/store/keys.ts';
 
 /** A step that needs a leader's absence; the store decides whether there is one when its transaction arrives. */
 export function leaderlessWrite(store: Pick<KeyValueStore, 'compareAndSwap'>): LeaderlessWrite {
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -15,7 +15,7 @@
 import { BIG, FakeClock } from '../helpers.ts';
 import { MemoryStore } from '../store/memory.ts';
 import { JOB } from '../wire/sample.ts';
-import { leaderlessWrite } from './leaderless.ts';
+import { leaderlessWrite } from './support/leaderless-write.ts';
 
 const OPEN = { at: 0, job: JOB };
 const ID = 'req-000001';
