--- a/test/jobs/admission.test.ts
+++ b/test/jobs/admission.test.ts
@@ -13,19 +13,27 @@
 const FLAT = { ...BIG, name: 'flat', cpus: 32, gpus: 0, memory: 16, zones: ['b'] };
 const CATALOG = new Catalog([BIG, FLAT]);
 
-function jobOf(over: object): JobRequest {
-  const read = decodeJob(
-    JSON.stringify({ ...JOB, ovens: null, cores: 1, accelerators: 0, memGb: 1, loaves: 1, ...over }),
+/** A small job, with fields of the submission replaced. */
+function jobWith(overrides: object): JobRequest {
+  const decoded = decodeJob(
+    JSON.stringify({ ...JOB, ovens: null, cores: 1, accelerators: 0, memGb: 1, loaves: 1, ...overrides }),
   );
-  assert.ok(read.ok, read.ok ? '' : read.reason);
-  return read.value;
+  assert.ok(decoded.ok, decoded.ok ? '' : decoded.reason);
+  return decoded.value;
 }
 
 /** Amounts whose sums are exact. */
 const quarters = (amount: number): number => Math.round(amount * 4) / 4;
 
-const verdict = (over: object, catalog: Catalog | null = CATALOG): string | null =>
-  infeasibility(jobOf(over), TEAM, catalog);
+/** Why a job with these fields can never run, or null. */
+const reasonFor = (overrides: object, catalog: Catalog | null = CATALOG): string | null =>
+  infeasibility(jobWith(overrides), TEAM, catalog);
+
+function assertFeasible(cases: readonly [overrides: object, feasible: boolean][]): void {
+  for (const [overrides, feasible] of cases) {
+    assert.equal(reasonFor(overrides) === null, feasible, JSON.stringify(overrides));
+  }
+}
 
 test('a job that fits no allowed machine type can never run', () => {
   const cases: [object, boolean][] = [
@@ -50,10 +58,10 @@
     [{ yard: 'b', ovens: ['flat'] }, true],
     [{ yard: 'a', ovens: ['flat'] }, false],
     [{ yard: 'a', cores: 32 }, false],
-    // Ordinary machines of each type can be rented: spot is a permission, never a need.
+    // On-demand machines of each type can be provisioned: spot is a permission, never a need.
     [{ borrowed: false }, true],
   ];
-  for (const [over, runs] of cases) assert.equal(verdict(over) === null, runs, JSON.stringify(over));
+  assertFeasible(cases);
 });
 
 test("one task of an array, and all tasks of a gang, must fit the team's limit", () => {
@@ -66,26 +74,26 @@
     // Sixteen, in tenths: sums of decimals are not held against anybody.
     [{ shape: 'ensemble', loaves: 160, cores: 0.1, accelerators: 0.1 }, true],
   ];
-  for (const [over, runs] of cases) assert.equal(verdict(over) === null, runs, JSON.stringify(over));
-  assert.equal(infeasibility(jobOf({}), undefined, CATALOG), 'unknown team');
+  assertFeasible(cases);
+  assert.equal(infeasibility(jobWith({}), undefined, CATALOG), 'unknown team');
   const unlimited = { ...TEAM, cpusMax: 0, gpusMax: 0 };
-  const huge = jobOf({ shape: 'ensemble', loaves: 100_000, accelerators: 4 });
+  const huge = jobWith({ shape: 'ensemble', loaves: 100_000, accelerators: 4 });
   assert.equal(infeasibility(huge, unlimited, CATALOG), null);
 });
 
-test('nothing is refused for want of capacity, which is not published', () => {
-  assert.equal(verdict({ shape: 'ensemble', loaves: 16, samePlace: true, accelerators: 1 }), null);
-  assert.equal(verdict({ shape: 'ensemble', loaves: 3, apart: true, yard: 'a' }), null);
+test('no job is refused for lack of capacity, which is not published', () => {
+  assert.equal(reasonFor({ shape: 'ensemble', loaves: 16, samePlace: true, accelerators: 1 }), null);
+  assert.equal(reasonFor({ shape: 'ensemble', loaves: 3, apart: true, yard: 'a' }), null);
 });
 
-test("without a catalog the team's reasons are told, and only those", () => {
-  assert.notEqual(verdict({ shape: 'ensemble', loaves: 5, accelerators: 4 }, null), null);
-  assert.equal(infeasibility(jobOf({}), undefined, null), 'unknown team');
-  assert.equal(verdict({ cores: 1000, shape: 'ensemble' }, null) !== null, true);
-  assert.equal(verdict({ memGb: 1000, ovens: ['no-such'] }, null), null);
+test("without a catalog the reasons of the team's quota are told, and only those", () => {
+  assert.notEqual(reasonFor({ shape: 'ensemble', loaves: 5, accelerators: 4 }, null), null);
+  assert.equal(infeasibility(jobWith({}), undefined, null), 'unknown team');
+  assert.equal(reasonFor({ cores: 1000, shape: 'ensemble' }, null) !== null, true);
+  assert.equal(reasonFor({ memGb: 1000, ovens: ['no-such'] }, null), null);
 });
 
-test('generated jobs are refused exactly when no type fits or the team is too small', () => {
+test('generated jobs are refused exactly when no type fits or the quota is too small', () => {
   fc.assert(
     fc.property(
       validSubmission,
@@ -94,25 +102,27 @@
       (wire, yard, ovens) => {
         const scaled = {
           ...wire,
-          cores: quarters(Number(wire['cores']) / 25),
-          memGb: quarters(Number(wire['memGb']) / 100),
-          accelerators: quarters(Number(wire['accelerators']) / 10),
-          loaves: 1 + (Number(wire['loaves']) % 12),
+          cores: quarters(Number(wire.cores) / 25),
+          memGb: quarters(Number(wire.memGb) / 100),
+          accelerators: quarters(Number(wire.accelerators) / 10),
+          loaves: 1 + (Number(wire.loaves) % 12),
           yard,
           ovens,
         };
-        const read = decodeJob(JSON.stringify(scaled));
-        assert.ok(read.ok);
-        const job = read.value;
-        const together = job.gang ? job.tasks : 1;
-        const withinLimits = job.cpus * together <= 100 && job.gpus * together <= 16;
-        const offered = [BIG, FLAT]
+        const decoded = decodeJob(JSON.stringify(scaled));
+        assert.ok(decoded.ok);
+        const job = decoded.value;
+        const concurrentTasks = job.gang ? job.tasks : 1;
+        const withinQuota = job.cpus * concurrentTasks <= 100 && job.gpus * concurrentTasks <= 16;
+        const allowedTypes = [BIG, FLAT]
           .filter((type) => ovens === null || ovens.includes(type.name))
           .filter((type) => yard === null || type.zones.includes(yard));
-        const runs =
-          withinLimits &&
-          offered.some((t) => t.cpus >= job.cpus && t.gpus >= job.gpus && t.memory >= job.memory);
-        assert.equal(infeasibility(job, TEAM, CATALOG) === null, runs);
+        const feasible =
+          withinQuota &&
+          allowedTypes.some(
+            (type) => type.cpus >= job.cpus && type.gpus >= job.gpus && type.memory >= job.memory,
+          );
+        assert.equal(infeasibility(job, TEAM, CATALOG) === null, feasible);
       },
     ),
     { seed: SEED, numRuns: 500 },
--- a/test/jobs/archive.test.ts
+++ b/test/jobs/archive.test.ts
@@ -1,87 +1,101 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import { Archive } from '../../src/jobs/archive.ts';
-import { terminalValue, readTerminal } from '../../src/jobs/records.ts';
+import { readTerminal, terminalValue } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { Write } from '../../src/store/leader-writer.ts';
 import { MemoryStore } from '../store/memory.ts';
+import { jobId } from './support/user-requests.ts';
 
 const KEEP = 10;
 const TXN_OPS = 6;
-const id = (n: number): string => `req-${String(n).padStart(6, '0')}`;
+const JOBS = 40;
 
-function setUp(): { archive: Archive; store: MemoryStore; queue: Write[]; busy: { now: boolean } } {
+interface Harness {
+  archive: Archive;
+  store: MemoryStore;
+  /** Writes that the archive has enqueued. */
+  queue: Write[];
+  /** Whether the store has something else to do. */
+  setBusy: (busy: boolean) => void;
+}
+
+function createArchive(): Harness {
   const store = new MemoryStore();
   const queue: Write[] = [];
-  const busy = { now: false };
+  let isBusy = false;
   const archive = new Archive({
     keep: KEEP,
     txnOps: TXN_OPS,
-    idle: () => !busy.now,
-    enqueueWrite: (job) => queue.push(job),
+    idle: () => !isBusy,
+    enqueueWrite: (write) => queue.push(write),
     enqueue: (command) => {
       command();
     },
   });
-  return { archive, store, queue, busy };
+  const setBusy = (busy: boolean): void => {
+    isBusy = busy;
+  };
+  return { archive, store, queue, setBusy };
 }
 
-test('old final records move away when there are many and the store is idle, each in one transaction', () => {
-  const { archive, store, queue, busy } = setUp();
-  const copies: Write[] = [];
-  const end = (n: number): void => {
-    const value = terminalValue('done', n);
-    store.apply([], [{ put: KEYS.open(id(n)), value }]);
-    archive.add(id(n), value);
+/** As any controller looks a job up: the record's place first, then the archive. */
+function tasksDone({ data }: MemoryStore, id: string): number | undefined {
+  const item = data.get(KEYS.open(id)) ?? data.get(KEYS.archived(id));
+  return readTerminal(item?.value)?.done;
+}
+
+test('old terminal records move when there are many and the store is idle, each in one transaction', () => {
+  const { archive, store, queue, setBusy } = createArchive();
+  const queuedWrites = (): number => queue.length;
+  const completeJob = (number: number): void => {
+    const value = terminalValue('done', number);
+    store.apply([], [{ put: KEYS.open(jobId(number)), value }]);
+    archive.add(jobId(number), value);
   };
-  /** As any controller looks for it: the record's place first, then the archive. */
-  const look = (n: number): unknown =>
-    readTerminal((store.data.get(KEYS.open(id(n))) ?? store.data.get(KEYS.archived(id(n))))?.value)?.done;
-  for (let n = 0; n < KEEP; n++) end(n);
+  for (let number = 0; number < KEEP; number++) completeJob(number);
   archive.tick();
-  assert.equal(queue.length, 0, 'moved though there are few');
-  busy.now = true;
-  for (let n = KEEP; n < 40; n++) end(n);
+  assert.equal(queuedWrites(), 0, 'moved though there are few');
+  setBusy(true);
+  for (let number = KEEP; number < JOBS; number++) completeJob(number);
   archive.tick();
-  assert.equal(queue.length, 0, 'moved though the store is busy');
-  busy.now = false;
-  for (let turn = 0; turn < 60; turn++) {
+  assert.equal(queuedWrites(), 0, 'moved though the store is busy');
+  setBusy(false);
+  for (let round = 0; round < 60; round++) {
     archive.tick();
     archive.tick();
-    assert.ok(queue.length <= 1, 'more than one batch at once');
-    const job = queue.shift();
-    if (!job) continue;
-    copies.push(job);
-    assert.ok(job.changes.length < TXN_OPS, 'no room for the fence');
-    assert.equal(store.apply([], job.changes).kind, 'ok');
-    job.done();
-    for (let n = 0; n < 40; n++) assert.equal(look(n), n);
+    assert.ok(queuedWrites() <= 1, 'more than one write at once');
+    const write = queue.shift();
+    if (!write) continue;
+    assert.ok(write.changes.length < TXN_OPS, 'no room for the fence key');
+    assert.equal(store.apply([], write.changes).kind, 'ok');
+    write.done();
+    for (let number = 0; number < JOBS; number++) assert.equal(tasksDone(store, jobId(number)), number);
   }
   assert.equal(archive.size, KEEP);
-  const left = [...store.data.keys()].filter((key) => key.startsWith(KEYS.openPrefix));
+  const remaining = [...store.data.keys()].filter((key) => key.startsWith(KEYS.openPrefix));
   assert.deepEqual(
-    left,
-    Array.from({ length: KEEP }, (_, i) => KEYS.open(id(30 + i))),
+    remaining,
+    Array.from({ length: KEEP }, (_, index) => KEYS.open(jobId(JOBS - KEEP + index))),
     'the newest stay',
   );
 });
 
-test('a job can not be created again, wherever its final record is', () => {
+test('a job can not be created again, wherever its terminal record is', () => {
   const store = new MemoryStore();
-  const create = (n: number): string =>
+  const id = jobId(1);
+  const create = (): string =>
     store.apply(
       [
-        { key: KEYS.open(id(n)), version: 0 },
-        { key: KEYS.archived(id(n)), version: 0 },
+        { key: KEYS.open(id), version: 0 },
+        { key: KEYS.archived(id), version: 0 },
       ],
-      [{ put: KEYS.open(id(n)), value: { at: 0, job: {} } }],
+      [{ put: KEYS.open(id), value: { at: 0, job: {} } }],
     ).kind;
-  assert.equal(create(1), 'ok');
-  store.apply([], [{ put: KEYS.open(id(1)), value: terminalValue('cancelled', 0) }]);
-  assert.equal(create(1), 'conflict');
-  store.apply(
-    [],
-    [{ delete: KEYS.open(id(1)) }, { put: KEYS.archived(id(1)), value: terminalValue('cancelled', 0) }],
-  );
-  assert.equal(create(1), 'conflict');
+  const terminalRecord = terminalValue('cancelled', 0);
+  assert.equal(create(), 'ok');
+  store.apply([], [{ put: KEYS.open(id), value: terminalRecord }]);
+  assert.equal(create(), 'conflict');
+  store.apply([], [{ delete: KEYS.open(id) }, { put: KEYS.archived(id), value: terminalRecord }]);
+  assert.equal(create(), 'conflict');
 });
--- a/test/jobs/bad-submissions.test.ts
+++ b/test/jobs/bad-submissions.test.ts
@@ -1,161 +1,156 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import { defaultOptions } from '../../src/config/options.ts';
 import { Catalog } from '../../src/fleet/catalog.ts';
-import type { Answer } from '../../src/http/server.ts';
-import { UserRequests } from '../../src/jobs/user-requests.ts';
-import type { UserRequestDeps } from '../../src/jobs/user-request-deps.ts';
-import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { openValue } from '../../src/jobs/records.ts';
+import type { UserRequests } from '../../src/jobs/user-requests.ts';
+import type { PeerReply, PeerRequest } from '../../src/peers/frames.ts';
+import { RateBudget } from '../../src/store/budget.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { decodeJob, peekJobId } from '../../src/wire/user.ts';
-import { BIG, FakeClock, SEED } from '../helpers.ts';
+import { BIG, SEED } from '../helpers.ts';
 import { JOB } from '../wire/sample.ts';
 import { malformedSubmission } from '../wire/submissions.ts';
-import { RateBudget } from '../../src/store/budget.ts';
+import {
+  createUserRequests,
+  readResult,
+  REFUSING_STORE,
+  submit,
+  type StoreFake,
+} from './support/user-requests.ts';
 
-const FITTING = { ...JOB, ovens: ['big'], cores: 1, accelerators: 1, memGb: 1, loaves: 2 };
-/** Whether the answer is 422 may hang on the settings alone, or on the machine types too. */
-const IMPOSSIBLE_FOR_TEAM = [
-  { ...FITTING, crew: 'nobody' },
-  { ...FITTING, loaves: 1001 },
-  { ...FITTING, shape: 'array', accelerators: 1001 },
+const FEASIBLE = { ...JOB, ovens: ['big'], cores: 1, accelerators: 1, memGb: 1, loaves: 2 };
+/** Whether the answer is 422 may depend on the settings alone, or on the machine types too. */
+const INFEASIBLE_FOR_TEAM = [
+  { ...FEASIBLE, crew: 'nobody' },
+  { ...FEASIBLE, loaves: 1001 },
+  { ...FEASIBLE, shape: 'array', accelerators: 1001 },
 ];
-const IMPOSSIBLE_ON_MACHINES = [
-  { ...FITTING, cores: 500 },
-  { ...FITTING, ovens: ['no-such'] },
-  { ...FITTING, ovens: [] },
-  { ...FITTING, yard: 'no-such' },
+const INFEASIBLE_ON_MACHINES = [
+  { ...FEASIBLE, cores: 500 },
+  { ...FEASIBLE, ovens: ['no-such'] },
+  { ...FEASIBLE, ovens: [] },
+  { ...FEASIBLE, yard: 'no-such' },
 ];
 
+type Records = ReadonlyMap<string, unknown>;
+
 interface Situation {
-  /** Keys of the state service; null: it doesn't serve this controller. */
-  store: Map<string, unknown> | null;
-  /** Another controller that is served by the state service; null: there is none. */
-  other: Map<string, unknown> | null;
+  /** Records in the state service; null: it doesn't serve this controller. */
+  store: Records | null;
+  /** What another controller reads there; null: the state service serves no other one. */
+  peerStore: Records | null;
   catalogKnown: boolean;
 }
 
-/** A controller without a leader in a given situation. */
-function controller(situation: Situation): { userRequests: UserRequests; written: string[] } {
-  const written: string[] = [];
-  const get = (key: string) => {
-    if (!situation.store) return Promise.resolve({ kind: 'refused' as const });
-    const value = situation.store.get(key);
-    const item = value === undefined ? null : { key, value, version: 1, lease: null };
-    return Promise.resolve({ kind: 'ok' as const, value: item });
+/** A store over some records that takes every write and notes its keys. */
+function storeWith(records: Records, writtenKeys: string[]): StoreFake {
+  return {
+    get: (key) => Promise.resolve(readResult(key, records.get(key))),
+    compareAndSwap: (_conditions, mutations) => {
+      for (const mutation of mutations) writtenKeys.push('put' in mutation ? mutation.put : mutation.delete);
+      return Promise.resolve({ kind: 'ok', revision: 2 });
+    },
   };
-  const compareAndSwap = (_conditions: unknown, changes: { put?: string }[]) => {
-    if (!situation.store) return Promise.resolve({ kind: 'refused' as const });
-    written.push(...changes.map((c) => c.put ?? ''));
-    return Promise.resolve({ kind: 'ok' as const, revision: 2 });
-  };
-  const askOthers: UserRequestDeps['callOthers'] = (request) => {
-    const { other } = situation;
-    if (!other || request.kind !== 'look') return Promise.resolve(null);
-    const found = other.has(KEYS.open(request.jobId));
-    return Promise.resolve(
-      found ? { kind: 'status', created: false, stage: 'pending', done: 0, running: 0 } : { kind: 'unknown' },
-    );
-  };
-  const userRequests = new UserRequests({
-    clock: new FakeClock(),
-    options: defaultOptions(),
-    store: { get, compareAndSwap } as unknown as KeyValueStore,
-    terminalStates: new TerminalStateCache(10),
-    submissions: new RateBudget(1000, () => 0),
-    teams: [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }],
-    catalog: () => (situation.catalogKnown ? new Catalog([BIG]) : null),
-    leader: () => null,
-    beginLeaderlessWrite: () => Promise.resolve(null),
-    callLeader: () => Promise.resolve(null),
-    callOthers: askOthers,
-  });
-  return { userRequests, written };
 }
 
-const submit = (userRequests: UserRequests, body: string): Promise<Answer> =>
-  new Promise((resolve) => {
-    userRequests.submit(body, resolve);
+/** What another controller replies that reads these records. */
+function peerReply(records: Records | null, request: PeerRequest): PeerReply | null {
+  if (!records || request.kind !== 'look') return null;
+  if (!records.has(KEYS.open(request.jobId))) return { kind: 'unknown' };
+  return { kind: 'status', created: false, stage: 'pending', done: 0, running: 0 };
+}
+
+/** A controller without a leader in a given situation, and the keys that it writes. */
+function controllerIn({ store, peerStore, catalogKnown }: Situation): {
+  userRequests: UserRequests;
+  writtenKeys: string[];
+} {
+  const writtenKeys: string[] = [];
+  const userRequests = createUserRequests(store ? storeWith(store, writtenKeys) : REFUSING_STORE, {
+    submissions: new RateBudget(1000, () => 0),
+    catalog: () => (catalogKnown ? new Catalog([BIG]) : null),
+    callOthers: (request) => Promise.resolve(peerReply(peerStore, request)),
   });
+  return { userRequests, writtenKeys };
+}
 
-const holding = (id: string): Map<string, unknown> => {
-  const read = decodeJob(JSON.stringify({ ...FITTING, uid: id }));
-  assert.ok(read.ok);
-  return new Map([[KEYS.open(id), openValue(read.value, 0)]]);
-};
+/** Records of one accepted job. */
+function recordsOf(id: string): Records {
+  const decoded = decodeJob(JSON.stringify({ ...FEASIBLE, uid: id }));
+  assert.ok(decoded.ok);
+  return new Map([[KEYS.open(id), openValue(decoded.value, 0)]]);
+}
 
-/** Every situation in which it can be found out that the id was never accepted. */
-const ABLE: Situation[] = [
-  { store: new Map(), other: null, catalogKnown: true },
-  { store: new Map(), other: null, catalogKnown: false },
-  { store: null, other: new Map(), catalogKnown: true },
-  { store: null, other: new Map(), catalogKnown: false },
+/** Every situation in which a lookup can tell that the id was never accepted. */
+const LOOKUP_AVAILABLE: Situation[] = [
+  { store: new Map(), peerStore: null, catalogKnown: true },
+  { store: new Map(), peerStore: null, catalogKnown: false },
+  { store: null, peerStore: new Map(), catalogKnown: true },
+  { store: null, peerStore: new Map(), catalogKnown: false },
 ];
 
 test('a malformed submission gets 400 and nothing is written, wherever its id can be looked up', async () => {
   await fc.assert(
-    fc.asyncProperty(malformedSubmission, fc.constantFrom(...ABLE), async (body, situation) => {
-      const { userRequests, written } = controller(situation);
+    fc.asyncProperty(malformedSubmission, fc.constantFrom(...LOOKUP_AVAILABLE), async (body, situation) => {
+      const { userRequests, writtenKeys } = controllerIn(situation);
       const answer = await submit(userRequests, body);
       assert.equal(answer.status, 400, answer.body);
-      assert.deepEqual(written, []);
+      assert.deepEqual(writtenKeys, []);
     }),
     { seed: SEED, numRuns: 300 },
   );
 });
 
 test('a submission that can never run gets 422; only for machines must their types be known', async () => {
-  for (const situation of ABLE) {
+  for (const situation of LOOKUP_AVAILABLE) {
     const bodies = situation.catalogKnown
-      ? [...IMPOSSIBLE_FOR_TEAM, ...IMPOSSIBLE_ON_MACHINES]
-      : IMPOSSIBLE_FOR_TEAM;
+      ? [...INFEASIBLE_FOR_TEAM, ...INFEASIBLE_ON_MACHINES]
+      : INFEASIBLE_FOR_TEAM;
     for (const body of bodies) {
-      const { userRequests, written } = controller(situation);
+      const { userRequests, writtenKeys } = controllerIn(situation);
       const answer = await submit(userRequests, JSON.stringify(body));
       assert.equal(answer.status, 422, JSON.stringify([body, answer]));
-      assert.deepEqual(written, []);
+      assert.deepEqual(writtenKeys, []);
     }
     if (situation.catalogKnown) continue;
-    for (const body of [FITTING, ...IMPOSSIBLE_ON_MACHINES]) {
-      const answer = await submit(controller(situation).userRequests, JSON.stringify(body));
+    for (const body of [FEASIBLE, ...INFEASIBLE_ON_MACHINES]) {
+      const answer = await submit(controllerIn(situation).userRequests, JSON.stringify(body));
       assert.equal(answer.status, 503);
       assert.ok((answer.retryAfterS ?? 0) >= 1);
     }
   }
 });
 
-test('an accepted job whose submission comes again is answered with its state, whatever else is sent', async () => {
+test('a submission is idempotent: an accepted job is answered with its state, whatever else is sent', async () => {
   // A 400 or 422 there would call an accepted job forgotten.
   await fc.assert(
-    fc.asyncProperty(malformedSubmission, fc.constantFrom(...ABLE), async (body, situation) => {
+    fc.asyncProperty(malformedSubmission, fc.constantFrom(...LOOKUP_AVAILABLE), async (body, situation) => {
       const id = peekJobId(body);
       fc.pre(id !== null);
-      const known = {
+      const accepted = {
         ...situation,
-        store: situation.store && holding(id!),
-        other: situation.other && holding(id!),
+        store: situation.store && recordsOf(id),
+        peerStore: situation.peerStore && recordsOf(id),
       };
-      assert.equal((await submit(controller(known).userRequests, body)).status, 200);
+      assert.equal((await submit(controllerIn(accepted).userRequests, body)).status, 200);
     }),
     { seed: SEED },
   );
 });
 
-test('what has an id that nobody can look up is neither accepted nor refused for good', async () => {
+test('a submission whose id no controller can look up is neither accepted nor refused for good', async () => {
   for (const catalogKnown of [true, false]) {
-    const situation = { store: null, other: null, catalogKnown };
-    const bodies = [...IMPOSSIBLE_FOR_TEAM, ...IMPOSSIBLE_ON_MACHINES, { ...FITTING, loaves: 0 }];
+    const situation = { store: null, peerStore: null, catalogKnown };
+    const bodies = [...INFEASIBLE_FOR_TEAM, ...INFEASIBLE_ON_MACHINES, { ...FEASIBLE, loaves: 0 }];
     for (const body of bodies) {
-      const answer = await submit(controller(situation).userRequests, JSON.stringify(body));
+      const answer = await submit(controllerIn(situation).userRequests, JSON.stringify(body));
       assert.equal(answer.status, 503);
       assert.ok((answer.retryAfterS ?? 0) >= 1);
     }
     // Without an id there is nothing to look up.
-    for (const body of ['', '[]', '{}', JSON.stringify({ ...FITTING, uid: 'job-1' })]) {
-      assert.equal((await submit(controller(situation).userRequests, body)).status, 400);
+    for (const body of ['', '[]', '{}', JSON.stringify({ ...FEASIBLE, uid: 'job-1' })]) {
+      assert.equal((await submit(controllerIn(situation).userRequests, body)).status, 400);
     }
   }
 });
--- a/test/jobs/consistency.test.ts
+++ b/test/jobs/consistency.test.ts
@@ -2,18 +2,21 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { SEED } from '../helpers.ts';
-import { CALM, Controllers, type Luck } from './support/controllers.ts';
+import type { UserRequest } from './support/answer-history.ts';
+import { CONTROLLER_COUNT, Controllers } from './support/controllers.ts';
+import { NO_FAULTS, type FaultRates } from './support/fault-rates.ts';
+import { stageIn } from './support/user-requests.ts';
 
 type Step =
   | { kind: 'submit' | 'poll' | 'cancel'; node: number; job: number }
   | { kind: 'complete'; job: number }
   | { kind: 'hang'; node: number; ms: number }
   | { kind: 'restart'; node: number }
-  | { kind: 'handover'; node: number };
+  | { kind: 'failover'; node: number };
 
 interface Scenario {
   seed: number;
-  luck: Luck;
+  faults: FaultRates;
   steps: { atMs: number; step: Step }[];
 }
 
@@ -22,9 +25,9 @@
 /** Late transactions are carried out at most 12 s after they were sent. */
 const END_MS = 40_000;
 
-const node = fc.nat(2);
+const node = fc.nat(CONTROLLER_COUNT - 1);
 const job = fc.nat(JOBS - 1);
-const step: fc.Arbitrary<Step> = fc.oneof(
+const anyStep: fc.Arbitrary<Step> = fc.oneof(
   { weight: 6, arbitrary: fc.record({ kind: fc.constant('submit' as const), node, job }) },
   { weight: 4, arbitrary: fc.record({ kind: fc.constant('poll' as const), node, job }) },
   { weight: 4, arbitrary: fc.record({ kind: fc.constant('cancel' as const), node, job }) },
@@ -38,132 +41,146 @@
     }),
   },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('restart' as const), node }) },
-  { weight: 1, arbitrary: fc.record({ kind: fc.constant('handover' as const), node }) },
+  { weight: 1, arbitrary: fc.record({ kind: fc.constant('failover' as const), node }) },
 );
 
-const chance = (most: number): fc.Arbitrary<number> =>
-  fc.oneof(fc.constant(0), fc.double({ min: 0, max: most, noNaN: true }));
+const chanceUpTo = (max: number): fc.Arbitrary<number> =>
+  fc.oneof(fc.constant(0), fc.double({ min: 0, max, noNaN: true }));
 
-const scenario: fc.Arbitrary<Scenario> = fc.record({
+const anyScenario: fc.Arbitrary<Scenario> = fc.record({
   seed: fc.integer({ min: 1, max: 2 ** 31 }),
-  luck: fc.record({
-    answerLost: chance(0.6),
-    late: chance(0.3),
-    refused: chance(0.2),
-    slow: chance(0.3),
-    peersSlow: chance(0.3),
+  faults: fc.record({
+    answerLost: chanceUpTo(0.6),
+    late: chanceUpTo(0.3),
+    refused: chanceUpTo(0.2),
+    slow: chanceUpTo(0.3),
+    peersSlow: chanceUpTo(0.3),
   }),
-  steps: fc.array(fc.record({ atMs: fc.integer({ min: 0, max: LAST_STEP_MS }), step }), {
+  steps: fc.array(fc.record({ atMs: fc.integer({ min: 0, max: LAST_STEP_MS }), step: anyStep }), {
     minLength: 5,
     maxLength: 25,
   }),
 });
 
-function take(world: Controllers, s: Step): void {
-  if (s.kind === 'complete') world.complete(s.job);
-  else if (s.kind === 'hang') world.hang(s.node, s.ms);
-  else if (s.kind === 'restart') {
-    world.restart(s.node);
-    world.depose();
-    world.elect((s.node + 1) % 3);
-  } else if (s.kind === 'handover') {
-    world.depose();
-    world.elect(s.node);
-  } else world.ask(s.node, s.kind, s.job);
+function carryOut(controllers: Controllers, step: Step): void {
+  switch (step.kind) {
+    case 'complete':
+      controllers.complete(step.job);
+      return;
+    case 'hang':
+      controllers.hang(step.node, step.ms);
+      return;
+    case 'restart':
+      controllers.restart(step.node);
+      controllers.expireLease();
+      controllers.elect((step.node + 1) % CONTROLLER_COUNT);
+      return;
+    case 'failover':
+      controllers.expireLease();
+      controllers.elect(step.node);
+      return;
+    default:
+      controllers.request(step.node, step.kind, step.job);
+  }
 }
 
-async function play(s: Scenario, trustMemory = false): Promise<Controllers> {
-  const world = new Controllers(s.seed, s.luck, trustMemory);
-  world.elect(0);
-  for (const { atMs, step: taken } of s.steps) {
-    world.sim.after(atMs, () => {
-      take(world, taken);
+async function run({ seed, faults, steps }: Scenario, trustMemory = false): Promise<Controllers> {
+  const controllers = new Controllers(seed, faults, trustMemory);
+  controllers.elect(0);
+  for (const { atMs, step } of steps) {
+    controllers.sim.after(atMs, () => {
+      carryOut(controllers, step);
     });
   }
-  await world.sim.run(END_MS);
-  return world;
+  await controllers.sim.run(END_MS);
+  return controllers;
 }
 
 const RUNS = { seed: SEED, numRuns: 120, endOnFailure: true };
 
 test(
-  'no controller gives an older answer than any gave before it was asked',
+  'no controller gives an older answer than any controller gave before the request',
   { timeout: 300_000 },
   async () => {
-    const told = { open: 0, done: 0, aborted: 0, unknown: 0 };
+    const counts = { open: 0, done: 0, aborted: 0, unknown: 0 };
     await fc.assert(
-      fc.asyncProperty(scenario, async (s) => {
-        const world = await play(s);
-        for (const stage of ['open', 'done', 'aborted', 'unknown'] as const) told[stage] += world.told[stage];
-        assert.equal(world.broken.slice(0, 3).join('; '), '');
+      fc.asyncProperty(anyScenario, async (scenario) => {
+        const { history } = await run(scenario);
+        for (const stage of ['open', 'done', 'aborted', 'unknown'] as const) {
+          counts[stage] += history.counts[stage];
+        }
+        assert.equal(history.violations.slice(0, 3).join('; '), '');
       }),
       { ...RUNS, includeErrorInReport: true },
     );
-    // The interleavings did something: jobs were accepted, done, cancelled and asked for before they were submitted.
+    // The interleavings did something: jobs were accepted, done, cancelled and polled before they were submitted.
     assert.ok(
-      told.open > 5000 && told.done > 1000 && told.aborted > 1000 && told.unknown > 50,
-      JSON.stringify(told),
+      counts.open > 5000 && counts.done > 1000 && counts.aborted > 1000 && counts.unknown > 50,
+      JSON.stringify(counts),
     );
   },
 );
 
-test('a leader that trusts its memory while an end is being written gives older answers', async () => {
+test('a leader that trusts its memory while a terminal state is being written gives older answers', async () => {
   const checked = await fc.check(
-    fc.asyncProperty(scenario, async (s) => (await play(s, true)).broken.length === 0),
+    fc.asyncProperty(anyScenario, async (scenario) => {
+      const { history } = await run(scenario, true);
+      return history.violations.length === 0;
+    }),
     RUNS,
   );
-  assert.ok(checked.failed, 'the checker must notice that the guard is away');
+  assert.ok(checked.failed, 'the history must show that the guard is away');
 });
 
-/** A leader, and a job that was accepted a second ago. */
-async function accepted(trustMemory = false): Promise<Controllers> {
-  const world = new Controllers(SEED, CALM, trustMemory);
-  world.elect(0);
-  await world.sim.run(1000);
-  world.ask(0, 'submit', 1);
-  await world.sim.run(6000);
-  return world;
+/** A leader, and job 1 that was accepted a second after the start. */
+async function controllersWithAcceptedJob(): Promise<Controllers> {
+  const controllers = new Controllers(SEED, NO_FAULTS);
+  controllers.elect(0);
+  await controllers.sim.run(1000);
+  controllers.request(0, 'submit', 1);
+  await controllers.sim.run(6000);
+  return controllers;
 }
 
-function stageTold(asked: { answer: { status: number; body: string } | null }): string {
-  const { answer } = asked;
+/** The stage that the user was told, or the status of the refusal. */
+function outcomeOf({ answer }: UserRequest): unknown {
   if (!answer) return 'no answer';
-  return answer.status === 200 ? (JSON.parse(answer.body) as { stage: string }).stage : String(answer.status);
+  return answer.status === 200 ? stageIn(answer) : String(answer.status);
 }
 
-test('while the answer of its end is lost, a cancelled job is told from the store by every controller', async () => {
+test('while the answer to its terminal write is lost, every controller answers for a cancelled job from the store', async () => {
   // The leader once told `pending` from its memory while another controller told `aborted` from the store.
-  const world = await accepted();
-  world.luck = { ...CALM, answerLost: 1 };
-  const cancel = world.ask(1, 'cancel', 1);
-  await world.sim.run(6100);
-  const polls = [0, 1, 2].map((n) => world.ask(n, 'poll', 1));
-  const again = world.ask(0, 'submit', 1);
-  await world.sim.run(6350);
-  assert.equal(stageTold(cancel), 'no answer', 'its end is not confirmed yet');
-  assert.deepEqual([...polls, again].map(stageTold), ['aborted', 'aborted', 'aborted', 'aborted']);
-  assert.deepEqual(world.broken, []);
+  const controllers = await controllersWithAcceptedJob();
+  controllers.faults = { ...NO_FAULTS, answerLost: 1 };
+  const cancellation = controllers.request(1, 'cancel', 1);
+  await controllers.sim.run(6100);
+  const polls = [0, 1, 2].map((index) => controllers.request(index, 'poll', 1));
+  const resubmission = controllers.request(0, 'submit', 1);
+  await controllers.sim.run(6350);
+  assert.equal(outcomeOf(cancellation), 'no answer', 'its terminal state is not confirmed yet');
+  assert.deepEqual([...polls, resubmission].map(outcomeOf), ['aborted', 'aborted', 'aborted', 'aborted']);
+  assert.deepEqual(controllers.history.violations, []);
 });
 
-test('while the store refuses all calls, a job whose end may be written is refused at once', async () => {
-  const world = await accepted();
-  world.luck = { ...CALM, answerLost: 1 };
-  world.ask(0, 'cancel', 1);
-  await world.sim.run(6100);
-  world.luck = { ...CALM, refused: 1 };
-  const poll = world.ask(0, 'poll', 1);
-  await world.sim.run(6200);
-  assert.equal(stageTold(poll), '503');
+test('while the store refuses all calls, a poll for a job whose terminal state may be written is refused at once', async () => {
+  const controllers = await controllersWithAcceptedJob();
+  controllers.faults = { ...NO_FAULTS, answerLost: 1 };
+  controllers.request(0, 'cancel', 1);
+  await controllers.sim.run(6100);
+  controllers.faults = { ...NO_FAULTS, refused: 1 };
+  const poll = controllers.request(0, 'poll', 1);
+  await controllers.sim.run(6200);
+  assert.equal(outcomeOf(poll), '503');
   assert.equal(poll.answer?.retryAfterS, 1);
 });
 
-test('an end that the store has only ever refused is not in doubt, and its job stays open', async () => {
+test('a terminal write that the store has only ever refused is not in doubt, and its job stays open', async () => {
   // Else every poll for it would be refused for as long as an outage lasts, while others are answered.
-  const world = await accepted();
-  world.luck = { ...CALM, refused: 1 };
-  world.ask(0, 'cancel', 1);
-  await world.sim.run(6060);
-  const poll = world.ask(0, 'poll', 1);
-  await world.sim.run(6070);
-  assert.equal(stageTold(poll), 'pending');
+  const controllers = await controllersWithAcceptedJob();
+  controllers.faults = { ...NO_FAULTS, refused: 1 };
+  controllers.request(0, 'cancel', 1);
+  await controllers.sim.run(6060);
+  const poll = controllers.request(0, 'poll', 1);
+  await controllers.sim.run(6070);
+  assert.equal(outcomeOf(poll), 'pending');
 });
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -1,66 +1,80 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import { answerBatch, MIN_BATCH_INTERVAL_MS, MAX_BATCH_JOBS, PollBatcher } from '../../src/jobs/poll-batches.ts';
+import { required } from '../../src/base/required.ts';
+import {
+  answerBatch,
+  MAX_BATCH_JOBS,
+  MIN_BATCH_INTERVAL_MS,
+  PollBatcher,
+} from '../../src/jobs/poll-batches.ts';
 import { MIN_READ_INTERVAL_MS, SharedReads } from '../../src/jobs/shared-reads.ts';
 import type { PollAnswer } from '../../src/peers/frames.ts';
 import { moreUrgent, type Urgency } from '../../src/store/key-value-store.ts';
 import { SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
 
-/** A value that changes with time, read over a slow link: the read returns what held when it was carried out. */
-interface Read {
+/** A read that was started, at a simulated time in ms. */
+interface StartedRead {
   at: number;
   key: string;
   urgency: Urgency;
 }
 
-const polls = fc.array(
+const anyPolls = fc.array(
   fc.record({ atMs: fc.integer({ min: 0, max: 2000 }), job: fc.integer({ min: 0, max: 5 }) }),
   { minLength: 1, maxLength: 200 },
 );
 
-function sharedReads(sim: Sim, reads: Read[], tookMs: () => number): SharedReads<number, Urgency> {
+/** The differences between neighbours. */
+const intervals = (times: readonly number[]): number[] =>
+  times.slice(1).map((at, index) => at - required(times[index], 'the time before'));
+
+/** Reads of a value that changes with time: each returns when it was carried out. */
+function sharedReads(sim: Sim, reads: StartedRead[], durationMs: () => number): SharedReads<number, Urgency> {
   return new SharedReads({
     now: () => sim.at,
     after: (ms, run) => {
       sim.after(ms, run);
     },
     read: async (key, urgency) => {
-      const at = sim.at;
+      const { at } = sim;
       reads.push({ at, key, urgency });
-      await sim.pause(tookMs());
+      await sim.pause(durationMs());
       return at;
     },
     moreUrgent,
   });
 }
 
-test('a shared read begins after every request that shares it, and reads of one key keep their gap', async () => {
-  // A request that joined a read under way could be told what was true before it came in.
+test('a shared read starts after every request that shares it, and reads of one key keep their interval', async () => {
+  // A request that joined a read in flight could be told what was true before it came in.
   await fc.assert(
-    fc.asyncProperty(polls, fc.integer({ min: 1, max: 2000 }), async (requests, slowMs) => {
+    fc.asyncProperty(anyPolls, fc.integer({ min: 1, max: 2000 }), async (polls, maxDurationMs) => {
       const sim = new Sim(SEED);
-      const reads: Read[] = [];
-      const shared = sharedReads(sim, reads, () => 1 + sim.random() * slowMs);
+      const reads: StartedRead[] = [];
+      const shared = sharedReads(sim, reads, () => 1 + sim.random() * maxDurationMs);
       let answered = 0;
-      for (const { atMs, job } of requests) {
+      for (const { atMs, job } of polls) {
         sim.after(atMs, () => {
-          const cameIn = sim.at;
+          const requestedAt = sim.at;
           void shared.get(`job ${job}`, 'poll').then((readAt) => {
             answered += 1;
-            assert.ok(readAt >= cameIn, 'told from a read that had begun before');
-            assert.ok(readAt <= cameIn + MIN_READ_INTERVAL_MS, 'kept waiting for longer than the gap');
+            assert.ok(readAt >= requestedAt, 'told from a read that had started before');
+            assert.ok(
+              readAt <= requestedAt + MIN_READ_INTERVAL_MS,
+              'kept waiting for longer than the interval',
+            );
           });
         });
       }
       await sim.run(10_000);
-      assert.equal(answered, requests.length);
-      for (const key of new Set(reads.map((r) => r.key))) {
-        const at = reads.filter((r) => r.key === key).map((r) => r.at);
-        for (let i = 1; i < at.length; i++) assert.ok(at[i]! - at[i - 1]! >= MIN_READ_INTERVAL_MS);
+      assert.equal(answered, polls.length);
+      for (const key of new Set(reads.map((read) => read.key))) {
+        const times = reads.filter((read) => read.key === key).map((read) => read.at);
+        for (const interval of intervals(times)) assert.ok(interval >= MIN_READ_INTERVAL_MS);
       }
-      assert.equal(shared.size, 0, 'nothing is remembered of keys that nobody asks about');
+      assert.equal(shared.size, 0, 'nothing is remembered of keys that nobody reads');
     }),
     { seed: SEED, numRuns: 30 },
   );
@@ -68,7 +82,7 @@
 
 test('a shared read is as urgent as the most urgent request that shares it', async () => {
   const sim = new Sim(SEED);
-  const reads: Read[] = [];
+  const reads: StartedRead[] = [];
   const shared = sharedReads(sim, reads, () => 5);
   sim.after(0, () => void shared.get('job', 'poll'));
   sim.after(1, () => void shared.get('job', 'poll'));
@@ -76,17 +90,22 @@
   sim.after(3, () => void shared.get('job', 'poll'));
   await sim.run(1000);
   assert.deepEqual(
-    reads.map((r) => r.urgency),
+    reads.map((read) => read.urgency),
     ['poll', 'user'],
   );
 });
 
-interface Batch {
+/** A batch that was sent, at a simulated time in ms. */
+interface SentBatch {
   at: number;
   jobIds: string[];
 }
 
-function batcher(sim: Sim, batches: Batch[], answer: (batch: Batch) => Promise<PollAnswer[] | null>) {
+function pollBatcher(
+  sim: Sim,
+  batches: SentBatch[],
+  answer: (batch: SentBatch) => Promise<PollAnswer[] | null>,
+): PollBatcher {
   return new PollBatcher({
     now: () => sim.at,
     after: (ms, run) => {
@@ -101,7 +120,7 @@
 }
 
 /** `done` carries when the leader was asked, `running` which job was meant. */
-const answersOf = (batch: Batch): PollAnswer[] =>
+const answersOf = (batch: SentBatch): PollAnswer[] =>
   batch.jobIds.map((id) => ({
     kind: 'status',
     created: false,
@@ -112,28 +131,30 @@
 
 test('each poll of a batch gets the answer for its own job, asked after it came in', async () => {
   await fc.assert(
-    fc.asyncProperty(polls, fc.integer({ min: 1, max: 600 }), async (requests, slowMs) => {
+    fc.asyncProperty(anyPolls, fc.integer({ min: 1, max: 600 }), async (polls, maxDurationMs) => {
       const sim = new Sim(SEED);
-      const batches: Batch[] = [];
-      const batched = batcher(sim, batches, async (batch) => {
-        await sim.pause(1 + sim.random() * slowMs);
+      const batches: SentBatch[] = [];
+      const batcher = pollBatcher(sim, batches, async (batch) => {
+        await sim.pause(1 + sim.random() * maxDurationMs);
         return answersOf(batch);
       });
       let answered = 0;
-      for (const { atMs, job } of requests) {
+      for (const { atMs, job } of polls) {
         sim.after(atMs, () => {
-          const cameIn = sim.at;
-          void batched.poll(String(job)).then((answer) => {
+          const requestedAt = sim.at;
+          void batcher.poll(String(job)).then((answer) => {
             answered += 1;
             assert.ok(answer?.kind === 'status');
             assert.equal(answer.running, job);
-            assert.ok(answer.done >= cameIn && answer.done <= cameIn + MIN_BATCH_INTERVAL_MS);
+            assert.ok(answer.done >= requestedAt && answer.done <= requestedAt + MIN_BATCH_INTERVAL_MS);
           });
         });
       }
       await sim.run(10_000);
-      assert.equal(answered, requests.length);
-      for (let i = 1; i < batches.length; i++) assert.ok(batches[i]!.at - batches[i - 1]!.at >= MIN_BATCH_INTERVAL_MS);
+      assert.equal(answered, polls.length);
+      for (const interval of intervals(batches.map((batch) => batch.at))) {
+        assert.ok(interval >= MIN_BATCH_INTERVAL_MS);
+      }
     }),
     { seed: SEED, numRuns: 30 },
   );
@@ -141,28 +162,33 @@
 
 test('without an answer every poll of a batch is told so, and no batch grows without bound', async () => {
   const sim = new Sim(SEED);
-  const batches: Batch[] = [];
-  const batched = batcher(sim, batches, () => Promise.resolve(null));
+  const batches: SentBatch[] = [];
+  const batcher = pollBatcher(sim, batches, () => Promise.resolve(null));
   const answers: (PollAnswer | null)[] = [];
   sim.after(0, () => {
-    for (let i = 0; i < MAX_BATCH_JOBS + 10; i++) void batched.poll(String(i)).then((a) => answers.push(a));
+    for (let job = 0; job < MAX_BATCH_JOBS + 10; job++) {
+      void batcher.poll(String(job)).then((answer) => answers.push(answer));
+    }
   });
   await sim.run(1000);
   assert.equal(answers.length, MAX_BATCH_JOBS + 10);
-  assert.ok(answers.every((a) => a === null));
-  assert.ok(batches.every((b) => b.jobIds.length <= MAX_BATCH_JOBS));
+  assert.ok(answers.every((answer) => answer === null));
+  assert.ok(batches.every((batch) => batch.jobIds.length <= MAX_BATCH_JOBS));
 });
 
-test('a job whose state takes a while to find out does not hold up the other answers of its batch', () => {
-  const later: ((answer: PollAnswer) => void)[] = [];
+test('a job whose lookup takes a while does not hold up the other answers of its batch', () => {
+  const lateReplies: ((answer: PollAnswer) => void)[] = [];
   const answers = answerBatch(['a', 'slow', 'b'], (id, reply) => {
-    if (id === 'slow') later.push(reply);
+    if (id === 'slow') lateReplies.push(reply);
     else reply({ kind: 'unknown' });
   });
+  const kinds = (): string[] => answers.map((answer) => answer.kind);
+  assert.deepEqual(kinds(), ['unknown', 'unable', 'unknown']);
+  assert.equal(lateReplies.length, 1);
+  for (const reply of lateReplies) reply({ kind: 'unknown' });
   assert.deepEqual(
-    answers.map((a) => a.kind),
+    kinds(),
     ['unknown', 'unable', 'unknown'],
+    'a late reply changed an answer that was given',
   );
-  later[0]!({ kind: 'unknown' });
-  assert.equal(answers[1]!.kind, 'unable');
 });
--- a/test/jobs/start-watermarks.test.ts
+++ b/test/jobs/start-watermarks.test.ts
@@ -5,41 +5,42 @@
 import type { DeferredWrite } from '../../src/store/leader-writer.ts';
 import type { Item } from '../../src/wire/state.ts';
 import { SEED } from '../helpers.ts';
+import { jobId } from './support/user-requests.ts';
 
-const PAGE = 400;
-const id = (n: number): string => `req-${String(n).padStart(6, '0')}`;
+const PAGE_BYTES = 400;
 
 /** A store that takes writes in order when told to; a value is taken when it is sent, and durable later. */
 class SlowStore {
   readonly pages = new Map<string, unknown>();
   private readonly queue: DeferredWrite[] = [];
-  private sent: { job: DeferredWrite; key: string; value: unknown } | null = null;
-  writes = 0;
+  private inFlight: { write: DeferredWrite; key: string; value: unknown } | null = null;
+  confirmedWrites = 0;
 
-  push(job: DeferredWrite): void {
-    this.queue.push(job);
+  enqueue(write: DeferredWrite): void {
+    this.queue.push(write);
   }
 
   send(): void {
-    const job = this.sent ? undefined : this.queue.shift();
-    if (!job) return;
-    const change = job.build();
-    assert.ok('put' in change);
-    assert.ok(JSON.stringify(change.value).length <= job.bytes, 'a page grew past its bound');
-    this.sent = { job, key: change.put, value: structuredClone(change.value) };
+    const write = this.inFlight ? undefined : this.queue.shift();
+    if (!write) return;
+    const mutation = write.build();
+    assert.ok('put' in mutation);
+    assert.ok(JSON.stringify(mutation.value).length <= write.bytes, 'a page grew past its bound');
+    this.inFlight = { write, key: mutation.put, value: structuredClone(mutation.value) };
   }
 
   confirm(): void {
-    if (!this.sent) return;
-    this.writes += 1;
-    this.pages.set(this.sent.key, this.sent.value);
-    const { job } = this.sent;
-    this.sent = null;
-    job.done();
+    if (!this.inFlight) return;
+    const { write, key, value } = this.inFlight;
+    this.confirmedWrites += 1;
+    this.pages.set(key, value);
+    this.inFlight = null;
+    write.done();
   }
 
-  settle(): void {
-    while (this.queue.length > 0 || this.sent) {
+  /** Sends and confirms whatever waits. */
+  flush(): void {
+    while (this.queue.length > 0 || this.inFlight) {
       this.send();
       this.confirm();
     }
@@ -50,113 +51,155 @@
   }
 }
 
-const make = (store: SlowStore): StartWatermarks =>
-  new StartWatermarks({
-    pageBytes: PAGE,
-    enqueueWrite: (job) => {
-      store.push(job);
+function createWatermarks(store: SlowStore): StartWatermarks {
+  return new StartWatermarks({
+    pageBytes: PAGE_BYTES,
+    enqueueWrite: (write) => {
+      store.enqueue(write);
     },
     enqueue: (command) => {
       command();
     },
   });
+}
 
-/** What a leader that takes over now would know. */
-const readBack = (store: SlowStore): Map<string, number> =>
-  make(new SlowStore()).restore(
+/** What a leader that takes over now would restore. */
+function durableWatermarks(store: SlowStore): Map<string, number> {
+  return createWatermarks(new SlowStore()).restore(
     store.items(),
     () => true,
     () => assert.fail('malformed'),
   ).watermarks;
+}
 
-test('whatever counts as noted is in the store for the next leader, until the job is over', () => {
-  const step = fc.oneof(
-    { weight: 3, arbitrary: fc.record({ op: fc.constant('note' as const), n: fc.nat(40) }) },
-    { weight: 1, arbitrary: fc.record({ op: fc.constant('over' as const), n: fc.nat(40) }) },
-    {
-      weight: 3,
-      arbitrary: fc.record({
-        op: fc.constantFrom('send' as const, 'confirm' as const, 'takeover' as const),
-        n: fc.nat(9),
-      }),
-    },
-  );
+type Operation = 'raise' | 'complete' | 'send' | 'confirm' | 'failover';
+
+const anyOperation: fc.Arbitrary<{ operation: Operation; number: number }> = fc.oneof(
+  { weight: 3, arbitrary: fc.record({ operation: fc.constant('raise' as const), number: fc.nat(40) }) },
+  { weight: 1, arbitrary: fc.record({ operation: fc.constant('complete' as const), number: fc.nat(40) }) },
+  {
+    weight: 3,
+    arbitrary: fc.record({
+      operation: fc.constantFrom('send' as const, 'confirm' as const, 'failover' as const),
+      number: fc.nat(9),
+    }),
+  },
+);
+
+/** Leaders one after the other over one store, and what each of them may count on. */
+class WatermarkModel {
+  private readonly store = new SlowStore();
+  private watermarks = createWatermarks(this.store);
+  private term = 0;
+  private readonly requested = new Map<string, number>();
+  /** Watermarks that the leader was told are durable. */
+  private readonly confirmed = new Map<string, number>();
+  private readonly completed = new Set<string>();
+
+  apply(operation: Operation, number: number): void {
+    switch (operation) {
+      case 'raise':
+        this.raise(jobId(number));
+        return;
+      case 'complete':
+        this.complete(jobId(number));
+        return;
+      case 'send':
+        this.store.send();
+        return;
+      case 'confirm':
+        this.store.confirm();
+        return;
+      case 'failover':
+        // Rarer than the others.
+        if (number === 0) this.failOver();
+    }
+  }
+
+  private raise(id: string): void {
+    if (this.completed.has(id)) return;
+    const watermark = (this.requested.get(id) ?? 0) + 16;
+    this.requested.set(id, watermark);
+    const { term } = this;
+    this.watermarks.raise(id, watermark, () => {
+      if (term === this.term && !this.completed.has(id)) this.confirmed.set(id, watermark);
+    });
+  }
+
+  private complete(id: string): void {
+    this.completed.add(id);
+    this.confirmed.delete(id);
+    this.watermarks.drop(id);
+  }
+
+  private failOver(): void {
+    this.term += 1;
+    this.store.flush();
+    this.watermarks = createWatermarks(this.store);
+    const restored = this.watermarks.restore(
+      this.store.items(),
+      (id) => !this.completed.has(id),
+      () => assert.fail('malformed'),
+    );
+    assert.equal(restored.unreadable, false);
+    for (const id of this.requested.keys()) this.requested.set(id, restored.watermarks.get(id) ?? 0);
+  }
+
+  assertConfirmedAreDurable(): void {
+    const durable = durableWatermarks(this.store);
+    for (const [id, watermark] of this.confirmed) {
+      assert.ok(
+        (durable.get(id) ?? 0) >= watermark,
+        `the watermark of ${id} was confirmed and isn't durable`,
+      );
+    }
+  }
+}
+
+test('every confirmed watermark is in the store for the next leader, until the job is completed', () => {
   fc.assert(
-    fc.property(fc.array(step, { maxLength: 120 }), (steps) => {
-      const store = new SlowStore();
-      let notes = make(store);
-      let term = 0;
-      const asked = new Map<string, number>();
-      const durable = new Map<string, number>();
-      const over = new Set<string>();
-      for (const { op, n } of steps) {
-        const job = id(n);
-        if (op === 'note' && !over.has(job)) {
-          const begun = (asked.get(job) ?? 0) + 16;
-          asked.set(job, begun);
-          const from = term;
-          notes.raise(job, begun, () => {
-            if (from === term && !over.has(job)) durable.set(job, begun);
-          });
-        } else if (op === 'over') {
-          over.add(job);
-          durable.delete(job);
-          notes.drop(job);
-        } else if (op === 'send') store.send();
-        else if (op === 'confirm') store.confirm();
-        else if (op === 'takeover' && n === 0) {
-          term += 1;
-          store.settle();
-          notes = make(store);
-          const found = notes.restore(
-            store.items(),
-            (job) => !over.has(job),
-            () => assert.fail('malformed'),
-          );
-          assert.equal(found.unreadable, false);
-          for (const job of asked.keys()) asked.set(job, found.watermarks.get(job) ?? 0);
-        }
-        const written = readBack(store);
-        for (const [job, begun] of durable) {
-          assert.ok((written.get(job) ?? 0) >= begun, `${job} counts as noted and isn't`);
-        }
+    fc.property(fc.array(anyOperation, { maxLength: 120 }), (operations) => {
+      const model = new WatermarkModel();
+      for (const { operation, number } of operations) {
+        model.apply(operation, number);
+        model.assertConfirmedAreDurable();
       }
     }),
     { seed: SEED, numRuns: 300 },
   );
 });
 
-test('all jobs that begin together cost one change, and jobs that are over leave the page with the next', () => {
+test('all jobs that start together cost one change, and completed jobs leave the page with the next', () => {
   const store = new SlowStore();
-  const notes = make(store);
-  for (let n = 0; n < 9; n++) notes.raise(id(n), 1, () => undefined);
-  store.settle();
-  assert.equal(store.writes, 1);
-  for (let n = 0; n < 8; n++) notes.drop(id(n));
-  store.settle();
-  assert.equal(store.writes, 1, 'the end of a job rewrote the page');
-  notes.raise(id(20), 1, () => undefined);
-  store.settle();
-  assert.deepEqual([...readBack(store).keys()].sort(), [id(8), id(20)]);
+  const watermarks = createWatermarks(store);
+  for (let number = 0; number < 9; number++) watermarks.raise(jobId(number), 1, () => undefined);
+  store.flush();
+  assert.equal(store.confirmedWrites, 1);
+  for (let number = 0; number < 8; number++) watermarks.drop(jobId(number));
+  store.flush();
+  assert.equal(store.confirmedWrites, 1, 'the completion of a job rewrote the page');
+  watermarks.raise(jobId(20), 1, () => undefined);
+  store.flush();
+  assert.deepEqual([...durableWatermarks(store).keys()].sort(), [jobId(8), jobId(20)]);
 });
 
-test('a page that cannot be read makes this and every later leader take all jobs for begun', () => {
+test('a page that cannot be read makes this and every later leader take all tasks for started', () => {
   const store = new SlowStore();
   store.pages.set('b/0', { b: 'damaged' });
-  store.pages.set('b/2', { b: [[id(1), 3]] });
-  for (let leader = 0; leader < 2; leader++) {
-    const bad: string[] = [];
-    const notes = make(store);
-    const found = notes.restore(
+  store.pages.set('b/2', { b: [[jobId(1), 3]] });
+  for (const watermarkBefore of [3, 5]) {
+    const malformedKeys: string[] = [];
+    const watermarks = createWatermarks(store);
+    const restored = watermarks.restore(
       store.items(),
       () => true,
-      (key) => bad.push(key),
+      (key) => malformedKeys.push(key),
     );
-    assert.deepEqual(bad, ['b/0']);
-    assert.equal(found.unreadable, true);
-    assert.equal(found.watermarks.get(id(1)), leader === 0 ? 3 : 5);
-    for (let n = 0; n < 40; n++) notes.raise(id(n), 5, () => undefined);
-    store.settle();
+    assert.deepEqual(malformedKeys, ['b/0']);
+    assert.equal(restored.unreadable, true);
+    assert.equal(restored.watermarks.get(jobId(1)), watermarkBefore);
+    for (let number = 0; number < 40; number++) watermarks.raise(jobId(number), 5, () => undefined);
+    store.flush();
     assert.deepEqual(store.pages.get('b/0'), { b: 'damaged' });
   }
 });
--- a/test/jobs/support/controllers.ts
+++ b/test/jobs/support/controllers.ts
@@ -1,521 +1,227 @@
+import { required } from '../../../src/base/required.ts';
 import { defaultOptions } from '../../../src/config/options.ts';
-import type { Settings } from '../../../src/config/settings.ts';
-import { NameIndex } from '../../../src/base/name-index.ts';
-import { Leader } from '../../../src/leader/leader.ts';
-import { Catalog } from '../../../src/fleet/catalog.ts';
-import type { Answer, Reply } from '../../../src/http/server.ts';
-import { UserRequests } from '../../../src/jobs/user-requests.ts';
-import type { UserRequestDeps } from '../../../src/jobs/user-request-deps.ts';
-import { TerminalWrites } from '../../../src/jobs/terminal-writes.ts';
-import { TerminalStateCache } from '../../../src/jobs/terminal-state-cache.ts';
-import { answerBatch, PollBatcher } from '../../../src/jobs/poll-batches.ts';
+import type { Reply } from '../../../src/http/server.ts';
+import { PollBatcher } from '../../../src/jobs/poll-batches.ts';
 import { SharedReads } from '../../../src/jobs/shared-reads.ts';
-import type { PeerReply, PeerRequest, PollAnswer } from '../../../src/peers/frames.ts';
+import { TerminalStateCache } from '../../../src/jobs/terminal-state-cache.ts';
+import type { UserRequests } from '../../../src/jobs/user-requests.ts';
+import type { Leader } from '../../../src/leader/leader.ts';
 import { RateBudget } from '../../../src/store/budget.ts';
-import {
-  moreUrgent,
-  type StoreResult,
-  type CompareAndSwapResult,
-  type Urgency,
-} from '../../../src/store/key-value-store.ts';
+import { moreUrgent, type StoreResult, type Urgency } from '../../../src/store/key-value-store.ts';
 import { KEYS } from '../../../src/store/keys.ts';
-import { LeaderWriter } from '../../../src/store/leader-writer.ts';
-import type { Mutation, Condition, Item, WatchEvent } from '../../../src/wire/state.ts';
-import { SETTINGS } from '../../config/sample.ts';
-import { BIG, silent } from '../../helpers.ts';
+import type { Item } from '../../../src/wire/state.ts';
 import { Sim } from '../../model/sim.ts';
 import { StateModel } from '../../model/state.ts';
 import { JOB } from '../../wire/sample.ts';
+import { AnswerHistory, type RequestKind, type UserRequest } from './answer-history.ts';
+import type { FaultRates } from './fault-rates.ts';
 import { leaderlessWrite } from './leaderless-write.ts';
-
-const READ_TIMEOUT_MS = 1500;
-const WRITE_TIMEOUT_MS = 2000;
-/** Without renewal the leader's key is gone after this time; the leader counts 100 ms less. */
+import { PeerNetwork } from './peer-network.ts';
+import { SimulatedController, type HeldLeadership } from './simulated-controller.ts';
+import { startLeader } from './simulated-leader.ts';
+import { UnreliableStateService } from './unreliable-state-service.ts';
+import { createUserRequests, jobId, sampleSubmission, type StoreFake } from './user-requests.ts';
+
+export const CONTROLLER_COUNT = 3;
+/** Without renewal the leader key is gone after this time; the leader counts the margin less. */
 const LEASE_MS = 3000;
+const LEASE_MARGIN_MS = 100;
+const ELECTION_RETRY_MS = 100;
 const MAX_REQUESTS = 4000;
-
-export type Kind = 'submit' | 'poll' | 'cancel';
-/** How far a job is, as an answer tells it; no answer may be behind an earlier one. */
-type Stage = 'unknown' | 'open' | 'done' | 'aborted';
-const RANK: Record<Stage, number> = { unknown: 0, open: 1, done: 2, aborted: 2 };
-
-/** Chances by which the state service, the network and the processes misbehave, each per call. */
-export interface Luck {
-  /** A transaction is carried out and its answer lost. */
-  answerLost: number;
-  /** A transaction is carried out seconds later; its answer is lost. */
-  late: number;
-  /** The state service refuses a call. */
-  refused: number;
-  /** An answer of the state service comes late, up to beyond the time-out. */
-  slow: number;
-  /** A message between controllers comes late, up to beyond the time-out. */
-  peersSlow: number;
-}
-
-export const CALM: Luck = { answerLost: 0, late: 0, refused: 0, slow: 0, peersSlow: 0 };
-
-interface Held {
-  term: number;
-  version: number;
-  sureUntil: number;
-}
-
-interface Controller {
-  index: number;
-  /** Counts its restarts: what was begun before one has no effect after it. */
-  life: number;
-  hungUntil: number;
-  knownLeader: number | null;
-  held: Held | null;
-  leader: Leader | null;
-  userRequests: UserRequests;
-}
-
-export interface Asked {
-  at: number;
-  node: number;
-  kind: Kind;
-  job: number;
-  answer: Answer | null;
-}
-
-export function jobId(job: number): string {
-  return `req-${String(job).padStart(6, '0')}`;
-}
-
-function stageOf(answer: Answer): Stage | null {
-  if (answer.status === 404) return 'unknown';
-  if (answer.status !== 200 && answer.status !== 201) return null;
-  const { stage } = JSON.parse(answer.body) as { stage: string };
-  return stage === 'done' || stage === 'aborted' ? stage : 'open';
-}
+/** When users ask again once something new was told. */
+const FOLLOW_UP_MS = [1, 5, 40, 200, 700, 1500, 3000];
+const HEARTBEAT_MS = 400;
+const LAST_HEARTBEAT_MS = 60_000;
 
 /**
  * Three controllers with the real users' side, leader and writer over one shared state service, in simulated time.
- * Every answer is compared with those that were given before its request was begun.
+ * Every answer is compared with those that were given before its request was sent.
  */
 export class Controllers {
   readonly sim: Sim;
   readonly state: StateModel;
-  readonly broken: string[] = [];
-  readonly requests: Asked[] = [];
-  /** How often each stage was told. */
-  readonly told: Record<Stage, number> = { unknown: 0, open: 0, done: 0, aborted: 0 };
-  private readonly nodes: Controller[] = [];
-  private readonly newest = new Map<number, Stage>();
-  private readonly cancelAsked = new Set<number>();
-
-  /** `trustMemory`: takes the guard away, a leader tells its memory even of a job whose end is being written. */
+  readonly history = new AnswerHistory();
+  private readonly store: UnreliableStateService;
+  private readonly network: PeerNetwork;
+  private readonly controllers: SimulatedController[] = [];
+  private requestCount = 0;
+  private heartbeatSequence = 0;
+
+  /** `trustMemory`: takes the guard away, a leader tells its memory even while a terminal state is being written. */
   constructor(
     seed: number,
-    public luck: Luck,
+    public faults: FaultRates,
     private readonly trustMemory = false,
   ) {
+    const currentFaults = (): FaultRates => this.faults;
     this.sim = new Sim(seed);
     this.state = new StateModel(this.sim);
-    for (let index = 0; index < 3; index++) {
-      this.nodes.push({
-        index,
-        life: 0,
-        hungUntil: 0,
-        knownLeader: null,
-        held: null,
-        leader: null,
-        userRequests: null!,
-      });
-      this.start(this.nodes[index]!);
+    this.store = new UnreliableStateService(this.sim, this.state, currentFaults);
+    this.network = new PeerNetwork(this.sim, this.controllers, currentFaults);
+    for (let index = 0; index < CONTROLLER_COUNT; index++) {
+      this.controllers.push(
+        new SimulatedController(index, this.sim, (controller) => this.userRequestsOf(controller)),
+      );
     }
   }
 
+  private at(index: number): SimulatedController {
+    return required(this.controllers[index], `controller ${index}`);
+  }
+
   // ---- users ----
 
-  ask(node: number, kind: Kind, job: number): Asked {
-    const asked: Asked = { at: this.sim.at, node, kind, job, answer: null };
-    this.requests.push(asked);
-    const before = this.newest.get(job) ?? 'unknown';
-    if (kind === 'cancel') this.cancelAsked.add(job);
-    this.deliver(this.nodes[node]!, this.sim.between(0, 2), (controller) => {
+  /** Sends a user's request to a controller. */
+  request(node: number, kind: RequestKind, job: number): UserRequest {
+    const request: UserRequest = { at: this.sim.at, node, kind, job, answer: null };
+    this.requestCount += 1;
+    const before = this.history.newestStage(job);
+    this.history.recordRequest(request);
+    const controller = this.at(node);
+    controller.deliver(this.sim.between(0, 2), () => {
       const reply: Reply = (answer) => {
-        asked.answer = answer;
-        this.answered(asked, answer, before);
+        request.answer = answer;
+        if (this.history.recordAnswer(request, answer, before, this.sim.at)) this.followUp(job);
       };
-      if (kind === 'submit')
-        controller.userRequests.submit(JSON.stringify({ ...JOB, uid: jobId(job) }), reply);
-      else if (kind === 'poll') controller.userRequests.poll(jobId(job), reply);
-      else controller.userRequests.cancel(jobId(job), reply);
+      const { userRequests } = controller;
+      if (kind === 'submit') userRequests.submit(sampleSubmission(jobId(job)), reply);
+      else if (kind === 'poll') userRequests.poll(jobId(job), reply);
+      else userRequests.cancel(jobId(job), reply);
     });
-    return asked;
-  }
-
-  private answered(asked: Asked, answer: Answer, before: Stage): void {
-    const stage = stageOf(answer);
-    if (!stage) return;
-    this.told[stage] += 1;
-    const where = `${jobId(asked.job)} asked (${asked.kind}) at ${Math.round(asked.at)} of ${asked.node}`;
-    if (RANK[stage] < RANK[before] || (RANK[stage] === 2 && RANK[before] === 2 && stage !== before)) {
-      this.broken.push(`${where}: was ${before}, then ${stage} at ${Math.round(this.sim.at)}`);
-    }
-    if (asked.kind === 'cancel' && stage === 'open')
-      this.broken.push(`${where}: cancelled, and told it is open`);
-    if (stage === 'aborted' && !this.cancelAsked.has(asked.job))
-      this.broken.push(`${where}: cancelled unasked`);
-    const newest = this.newest.get(asked.job) ?? 'unknown';
-    if (RANK[stage] <= RANK[newest]) return;
-    this.newest.set(asked.job, stage);
-    this.lookClosely(asked.job);
+    return request;
   }
 
   /** Users ask all controllers, within milliseconds and for a while, once something new was told. */
-  private lookClosely(job: number): void {
-    if (this.requests.length > MAX_REQUESTS) return;
-    for (const { index } of this.nodes) {
-      for (const afterMs of [1, 5, 40, 200, 700, 1500, 3000]) {
+  private followUp(job: number): void {
+    if (this.requestCount > MAX_REQUESTS) return;
+    for (const { index } of this.controllers) {
+      for (const afterMs of FOLLOW_UP_MS) {
         this.sim.after(this.sim.between(0, 5) + afterMs, () => {
-          this.ask(index, this.sim.chance(0.8) ? 'poll' : 'submit', job);
+          this.request(index, this.sim.chance(0.8) ? 'poll' : 'submit', job);
         });
       }
     }
   }
 
-  // ---- the processes ----
+  // ---- processes ----
 
-  /** Brings something to a controller; one that hangs gets to it later, one that restarted never does. */
-  private deliver(to: Controller, afterMs: number, run: (to: Controller) => void): void {
-    const { life } = to;
-    this.sim.after(afterMs, () => {
-      if (to.life !== life) return;
-      if (to.hungUntil > this.sim.at) this.deliver(to, to.hungUntil - this.sim.at + this.sim.random(), run);
-      else run(to);
-    });
-  }
-
-  private start(c: Controller): void {
+  private userRequestsOf(controller: SimulatedController): UserRequests {
     const { users } = defaultOptions();
     const now = (): number => this.sim.at;
     const after = (ms: number, run: () => void): void => {
-      this.deliver(c, ms, run);
+      controller.deliver(ms, run);
     };
     const polls = new PollBatcher({
       now,
       after,
       send: async (jobIds) => {
-        const reply = await this.askLeader(c, { kind: 'polls', jobIds }, users.forward_ms);
+        const request = { kind: 'polls' as const, jobIds };
+        const reply = await this.network.callLeader(controller, request, users.forward_ms);
         return reply?.kind === 'answers' ? reply.answers : null;
       },
     });
     const reads = new SharedReads<StoreResult<Item | null>, Urgency>({
       now,
       after,
-      read: (key) => this.get(c, key),
+      read: (key) => this.store.get(controller, key),
       moreUrgent,
     });
-    const store: UserRequestDeps['store'] = {
+    const store: StoreFake = {
       get: (key, urgency) => reads.get(key, urgency),
-      compareAndSwap: (conditions, changes, _urgency, timeoutMs) =>
-        this.txn(c, conditions, changes, timeoutMs),
+      compareAndSwap: (conditions, mutations, _urgency, timeoutMs) =>
+        this.store.compareAndSwap(controller, conditions, mutations, timeoutMs),
     };
-    c.userRequests = new UserRequests({
+    return createUserRequests(store, {
       clock: { now, wall: now },
-      options: defaultOptions(),
-      store,
       terminalStates: new TerminalStateCache(users.final_cache),
       submissions: new RateBudget(1000, now),
-      teams: [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }],
-      catalog: () => new Catalog([{ ...BIG, name: 'g8', cpus: 96, gpus: 8, memory: 768 }]),
-      leader: () => c.leader,
+      leader: () => controller.leader,
       beginLeaderlessWrite: () => Promise.resolve(leaderlessWrite(store)),
       callLeader: (request, timeoutMs) =>
-        request.kind === 'poll' ? polls.poll(request.jobId) : this.askLeader(c, request, timeoutMs),
-      callOthers: async (request, timeoutMs) => {
-        const others = this.nodes.filter((n) => n !== c);
-        const asked = others.map(async (n) => {
-          const reply = await this.askNode(c, n, request, timeoutMs);
-          if (!reply || reply.kind === 'unable') throw new Error('no use');
-          return reply;
-        });
-        return Promise.any(asked).catch(() => null);
-      },
-    });
-  }
-
-  private askLeader(c: Controller, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
-    if (c.knownLeader === null || c.knownLeader === c.index) return Promise.resolve(null);
-    return this.askNode(c, this.nodes[c.knownLeader]!, request, timeoutMs);
-  }
-
-  /** As a controller answers another one. */
-  private answerNode(asked: Controller, request: PeerRequest, reply: (reply: PeerReply) => void): void {
-    if (request.kind === 'promise' || request.kind === 'ping' || request.kind === 'workers') return;
-    if (request.kind !== 'polls') {
-      asked.userRequests.onPeerRequest(request, reply);
-      return;
-    }
-    const answerOne = (id: string, answered: (answer: PollAnswer) => void): void => {
-      asked.userRequests.onPeerRequest({ kind: 'poll', jobId: id }, (found) => {
-        answered(found.kind === 'status' || found.kind === 'unknown' ? found : { kind: 'unable' });
-      });
-    };
-    reply({ kind: 'answers', answers: answerBatch(request.jobIds, answerOne) });
-  }
-
-  private askNode(
-    from: Controller,
-    to: Controller,
-    request: PeerRequest,
-    timeoutMs: number,
-  ): Promise<PeerReply | null> {
-    return new Promise((resolve) => {
-      this.deliver(from, timeoutMs, () => {
-        resolve(null);
-      });
-      const delayMs = (): number =>
-        this.sim.chance(this.luck.peersSlow) ? this.sim.between(1, 900) : this.sim.between(1, 3);
-      this.deliver(to, delayMs(), (asked) => {
-        this.answerNode(asked, request, (reply) => {
-          this.deliver(from, delayMs(), () => {
-            resolve(reply);
-          });
-        });
-      });
+        request.kind === 'poll'
+          ? polls.poll(request.jobId)
+          : this.network.callLeader(controller, request, timeoutMs),
+      callOthers: (request, timeoutMs) => this.network.callOthers(controller, request, timeoutMs),
     });
   }
 
   hang(node: number, ms: number): void {
-    this.nodes[node]!.hungUntil = Math.max(this.nodes[node]!.hungUntil, this.sim.at + ms);
+    this.at(node).hang(ms);
   }
 
-  /** Its memory is gone, and it is back at once; its key stays until its lease is over. */
   restart(node: number): void {
-    const c = this.nodes[node]!;
-    c.life += 1;
-    c.hungUntil = 0;
-    c.knownLeader = null;
-    this.stepDown(c);
-    this.start(c);
-  }
-
-  // ---- the state service ----
-
-  /** A call: it arrives, is carried out, and its answer comes back, late, or never. */
-  private call<T>(c: Controller, timeoutMs: number, carryOut: () => T): Promise<T | 'refused' | 'unknown'> {
-    return new Promise((resolve) => {
-      this.deliver(c, timeoutMs, () => {
-        resolve('unknown');
-      });
-      this.sim.after(this.sim.between(1, 8), () => {
-        const result = this.sim.chance(this.luck.refused) ? 'refused' : carryOut();
-        const backMs = this.sim.chance(this.luck.slow) ? this.sim.between(100, 2500) : this.sim.between(1, 8);
-        this.deliver(c, backMs, () => {
-          resolve(result);
-        });
-      });
-    });
-  }
-
-  private async get(c: Controller, key: string): Promise<StoreResult<Item | null>> {
-    const found = await this.call(c, READ_TIMEOUT_MS, () => {
-      const item = this.state.data.get(key);
-      return item ? { key, value: structuredClone(item.value), version: item.version, lease: null } : null;
-    });
-    if (found === 'refused' || found === 'unknown') return { kind: found };
-    return { kind: 'ok', value: found };
-  }
-
-  private async txn(
-    c: Controller,
-    conditions: readonly Condition[],
-    changes: readonly Mutation[],
-    timeoutMs = WRITE_TIMEOUT_MS,
-  ): Promise<CompareAndSwapResult> {
-    const late = this.sim.chance(this.luck.late);
-    const lost = late || this.sim.chance(this.luck.answerLost);
-    const carryOut = (): CompareAndSwapResult => this.state.apply(conditions, changes);
-    const result = await this.call(c, timeoutMs, () => {
-      if (!late) return carryOut();
-      this.sim.after(this.sim.between(2000, 12_000), carryOut);
-      return null;
-    });
-    if (result === 'refused' || result === 'unknown') return { kind: result };
-    if (!lost) return result!;
-    // No answer comes: the time-out is what ends the wait.
-    await new Promise<void>((resolve) => {
-      this.deliver(c, timeoutMs, () => {
-        resolve();
-      });
-    });
-    return { kind: 'unknown' };
+    this.at(node).restart();
   }
 
   // ---- leadership ----
 
-  /** Lets a controller lead, once nobody's lease is left; the others hear of it a little later. */
+  /** Lets a controller lead, once nobody's lease is left; the others learn of it a little later. */
   elect(node: number): void {
-    const c = this.nodes[node]!;
-    const { life } = c;
-    const won = this.state.acquire(LEASE_MS * 1e6);
-    if (!won) {
-      this.sim.after(100, () => {
-        if (c.life === life) this.elect(node);
+    const controller = this.at(node);
+    const isSameProcess = controller.sameProcess();
+    const acquired = this.state.acquire(LEASE_MS * 1e6);
+    if (!acquired) {
+      this.sim.after(ELECTION_RETRY_MS, () => {
+        if (isSameProcess()) this.elect(node);
       });
       return;
     }
-    const held: Held = { term: won.term, version: won.version, sureUntil: Infinity };
-    c.held = held;
-    this.lead(c, held);
-    for (const n of this.nodes) {
-      this.deliver(n, this.sim.between(1, 400), () => {
-        n.knownLeader = node;
+    const { term, version } = acquired;
+    const held: HeldLeadership = { term, version, leaseValidUntil: Infinity };
+    controller.held = held;
+    startLeader(
+      { sim: this.sim, state: this.state, store: this.store, trustMemory: this.trustMemory },
+      controller,
+      held,
+    );
+    for (const other of this.controllers) {
+      other.deliver(this.sim.between(1, 400), () => {
+        other.knownLeader = node;
       });
     }
   }
 
-  /** The leader's lease runs out: it knows that in time, and finds the key gone up to a second later. */
-  depose(): void {
+  /** The leader's lease expires: it knows that in time, and finds the key gone up to a second later. */
+  expireLease(): void {
     const leaderKey = this.state.data.get(KEYS.leader);
     if (!leaderKey) return;
-    const c = this.nodes.find((n) => n.held?.version === leaderKey.version);
-    if (c?.held) {
-      const { held } = c;
-      held.sureUntil = Math.min(held.sureUntil, this.sim.at + LEASE_MS - 100);
+    const controller = this.controllers.find(({ held }) => held?.version === leaderKey.version);
+    const held = controller?.held;
+    if (held) {
+      held.leaseValidUntil = Math.min(held.leaseValidUntil, this.sim.at + LEASE_MS - LEASE_MARGIN_MS);
       this.sim.after(LEASE_MS + this.sim.between(0, 1000), () => {
-        if (c.held === held) this.stepDown(c);
+        if (controller.held === held) controller.stepDown();
       });
     }
     this.sim.after(LEASE_MS, () => {
-      if (this.state.data.get(KEYS.leader)?.version === leaderKey.version)
+      if (this.state.data.get(KEYS.leader)?.version === leaderKey.version) {
         this.state.data.delete(KEYS.leader);
+      }
     });
   }
 
-  private stepDown(c: Controller): void {
-    c.leader?.stop();
-    c.leader = null;
-    c.held = null;
-  }
-
-  private lead(c: Controller, held: Held): void {
-    const { life } = c;
-    const current = (): boolean => c.life === life && c.held === held;
-    const later = (ms: number): Promise<void> => this.sim.pause(ms);
-    const endWrites = new TerminalWrites((id) => leader.isOutcomeUnconfirmed(id));
-    const options = defaultOptions();
-    // Nothing is placed here: the test's own machine runs what is to be done.
-    options.scheduling.takeover_wait_s = 1e6;
-    options.fleet.takeover_rent_s = 1e6;
-    const writer = new LeaderWriter(
-      {
-        compareAndSwap: endWrites.tracking((conditions, changes, timeoutMs: number) =>
-          this.txn(c, conditions, changes, timeoutMs),
-        ),
-        readLeader: async () => {
-          const leader = await this.get(c, KEYS.leader);
-          return leader.kind === 'ok' ? (leader.value?.version ?? 0) : null;
-        },
-        readFence: async () => {
-          const fence = await this.get(c, KEYS.fence);
-          return fence.kind === 'ok' ? (fence.value?.version ?? 0) : null;
-        },
-        lost: () => {
-          if (current()) this.stepDown(c);
-        },
-        pause: later,
-      },
-      held.version,
-      this.state.data.get(KEYS.fence)?.version ?? 0,
-      { txnOps: SETTINGS.settings.state.txn_ops, bytes: 50_000 },
-      new RateBudget(100, () => this.sim.at),
-      silent,
-    );
-    const finals = new Set<string>();
-    const leader: Leader = new Leader({
-      host: {
-        clock: { now: () => this.sim.at, wall: () => this.sim.at },
-        log: silent,
-        hasValidLease: () => current() && this.sim.at < held.sureUntil,
-        sendCommands: () => Promise.resolve('not_sent'),
-        inspect: () => Promise.resolve(null),
-        onTerminalState: (id) => {
-          finals.add(id);
-          endWrites.forget(id);
-        },
-        isTerminal: (id) => finals.has(id),
-        outcomeMayBeWritten: (id) => !this.trustMemory && endWrites.mayBeWritten(id),
-        enqueue: (command) => {
-          this.deliver(c, 0, () => {
-            if (current()) command();
-          });
-        },
-        pause: later,
-        superseded: () => undefined,
-        lostAllWorkers: () => undefined,
-        directHeartbeatAgeMs: () => 0,
-        lagMs: () => 0,
-      },
-      settings: SETTINGS as Settings,
-      options,
-      teams: [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }],
-      zones: new NameIndex(['a', 'b']),
-      catalog: new Catalog([BIG]),
-      cloud: {
-        ready: () => false,
-        catalog: () => Promise.resolve(null),
-        rent: () => Promise.resolve({ kind: 'no_capacity' }),
-        terminate: () => Promise.resolve(false),
-        list: () => Promise.resolve(null),
-      },
-      writer,
-      term: held.term,
-      heartbeatGraceMs: 6000,
-    });
-    c.leader = leader;
-    this.load(c, leader, current);
-  }
-
-  /** The records are listed, and loaded when the answer is there; what changes from then on is told in order. */
-  private load(c: Controller, leader: Leader, current: () => boolean): void {
-    const changes: WatchEvent[] = [];
-    let loaded = false;
-    const tell = (): void => {
-      if (loaded && current() && changes.length > 0) leader.onStoreEvents(changes.splice(0));
-    };
-    const watch = (events: WatchEvent[]): void => {
-      changes.push(...events);
-      this.deliver(c, this.sim.between(1, 300), tell);
-      if (!current()) this.state.watchers.delete(watch);
-    };
-    this.deliver(c, this.sim.between(1, 20), () => {
-      this.state.watchers.add(watch);
-      const open = this.state.list(KEYS.openPrefix);
-      const finished = this.state.list(KEYS.completionsPrefix);
-      const begun = this.state.list(KEYS.startWatermarksPrefix);
-      const roster = this.state.list(KEYS.machineRegistryPrefix);
-      this.deliver(c, this.sim.between(5, 500), () => {
-        if (!current()) return;
-        leader.recover({ open, completions: finished, startWatermarks: begun, machineRegistry: roster });
-        loaded = true;
-        tell();
-      });
-    });
-  }
+  // ---- the worker ----
 
-  /** All tasks of a job are reported as done to whoever leads, until it has taken that in. */
+  /** Heartbeats report all tasks of a job as done to whoever leads, until users are told of a terminal state. */
   complete(job: number): void {
-    const c = this.nodes.find((n) => n.leader);
-    const known = c?.leader?.lookup(jobId(job));
-    if (c?.leader && c.held && known?.kind === 'found' && known.status.stage === 'pending') {
-      this.report(c.leader, c.held.term, job);
+    const controller = this.controllers.find(({ leader }) => leader);
+    const known = controller?.leader?.lookup(jobId(job));
+    if (
+      controller?.leader &&
+      controller.held &&
+      known?.kind === 'found' &&
+      known.status.stage === 'pending'
+    ) {
+      this.sendHeartbeats(controller.leader, controller.held.term, job);
     }
-    const stage = this.newest.get(job);
-    if (stage === 'done' || stage === 'aborted' || this.sim.at > 60_000) return;
-    this.sim.after(400, () => {
+    const stage = this.history.newestStage(job);
+    if (stage === 'done' || stage === 'aborted' || this.sim.at > LAST_HEARTBEAT_MS) return;
+    this.sim.after(HEARTBEAT_MS, () => {
       this.complete(job);
     });
   }
 
-  private seq = 0;
-
-  private report(leader: Leader, term: number, job: number): void {
+  private sendHeartbeats(leader: Leader, term: number, job: number): void {
     const name = `n-${job}`;
     const machine = { machine: name, address: `${name}:9000`, machineType: 'big', zone: 'a', spot: true };
     for (const ended of [false, true]) {
@@ -530,7 +236,7 @@
       leader.onHeartbeat({
         ...machine,
         incarnation: 1,
-        sequence: ++this.seq,
+        sequence: ++this.heartbeatSequence,
         fencingToken: term,
         interruptionNoticeS: null,
         tasks,
--- /dev/null
+++ b/test/jobs/support/peer-network.ts
@@ -0,0 +1,81 @@
+import { answerBatch } from '../../../src/jobs/poll-batches.ts';
+import type { PeerReply, PeerRequest, PollAnswer } from '../../../src/peers/frames.ts';
+import type { Sim } from '../../model/sim.ts';
+import type { FaultRates } from './fault-rates.ts';
+import type { SimulatedController } from './simulated-controller.ts';
+
+/** As a controller answers another one. */
+function answerPeer(
+  { userRequests }: SimulatedController,
+  request: PeerRequest,
+  reply: (reply: PeerReply) => void,
+): void {
+  if (request.kind === 'promise' || request.kind === 'ping' || request.kind === 'workers') return;
+  if (request.kind !== 'polls') {
+    userRequests.onPeerRequest(request, reply);
+    return;
+  }
+  const answerOne = (id: string, answered: (answer: PollAnswer) => void): void => {
+    userRequests.onPeerRequest({ kind: 'poll', jobId: id }, (answer) => {
+      answered(answer.kind === 'status' || answer.kind === 'unknown' ? answer : { kind: 'unable' });
+    });
+  };
+  reply({ kind: 'answers', answers: answerBatch(request.jobIds, answerOne) });
+}
+
+/** Messages between controllers, some of them slow. */
+export class PeerNetwork {
+  constructor(
+    private readonly sim: Sim,
+    private readonly controllers: readonly SimulatedController[],
+    private readonly faults: () => FaultRates,
+  ) {}
+
+  /** null: no answer within the time. */
+  call(
+    from: SimulatedController,
+    to: SimulatedController,
+    request: PeerRequest,
+    timeoutMs: number,
+  ): Promise<PeerReply | null> {
+    return new Promise((resolve) => {
+      from.deliver(timeoutMs, () => {
+        resolve(null);
+      });
+      to.deliver(this.delayMs(), () => {
+        answerPeer(to, request, (reply) => {
+          from.deliver(this.delayMs(), () => {
+            resolve(reply);
+          });
+        });
+      });
+    });
+  }
+
+  /** null: this controller leads or knows of no leader, or there is no answer. */
+  callLeader(from: SimulatedController, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
+    const leader = this.controllers.find(({ index }) => index === from.knownLeader);
+    if (!leader || leader === from) return Promise.resolve(null);
+    return this.call(from, leader, request, timeoutMs);
+  }
+
+  /** The first answer that is of use; null: there is none. */
+  async callOthers(
+    from: SimulatedController,
+    request: PeerRequest,
+    timeoutMs: number,
+  ): Promise<PeerReply | null> {
+    const calls = this.controllers
+      .filter((controller) => controller !== from)
+      .map(async (controller) => {
+        const reply = await this.call(from, controller, request, timeoutMs);
+        if (!reply || reply.kind === 'unable') throw new Error('no use');
+        return reply;
+      });
+    return Promise.any(calls).catch(() => null);
+  }
+
+  private delayMs(): number {
+    return this.sim.chance(this.faults().peersSlow) ? this.sim.between(1, 900) : this.sim.between(1, 3);
+  }
+}
--- /dev/null
+++ b/test/jobs/support/simulated-controller.ts
@@ -0,0 +1,65 @@
+import type { UserRequests } from '../../../src/jobs/user-requests.ts';
+import type { Leader } from '../../../src/leader/leader.ts';
+import type { Sim } from '../../model/sim.ts';
+
+/** The leader key as a controller acquired it. */
+export interface HeldLeadership {
+  term: number;
+  /** Version of the leader key. */
+  version: number;
+  /** Simulated milliseconds. */
+  leaseValidUntil: number;
+}
+
+/** One controller's process in simulated time: it hangs, and it restarts with nothing in its memory. */
+export class SimulatedController {
+  knownLeader: number | null = null;
+  held: HeldLeadership | null = null;
+  leader: Leader | null = null;
+  userRequests: UserRequests;
+  private restarts = 0;
+  private hangsUntil = 0;
+
+  constructor(
+    readonly index: number,
+    private readonly sim: Sim,
+    private readonly createUserRequests: (controller: SimulatedController) => UserRequests,
+  ) {
+    this.userRequests = createUserRequests(this);
+  }
+
+  /** Runs something in the process after a time: later if it hangs then, never if it restarts before. */
+  deliver(afterMs: number, run: () => void): void {
+    const isSameProcess = this.sameProcess();
+    this.sim.after(afterMs, () => {
+      if (!isSameProcess()) return;
+      if (this.hangsUntil > this.sim.at) this.deliver(this.hangsUntil - this.sim.at + this.sim.random(), run);
+      else run();
+    });
+  }
+
+  /** A check whether the process is still the one of now. */
+  sameProcess(): () => boolean {
+    const { restarts } = this;
+    return () => this.restarts === restarts;
+  }
+
+  hang(ms: number): void {
+    this.hangsUntil = Math.max(this.hangsUntil, this.sim.at + ms);
+  }
+
+  /** Its memory is gone, and it is back at once; the leader key stays until its lease expires. */
+  restart(): void {
+    this.restarts += 1;
+    this.hangsUntil = 0;
+    this.knownLeader = null;
+    this.stepDown();
+    this.userRequests = this.createUserRequests(this);
+  }
+
+  stepDown(): void {
+    this.leader?.stop();
+    this.leader = null;
+    this.held = null;
+  }
+}
