--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -3,10 +3,10 @@
 
 /** What a leader can say of a job from its memory alone, with no read of the state service. */
 export type LeaderLookup =
-  /** Certain now: open with no outcome under way, or terminal with a durable final record. */
+  /** Certain now: open with no outcome under way, or terminal with a durable terminal record. */
   | { kind: 'found'; status: JobStatus }
   /**
-   * The job's final record may be in the state service, but that isn't confirmed. Another controller may have read
+   * The job's terminal record may be in the state service, but that isn't confirmed. Another controller may have read
    * the record and told a user, so the job counts neither as open nor as terminal.
    */
   | { kind: 'uncertain' }
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -68,7 +68,7 @@
     return this.createByPeers(id, body);
   }
 
-  /** Has the job created by a controller that the state service serves; that is fresh as long as any lookup. */
+  /** Hands the submission on: perhaps the state service refuses this node alone. */
   private async createByPeers(id: string, body: string): Promise<Answer> {
     const timeoutMs = this.deps.options.users.forward_ms * 2;
     const received: { reply: PeerReply | null } = { reply: null };
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -82,7 +82,7 @@
   requestedStartWatermark = 0;
   /**
    * The start watermark of an earlier leader: tasks below it may run on machines that have not reported yet, the
-   * others surely don't. 0: no earlier leader has started any.
+   * others cannot. 0: no earlier leader has started any.
    */
   inheritedStartWatermark = 0;
   /** When the job began to wait, in ms on the steady clock; moves on whenever a task is placed. */
@@ -162,7 +162,7 @@
     return task;
   }
 
-  /** Makes an assigned task pending again, once it surely runs nowhere any more. `now`: steady ms. */
+  /** Makes an assigned task pending again, once it can run nowhere any more. `now`: steady ms. */
   requeue(task: number, now: number): void {
     if (this.taskStates[task] !== ASSIGNED) return;
     this.taskStates[task] = PENDING;
--- /dev/null
+++ b/test/jobs/terminal-writes.test.ts
@@ -0,0 +1,56 @@
+import assert from 'node:assert/strict';
+import test from 'node:test';
+import { TerminalWrites } from '../../src/jobs/terminal-writes.ts';
+import { KEYS } from '../../src/store/keys.ts';
+import type { CompareAndSwapResult } from '../../src/store/key-value-store.ts';
+import { jobId } from './support/user-requests.ts';
+
+const ID = jobId(1);
+const REFUSED: CompareAndSwapResult = { kind: 'refused' };
+const UNKNOWN: CompareAndSwapResult = { kind: 'unknown' };
+
+/** Terminal writes of a leader, and a way to send one for job 1 that comes to a given result. */
+function createTerminalWrites(outcomeUnconfirmed: (id: string) => boolean = () => true): {
+  writes: TerminalWrites;
+  send: (result: CompareAndSwapResult, key?: string) => Promise<CompareAndSwapResult>;
+} {
+  const writes = new TerminalWrites(outcomeUnconfirmed);
+  const send = (result: CompareAndSwapResult, key = KEYS.open(ID)): Promise<CompareAndSwapResult> => {
+    const compareAndSwap = writes.tracking(() => Promise.resolve(result));
+    return compareAndSwap([], [{ put: key, value: {} }]);
+  };
+  return { writes, send };
+}
+
+test('a terminal write in flight may be carried out; one that was always refused was not', async () => {
+  const { writes, send } = createTerminalWrites();
+  assert.equal(writes.mayBeWritten(ID), false);
+  const firstAttempt = send(REFUSED);
+  assert.equal(writes.mayBeWritten(ID), true);
+  assert.deepEqual(await firstAttempt, REFUSED);
+  assert.equal(writes.mayBeWritten(ID), false);
+});
+
+test('a terminal write without an answer stays in doubt through later refusals, until it is durable', async () => {
+  const { writes, send } = createTerminalWrites();
+  await send(UNKNOWN);
+  await send(REFUSED);
+  assert.equal(writes.mayBeWritten(ID), true);
+  writes.forget(ID);
+  assert.equal(writes.mayBeWritten(ID), false);
+});
+
+test('a conflict leaves a terminal write in doubt: an earlier copy of it may be what it met', async () => {
+  const { writes, send } = createTerminalWrites();
+  await send({ kind: 'conflict', failed: [KEYS.fence] });
+  assert.equal(writes.mayBeWritten(ID), true);
+});
+
+test('only writes of open records of jobs with a pending outcome count as terminal writes', async () => {
+  const ended = createTerminalWrites();
+  await ended.send(UNKNOWN, KEYS.completions(ID, 0));
+  assert.equal(ended.writes.mayBeWritten(ID), false);
+  const open = createTerminalWrites(() => false);
+  await open.send(UNKNOWN);
+  assert.equal(open.writes.mayBeWritten(ID), false);
+});
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -105,7 +105,7 @@
   assert.equal((await poll(withSlowStore(archived, tooLate), ID)).status, 200);
 });
 
-test('a submission that was carried out but answered late is looked up before it is told', async () => {
+test('a submission that was carried out but answered late is looked up before it is answered', async () => {
   const body = JSON.stringify(JOB);
   assert.equal((await submit(withSlowStore({}, 10), body)).status, 201);
   const archived = { [KEYS.archived(JOB.uid)]: { s: 'cancelled', n: 0 } };
