--- a/test/leader/leader.test.ts
+++ b/test/leader/leader.test.ts
@@ -84,7 +84,7 @@
   firstProbe(harness).answer(heartbeatOf('n-1', 'a', position, [taskStatus(job.id, 0, 9)]));
   await harness.advance(1);
   const lookup = harness.leader.lookup(job.id);
-  assert.ok(lookup.kind === 'status');
+  assert.ok(lookup.kind === 'found');
   assert.equal(lookup.status.running, 0);
 });
 
