--- a/src/leader/job-control.ts
+++ b/src/leader/job-control.ts
@@ -24,7 +24,7 @@
     const job = this.cluster.jobs.get(id);
     if (!job) return { kind: 'unknown' };
     if (job.outcomeUnconfirmed && this.host.outcomeMayBeWritten(id)) return { kind: 'uncertain' };
-    return { kind: 'status', status: job.status() };
+    return { kind: 'found', status: job.status() };
   }
 
   /**
--- a/test/leader/leader.test.ts
+++ b/test/leader/leader.test.ts
@@ -85,7 +85,7 @@
   firstProbe(harness).answer({ kind: 'answered', heartbeat });
   await harness.advance(1);
   const lookup = harness.leader.lookup(job.id);
-  assert.ok(lookup.kind === 'status');
+  assert.ok(lookup.kind === 'found');
   assert.equal(lookup.status.running, 0);
 });
 
