--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -6,7 +6,8 @@
 import type { PeerReply, PeerRequest } from '../peers/frames.ts';
 import { KEYS } from '../store/keys.ts';
 import type { RateBudget } from '../store/budget.ts';
-import type { KeyValueStore, Urgency } from '../store/key-value-store.ts';
+import type { Urgency } from '../store/call-budget.ts';
+import type { KeyValueStore } from '../store/key-value-store.ts';
 import {
   decodeJob,
   encodeStatus,
@@ -158,7 +159,7 @@
     );
     if (result.kind === 'conflict') return this.look(job.id);
     if (result.kind === 'refused' && result.overLimit) {
-      this.deps.submissions.rest(OVER_LIMIT_REST_MS);
+      this.deps.submissions.blockFor(OVER_LIMIT_REST_MS);
       return { kind: 'limited' };
     }
     if (result.kind === 'unknown') {
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -2,7 +2,8 @@
 import type { Logger } from '../base/log.ts';
 import { DRIFT, type Clock } from '../base/clock.ts';
 import { KEYS } from '../store/keys.ts';
-import type { KeyValueStore, StoreResult, CompareAndSwapResult, Urgency } from '../store/key-value-store.ts';
+import type { Urgency } from '../store/call-budget.ts';
+import type { KeyValueStore, StoreResult, CompareAndSwapResult } from '../store/key-value-store.ts';
 import type { Mutation, Condition, Item } from '../wire/state.ts';
 import {
   validUntil,
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,3 +1,7 @@
+/**
+ * Codec of the key-value store (the "state service" of PROTOCOL): the only place of its wire names. On the wire a
+ * revision is a `ledger`, a version a `stamp`, a lease a `permit`, a put a `set` and a delete a `drop`.
+ */
 import * as z from 'zod/mini';
 import { count, decodeText, orNull, type Decoded } from './amounts.ts';
 
@@ -14,98 +18,125 @@
     }),
   ),
 });
+const wireRevision = z.object({ ledger: count });
+const wireConflict = z.object({ failed: z.array(z.string()) });
+const wireError = z.object({ error: z.string() });
+const wireGrant = z.object({ permit: count });
 
+const NO_LEASE_ERROR = 'no such lease';
+
+/** A key with its value. */
 export interface Item {
   key: string;
+  /** Any JSON value. */
   value: unknown;
+  /** Revision of the last mutation of the key. */
   version: number;
+  /** Id of the lease that the key is attached to, or null. */
   lease: number | null;
 }
+
+/** A condition of a transaction: the key has this version (0: it does not exist). */
 export interface Condition {
   key: string;
   version: number;
 }
+
+/** A change of one key; a put without `lease` detaches the key from its lease. */
 export type Mutation = { put: string; value: unknown; lease?: number } | { delete: string };
+
+/** A mutation that a watch has observed. */
 export interface WatchEvent {
   key: string;
   deleted: boolean;
+  /** Undefined if the key was deleted. */
   value: unknown;
   version: number;
 }
 
-const toItem = (i: z.infer<typeof wireItem>): Item => ({
-  key: i.k,
-  value: i.data,
-  version: i.stamp,
-  lease: i.permit ?? null,
+const toItem = (row: z.infer<typeof wireItem>): Item => ({
+  key: row.k,
+  value: row.data,
+  version: row.stamp,
+  lease: row.permit ?? null,
 });
 
+/** Decodes the response to a read of one key. */
 export function decodeItem(text: string): Decoded<Item> {
-  const d = decodeText(wireItem, text);
-  return d.ok ? { ok: true, value: toItem(d.value) } : d;
+  const decoded = decodeText(wireItem, text);
+  return decoded.ok ? { ok: true, value: toItem(decoded.value) } : decoded;
 }
 
+/** Decodes one page of a list; `more`: there are keys after this page. */
 export function decodeItems(text: string): Decoded<{ items: Item[]; more: boolean; revision: number }> {
-  const d = decodeText(wireList, text);
-  if (!d.ok) return d;
-  return {
-    ok: true,
-    value: { items: d.value.rows.map(toItem), more: d.value.hasNext, revision: d.value.ledger },
-  };
+  const decoded = decodeText(wireList, text);
+  if (!decoded.ok) return decoded;
+  const { rows, hasNext, ledger } = decoded.value;
+  return { ok: true, value: { items: rows.map(toItem), more: hasNext, revision: ledger } };
 }
 
-export function encodeTransaction(conditions: readonly Condition[], changes: readonly Mutation[]): string {
+/** Encodes a transaction. */
+export function encodeTransaction(conditions: readonly Condition[], mutations: readonly Mutation[]): string {
   return JSON.stringify({
-    if: conditions.map((c) => ({ k: c.key, stamp: c.version })),
-    then: changes.map((c) =>
-      'put' in c
-        ? { set: c.put, data: c.value, ...(c.lease === undefined ? {} : { permit: c.lease }) }
-        : { drop: c.delete },
-    ),
+    if: conditions.map((condition) => ({ k: condition.key, stamp: condition.version })),
+    then: mutations.map(encodeMutation),
   });
 }
 
+function encodeMutation(mutation: Mutation): object {
+  if ('delete' in mutation) return { drop: mutation.delete };
+  const put = { set: mutation.put, data: mutation.value };
+  return mutation.lease === undefined ? put : { ...put, permit: mutation.lease };
+}
+
+/** Decodes the revision in the response to a transaction, or to a read of a key that does not exist. */
 export function decodeRevision(text: string): Decoded<number> {
-  const d = decodeText(z.object({ ledger: count }), text);
-  return d.ok ? { ok: true, value: d.value.ledger } : d;
+  const decoded = decodeText(wireRevision, text);
+  return decoded.ok ? { ok: true, value: decoded.value.ledger } : decoded;
 }
 
+/** Decodes the keys whose conditions failed. */
 export function decodeConflict(text: string): Decoded<string[]> {
-  const d = decodeText(z.object({ failed: z.array(z.string()) }), text);
-  return d.ok ? { ok: true, value: d.value.failed } : d;
+  const decoded = decodeText(wireConflict, text);
+  return decoded.ok ? { ok: true, value: decoded.value.failed } : decoded;
 }
 
+/** True when a rejected transaction says that a lease has expired, rather than that it is malformed. */
 export function isNoLease(text: string): boolean {
-  const d = decodeText(z.object({ error: z.string() }), text);
-  return d.ok && d.value.error === 'no such lease';
+  const decoded = decodeText(wireError, text);
+  return decoded.ok && decoded.value.error === NO_LEASE_ERROR;
 }
 
+/** Encodes the request for a lease. */
 export function encodeGrant(ttlMs: number): string {
   return JSON.stringify({ ttlMs });
 }
 
+/** Decodes the id of a granted lease. */
 export function decodeGrant(text: string): Decoded<number> {
-  const d = decodeText(z.object({ permit: count }), text);
-  return d.ok ? { ok: true, value: d.value.permit } : d;
+  const decoded = decodeText(wireGrant, text);
+  return decoded.ok ? { ok: true, value: decoded.value.permit } : decoded;
 }
 
+/** Decodes the response to a watch; `revision` is where the next watch starts. */
 export function decodeEvents(text: string): Decoded<{ revision: number; events: WatchEvent[] }> {
-  const d = decodeText(wireEvents, text);
-  if (!d.ok) return d;
+  const decoded = decodeText(wireEvents, text);
+  if (!decoded.ok) return decoded;
   const events: WatchEvent[] = [];
-  for (const e of d.value.log) {
-    const key = e.set ?? e.drop;
+  for (const entry of decoded.value.log) {
+    const key = entry.set ?? entry.drop;
     if (typeof key !== 'string') return { ok: false, reason: 'event without a key' };
-    events.push({ key, deleted: typeof e.set !== 'string', value: e.data, version: e.stamp });
+    events.push({ key, deleted: typeof entry.set !== 'string', value: entry.data, version: entry.stamp });
   }
-  return { ok: true, value: { revision: d.value.ledger, events } };
+  return { ok: true, value: { revision: decoded.value.ledger, events } };
 }
 
+/** Paths of the service. Slashes within keys are not escaped in a path, as the protocol asks. */
 export const STATE_PATHS = {
   key: (key: string) => `/store/${key}`,
   list: (prefix: string, after: string, limit: number) =>
     `/store?starts=${encodeURIComponent(prefix)}${after ? `&since=${encodeURIComponent(after)}` : ''}&most=${limit}`,
-  txn: '/multi',
+  transaction: '/multi',
   leases: '/grants',
   renew: (lease: number) => `/grants/${lease}/renew`,
   lease: (lease: number) => `/grants/${lease}`,
--- a/test/golden/messages.test.ts
+++ b/test/golden/messages.test.ts
@@ -70,7 +70,7 @@
     STATE_PATHS.key('o/req-1'),
     STATE_PATHS.list('o/', '', 500),
     STATE_PATHS.list('o/', 'o/req-1', 500),
-    STATE_PATHS.txn,
+    STATE_PATHS.transaction,
     STATE_PATHS.leases,
     STATE_PATHS.renew(77),
     STATE_PATHS.lease(77),
--- a/test/jobs/controllers.ts
+++ b/test/jobs/controllers.ts
@@ -11,12 +11,8 @@
 import { SharedReads } from '../../src/jobs/shared-reads.ts';
 import type { PeerReply, PeerRequest, PollAnswer } from '../../src/peers/frames.ts';
 import { RateBudget } from '../../src/store/budget.ts';
-import {
-  moreUrgent,
-  type StoreResult,
-  type CompareAndSwapResult,
-  type Urgency,
-} from '../../src/store/key-value-store.ts';
+import { moreUrgent, type Urgency } from '../../src/store/call-budget.ts';
+import type { StoreResult, CompareAndSwapResult } from '../../src/store/key-value-store.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import { LeaderWriter } from '../../src/store/leader-writer.ts';
 import type { Mutation, Condition, Item, WatchEvent } from '../../src/wire/state.ts';
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -4,7 +4,7 @@
 import { answerBatch, BATCH_GAP_MS, MOST_IN_BATCH, PollBatcher } from '../../src/jobs/poll-batches.ts';
 import { READ_GAP_MS, SharedReads } from '../../src/jobs/shared-reads.ts';
 import type { PollAnswer } from '../../src/peers/frames.ts';
-import { moreUrgent, type Urgency } from '../../src/store/key-value-store.ts';
+import { moreUrgent, type Urgency } from '../../src/store/call-budget.ts';
 import { SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
 
