--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -324,7 +324,8 @@
   private keepCatalog(writer: LeaderWriter): void {
     const value = catalogValue(this.catalog!);
     if (JSON.stringify(value).length > this.settings.settings.state.value_kb * 1000) return;
-    writer.enqueue({ changes: [{ put: KEYS.catalog, value }], done: () => undefined }, 'background');
+    const mutations = [{ put: KEYS.catalog, value }];
+    writer.enqueue({ kind: 'ready', mutations, done: () => undefined }, 'background');
   }
 
   // ---- leadership ----
@@ -392,30 +393,26 @@
     if (!this.isCurrent(held) || fence.kind !== 'ok') return;
     const { state } = this.settings.settings;
     const endWrites = new TerminalWrites((id) => leader.isOutcomeUnconfirmed(id));
-    const writer = new LeaderWriter(
-      {
+    const writer = new LeaderWriter({
+      host: {
         compareAndSwap: endWrites.tracking((conditions, changes, timeoutMs: number) =>
           this.store.compareAndSwap(conditions, changes, 'lease', timeoutMs),
         ),
-        readFence: async () => {
-          const read = await this.store.get(KEYS.fence, 'lease');
-          return read.kind === 'ok' ? (read.value?.version ?? 0) : null;
-        },
-        readLeader: async () => {
-          const read = await this.store.get(KEYS.leader, 'lease');
-          return read.kind === 'ok' ? (read.value?.version ?? 0) : null;
+        readVersion: async (key) => {
+          const read = await this.store.get(key, 'lease');
+          return read.kind === 'ok' ? { kind: 'ok', value: read.value?.version ?? 0 } : read;
         },
         lost: (reason) => {
           this.endLeadership(held, reason);
         },
         pause,
       },
-      held.version,
-      fence.value?.version ?? 0,
-      { txnOps: state.txn_ops, bytes: 56 * 1024 },
-      new RateBudget(state.write_rps * LEADER_WRITES, () => this.clock.now()),
-      this.log,
-    );
+      leaderVersion: held.version,
+      fenceVersion: fence.value?.version ?? 0,
+      limits: { maxMutations: state.txn_ops, maxBytes: 56 * 1024 },
+      budget: new RateBudget(state.write_rps * LEADER_WRITES, () => this.clock.now()),
+      log: this.log,
+    });
     const hasValidLease = (): boolean => this.isCurrent(held) && this.election.hasValidLease();
     const leader: Leader = new Leader({
       host: {
--- a/src/jobs/archive.ts
+++ b/src/jobs/archive.ts
@@ -1,5 +1,5 @@
 import { KEYS } from '../store/keys.ts';
-import type { Write } from '../store/leader-writer.ts';
+import type { Write } from '../store/write-queues.ts';
 
 export interface ArchiveDeps {
   /** How many final records may stay in the place of the open ones, for a new leader to read past. */
@@ -42,7 +42,11 @@
     const moved = [...this.oldest(Math.min(surplus, most))];
     this.moving = true;
     this.deps.enqueueWrite({
-      changes: moved.flatMap(([id, value]) => [{ delete: KEYS.open(id) }, { put: KEYS.archived(id), value }]),
+      kind: 'ready',
+      mutations: moved.flatMap(([id, value]) => [
+        { delete: KEYS.open(id) },
+        { put: KEYS.archived(id), value },
+      ]),
       done: () => {
         this.deps.enqueue(() => {
           this.moving = false;
--- a/src/jobs/start-watermarks.ts
+++ b/src/jobs/start-watermarks.ts
@@ -1,5 +1,5 @@
 import { KEYS } from '../store/keys.ts';
-import type { DeferredWrite } from '../store/leader-writer.ts';
+import type { DeferredWrite } from '../store/write-queues.ts';
 import type { Item } from '../wire/state.ts';
 import { startWatermarksValue, readStartWatermarks } from './records.ts';
 
@@ -120,8 +120,9 @@
     page.queued = true;
     let told: (() => void)[] = [];
     this.deps.enqueueWrite({
+      kind: 'deferred',
       // Entries can still grow in number until it is sent, up to the size of a page.
-      bytes: this.deps.pageBytes,
+      maxBytes: this.deps.pageBytes,
       build: () => {
         page.queued = false;
         told = page.waiting;
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -48,7 +48,8 @@
     const together = chunks.length + changes.length < settings.settings.state.txn_ops;
     writer.enqueue(
       {
-        changes: together ? [...changes, ...chunks] : changes,
+        kind: 'ready',
+        mutations: together ? [...changes, ...chunks] : changes,
         done: () => {
           host.enqueue(() => {
             this.onTerminalDurable(job, outcome, value);
@@ -59,7 +60,8 @@
       'ends',
     );
     if (together) return;
-    for (const change of chunks) writer.enqueue({ changes: [change], done: () => undefined }, 'background');
+    for (const change of chunks)
+      writer.enqueue({ kind: 'ready', mutations: [change], done: () => undefined }, 'background');
   }
 
   private onTerminalDurable(job: Job, outcome: 'done' | 'cancelled', value: unknown): void {
@@ -103,7 +105,8 @@
     job.storedChunks.add(chunk);
     this.deps.writer.enqueue(
       {
-        changes: [{ put: KEYS.completions(job.id, chunk), value: chunkValue(bits) }],
+        kind: 'ready',
+        mutations: [{ put: KEYS.completions(job.id, chunk), value: chunkValue(bits) }],
         done: () => {
           this.deps.host.enqueue(() => {
             job.markChunkDurable(chunk, bits);
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -174,7 +174,10 @@
       this.log.error({ key }, 'a record is malformed');
     };
     const stale = (item: Item): void => {
-      this.deps.writer.enqueue({ changes: [{ delete: item.key }], done: () => undefined }, 'background');
+      this.deps.writer.enqueue(
+        { kind: 'ready', mutations: [{ delete: item.key }], done: () => undefined },
+        'background',
+      );
     };
     for (const item of found.open) this.recoverRecord(item, malformed);
     this.recoverStartWatermarks(found.startWatermarks, malformed);
--- /dev/null
+++ b/src/store/fenced-transactions.ts
@@ -0,0 +1,192 @@
+/** Transactions that only the current leader can commit, each of them exactly once. */
+import type { Logger } from '../base/log.ts';
+import type { Condition, Mutation } from '../wire/state.ts';
+import type { CompareAndSwapResult, StoreResult } from './key-value-store.ts';
+import { KEYS } from './keys.ts';
+import type { TransactionPacer } from './transaction-pacer.ts';
+
+/** Mutations that fencing adds to each transaction. */
+export const FENCE_MUTATIONS = 1;
+
+/** Time for the first response. A retry is harmless, so it is short at first, and longer while the service is slow. */
+const MIN_TIMEOUT_MS = 400;
+const MAX_TIMEOUT_MS = 2000;
+const MIN_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 800;
+
+/** What fenced transactions need of the key-value store and of the clock. */
+export interface TransactionHost {
+  compareAndSwap(
+    conditions: readonly Condition[],
+    mutations: readonly Mutation[],
+    timeoutMs: number,
+  ): Promise<CompareAndSwapResult>;
+  /** Reads the current version of a key (0: it does not exist). */
+  readVersion(key: string): Promise<StoreResult<number>>;
+  pause(ms: number): Promise<void>;
+}
+
+/** Everything that the transactions of one leadership share. */
+export interface FencedTransactionsDeps {
+  host: TransactionHost;
+  pacer: TransactionPacer;
+  /** Version of the leader key for as long as this leadership holds it. */
+  leaderVersion: number;
+  /** Version of the fence key before the first transaction (0: it does not exist). */
+  fenceVersion: number;
+  /** Aborted once nothing more is to be written. */
+  signal: AbortSignal;
+  /** Another leadership has taken over, or may do so; aborts the signal. */
+  onLeadershipLost: (reason: string) => void;
+  log: Logger;
+}
+
+interface Transaction {
+  conditions: readonly Condition[];
+  mutations: readonly Mutation[];
+}
+
+/**
+ * What a read-back says of an in-doubt transaction: `committed`, `notCommitted` (so far), `superseded` by another
+ * leader, or `unresolved` since a key could not be read.
+ */
+type Resolution = 'committed' | 'notCommitted' | 'superseded' | 'unresolved';
+
+/** Time-outs and pauses of one transaction: both double with each failure up to a limit. */
+class RetrySchedule {
+  timeoutMs = MIN_TIMEOUT_MS;
+  private backoffMs = MIN_BACKOFF_MS;
+  private retriedAtOnce = false;
+
+  /** No response came in time. */
+  extendTimeout(): void {
+    this.timeoutMs = Math.min(MAX_TIMEOUT_MS, this.timeoutMs * 2);
+  }
+
+  /** The pause before the next retry, in milliseconds. */
+  nextBackoffMs(): number {
+    const backoffMs = this.backoffMs;
+    this.backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
+    return backoffMs;
+  }
+
+  /** True the first time: a transaction that is known not to be committed is retried once without a pause. */
+  takeImmediateRetry(): boolean {
+    if (this.retriedAtOnce) return false;
+    this.retriedAtOnce = true;
+    return true;
+  }
+}
+
+/**
+ * Commits transactions under optimistic concurrency control with a fence key. Each transaction is conditional on two
+ * versions, and writes the fence key itself:
+ *
+ * - the leader key's: it stands for as long as this leadership holds its lease, so a former leader's transactions fail;
+ * - the fence key's: it changes with each commit, so of several copies of one transaction at most one is committed, and
+ *   a copy that the service executes minutes late fails.
+ *
+ * So a transaction without a response (in doubt) can be sent again unchanged, or resolved by reading the fence key
+ * back. Only one transaction may be in flight at a time.
+ */
+export class FencedTransactions {
+  private readonly host: TransactionHost;
+  private readonly pacer: TransactionPacer;
+  private fenceVersion: number;
+
+  constructor(private readonly deps: FencedTransactionsDeps) {
+    this.host = deps.host;
+    this.pacer = deps.pacer;
+    this.fenceVersion = deps.fenceVersion;
+  }
+
+  /** Retries until the mutations are durable (true), or until the signal is aborted or the leadership lost (false). */
+  async commit(mutations: readonly Mutation[]): Promise<boolean> {
+    const transaction = this.fenced(mutations);
+    const schedule = new RetrySchedule();
+    let inDoubt = false;
+    while (!this.isAborted()) {
+      const waitMs = this.pacer.sendWaitMs(transaction.mutations.length);
+      if (waitMs > 0) await this.host.pause(waitMs);
+      const result = await this.send(transaction, schedule.timeoutMs);
+      if (this.isAborted()) return false;
+      if (result.kind === 'ok') return this.committedAt(result.revision);
+      if (result.kind === 'no_lease') return this.leadershipLost('lease expired');
+      if (result.kind === 'conflict') {
+        if (result.failed.includes(KEYS.leader) || !inDoubt) {
+          return this.leadershipLost('a transaction conflicts with another leader');
+        }
+        // Only an earlier copy of this transaction can have changed the fence key.
+        const fence = await this.host.readVersion(KEYS.fence);
+        if (fence.kind === 'ok') return this.committedAt(fence.value);
+      }
+      if (result.kind === 'unknown') {
+        inDoubt = true;
+        schedule.extendTimeout();
+        const resolution = await this.resolveInDoubt();
+        this.logResolution(resolution);
+        if (resolution === 'committed') return true;
+        if (resolution === 'superseded') return this.leadershipLost('another leader was observed');
+        if (resolution === 'notCommitted' && schedule.takeImmediateRetry()) continue;
+      }
+      await this.backOff(result.kind, schedule.nextBackoffMs());
+    }
+    return false;
+  }
+
+  private fenced(mutations: readonly Mutation[]): Transaction {
+    return {
+      conditions: [
+        { key: KEYS.leader, version: this.deps.leaderVersion },
+        { key: KEYS.fence, version: this.fenceVersion },
+      ],
+      mutations: [...mutations, { put: KEYS.fence, value: {} }],
+    };
+  }
+
+  private send({ conditions, mutations }: Transaction, timeoutMs: number): Promise<CompareAndSwapResult> {
+    this.pacer.takeForSend(mutations.length);
+    return this.host.compareAndSwap(conditions, mutations, timeoutMs);
+  }
+
+  private backOff(result: CompareAndSwapResult['kind'], backoffMs: number): Promise<void> {
+    this.deps.log.info({ result, backoffMs }, 'store: transaction not confirmed, retrying');
+    return this.host.pause(backoffMs);
+  }
+
+  /**
+   * What came of a transaction without a response. While the leader key stands as it was, nobody but this leadership
+   * changes the fence key, and only this one transaction is in flight: a fence key that has changed shows that it was
+   * committed, provided that the leader key is read unchanged *after* that.
+   */
+  private async resolveInDoubt(): Promise<Resolution> {
+    const fence = await this.host.readVersion(KEYS.fence);
+    if (fence.kind !== 'ok' || this.isAborted()) return 'unresolved';
+    if (fence.value === this.fenceVersion) return 'notCommitted';
+    const leader = await this.host.readVersion(KEYS.leader);
+    if (leader.kind !== 'ok' || this.isAborted()) return 'unresolved';
+    if (leader.value !== this.deps.leaderVersion) return 'superseded';
+    this.fenceVersion = fence.value;
+    return 'committed';
+  }
+
+  private logResolution(resolution: Resolution): void {
+    if (resolution === 'unresolved') return;
+    this.deps.log.info({ resolution }, 'store: in-doubt transaction resolved by read-back');
+  }
+
+  private committedAt(fenceVersion: number): true {
+    this.fenceVersion = fenceVersion;
+    return true;
+  }
+
+  private leadershipLost(reason: string): false {
+    this.deps.onLeadershipLost(reason);
+    return false;
+  }
+
+  /** A method, since the type checker takes `signal.aborted` for unchanged across an `await`. */
+  private isAborted(): boolean {
+    return this.deps.signal.aborted;
+  }
+}
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod/mini';
 import type { Mutation, Item } from '../wire/state.ts';
 import { KEYS } from '../store/keys.ts';
-import type { Write } from '../store/leader-writer.ts';
+import type { Write } from '../store/write-queues.ts';
 import type { MachineIdentity } from './machine.ts';
 
 const pageRecord = z.object({
@@ -107,7 +107,7 @@
           for (const tell of waiting) tell();
         });
       };
-      this.deps.enqueueWrite({ changes: [change(page)], done }, urgent);
+      this.deps.enqueueWrite({ kind: 'ready', mutations: [change(page)], done }, urgent);
     }
   }
 }
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -24,7 +24,8 @@
 import { UserRequests } from '../../src/jobs/user-requests.ts';
 import { Election } from '../../src/leadership/election.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import { LeaderWriter, type DeferredWrite, type Write } from '../../src/store/leader-writer.ts';
+import { LeaderWriter } from '../../src/store/leader-writer.ts';
+import type { DeferredWrite, Write } from '../../src/store/write-queues.ts';
 import { decodeCatalog } from '../../src/wire/cloud.ts';
 import { encodeTransaction, type Mutation, type Item } from '../../src/wire/state.ts';
 import { decodeJob } from '../../src/wire/user.ts';
@@ -190,7 +191,7 @@
   archive.add('req-000003', terminalValue('done', 1));
   archive.tick();
   assert.equal(
-    pushed.map((job) => wire(job.changes)).join('\n'),
+    pushed.map((job) => wire(job.mutations)).join('\n'),
     '{"if":[],"then":[{"drop":"o/req-000001"},{"set":"f/req-000001","data":{"s":"done","n":16}},{"drop":"o/req-000002"},{"set":"f/req-000002","data":{"s":"cancelled","n":3}}]}',
   );
 });
@@ -378,7 +379,7 @@
   const machines = new MachineRegistry({
     pageBytes,
     enqueueWrite: (job, urgent) => {
-      queue.push(`${urgent ? 'urgent' : 'calm'} ${wire(job.changes)}`);
+      queue.push(`${urgent ? 'urgent' : 'calm'} ${wire(job.mutations)}`);
       confirm.push(job.done);
     },
     enqueue: (command) => {
@@ -658,26 +659,28 @@
     `{"ledger":${200 + service.requests.length}}`,
   ]);
   const client = service.client(now);
-  const writer = new LeaderWriter(
-    {
-      compareAndSwap: (conditions, changes, timeoutMs) =>
-        client.compareAndSwap(conditions, changes, 'lease', timeoutMs),
-      readFence: () => Promise.resolve(null),
-      readLeader: () => Promise.resolve(null),
+  const writer = new LeaderWriter({
+    host: {
+      compareAndSwap: (conditions, mutations, timeoutMs) =>
+        client.compareAndSwap(conditions, mutations, 'lease', timeoutMs),
+      readVersion: () => Promise.resolve({ kind: 'refused' }),
       lost: () => assert.fail('lost'),
       pause: (ms) => {
         clock.at += ms;
         return Promise.resolve();
       },
     },
-    131,
-    0,
-    { txnOps: 4, bytes: 8000 },
-    new RateBudget(30, now),
-    silent,
-  );
-  const push = (changes: Write['changes'], lane: 'ends' | 'starts' | 'progress' | 'background'): void => {
-    writer.enqueue({ changes, done: () => undefined }, lane);
+    leaderVersion: 131,
+    fenceVersion: 0,
+    limits: { maxMutations: 4, maxBytes: 8000 },
+    budget: new RateBudget(30, now),
+    log: silent,
+  });
+  const push = (
+    mutations: Write['mutations'],
+    priority: 'ends' | 'starts' | 'progress' | 'background',
+  ): void => {
+    writer.enqueue({ kind: 'ready', mutations, done: () => undefined }, priority);
   };
   push([{ put: KEYS.completions('req-000002', 0), value: chunkValue(Buffer.from([5, 128])) }], 'progress');
   push([{ delete: KEYS.machineRegistry(3) }], 'background');
@@ -690,7 +693,8 @@
   );
   writer.enqueue(
     {
-      bytes: 100,
+      kind: 'deferred',
+      maxBytes: 100,
       build: () => ({ put: KEYS.startWatermarks(0), value: startWatermarksValue([['req-000003', 16]]) }),
       done: () => undefined,
     },
--- a/test/jobs/archive.test.ts
+++ b/test/jobs/archive.test.ts
@@ -3,7 +3,7 @@
 import { Archive } from '../../src/jobs/archive.ts';
 import { terminalValue, readTerminal } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { Write } from '../../src/store/leader-writer.ts';
+import type { Write } from '../../src/store/write-queues.ts';
 import { MemoryStore } from '../store/memory.ts';
 
 const KEEP = 10;
@@ -52,8 +52,8 @@
     const job = queue.shift();
     if (!job) continue;
     copies.push(job);
-    assert.ok(job.changes.length < TXN_OPS, 'no room for the fence');
-    assert.equal(store.apply([], job.changes).kind, 'ok');
+    assert.ok(job.mutations.length < TXN_OPS, 'no room for the fence');
+    assert.equal(store.apply([], job.mutations).kind, 'ok');
     job.done();
     for (let n = 0; n < 40; n++) assert.equal(look(n), n);
   }
--- a/test/jobs/controllers.ts
+++ b/test/jobs/controllers.ts
@@ -398,30 +398,26 @@
     // Nothing is placed here: the test's own machine runs what is to be done.
     options.scheduling.takeover_wait_s = 1e6;
     options.fleet.takeover_rent_s = 1e6;
-    const writer = new LeaderWriter(
-      {
+    const writer = new LeaderWriter({
+      host: {
         compareAndSwap: endWrites.tracking((conditions, changes, timeoutMs: number) =>
           this.txn(c, conditions, changes, timeoutMs),
         ),
-        readLeader: async () => {
-          const leader = await this.get(c, KEYS.leader);
-          return leader.kind === 'ok' ? (leader.value?.version ?? 0) : null;
-        },
-        readFence: async () => {
-          const fence = await this.get(c, KEYS.fence);
-          return fence.kind === 'ok' ? (fence.value?.version ?? 0) : null;
+        readVersion: async (key) => {
+          const read = await this.get(c, key);
+          return read.kind === 'ok' ? { kind: 'ok', value: read.value?.version ?? 0 } : read;
         },
         lost: () => {
           if (current()) this.stepDown(c);
         },
         pause: later,
       },
-      held.version,
-      this.state.data.get(KEYS.fence)?.version ?? 0,
-      { txnOps: SETTINGS.settings.state.txn_ops, bytes: 50_000 },
-      new RateBudget(100, () => this.sim.at),
-      silent,
-    );
+      leaderVersion: held.version,
+      fenceVersion: this.state.data.get(KEYS.fence)?.version ?? 0,
+      limits: { maxMutations: SETTINGS.settings.state.txn_ops, maxBytes: 50_000 },
+      budget: new RateBudget(100, () => this.sim.at),
+      log: silent,
+    });
     const finals = new Set<string>();
     const leader: Leader = new Leader({
       host: {
--- a/test/jobs/start-watermarks.test.ts
+++ b/test/jobs/start-watermarks.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { StartWatermarks } from '../../src/jobs/start-watermarks.ts';
-import type { DeferredWrite } from '../../src/store/leader-writer.ts';
+import type { DeferredWrite } from '../../src/store/write-queues.ts';
 import type { Item } from '../../src/wire/state.ts';
 import { SEED } from '../helpers.ts';
 
@@ -25,7 +25,7 @@
     if (!job) return;
     const change = job.build();
     assert.ok('put' in change);
-    assert.ok(JSON.stringify(change.value).length <= job.bytes, 'a page grew past its bound');
+    assert.ok(JSON.stringify(change.value).length <= job.maxBytes, 'a page grew past its bound');
     this.sent = { job, key: change.put, value: structuredClone(change.value) };
   }
 
--- a/test/leader/harness.ts
+++ b/test/leader/harness.ts
@@ -5,7 +5,8 @@
 import { Catalog } from '../../src/fleet/catalog.ts';
 import { startWatermarksValue, openValue } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { DeferredWrite, LeaderWriter, Write } from '../../src/store/leader-writer.ts';
+import type { LeaderWriter } from '../../src/store/leader-writer.ts';
+import type { DeferredWrite, Write } from '../../src/store/write-queues.ts';
 import type { ListedMachine } from '../../src/wire/cloud.ts';
 import type { Item } from '../../src/wire/state.ts';
 import { decodeStoredJob, type JobRequest } from '../../src/wire/user.ts';
@@ -144,7 +145,7 @@
         backlog: 0,
         idle: false,
         enqueue: (job: Write | DeferredWrite) => {
-          if ('build' in job) job.build();
+          if (job.kind === 'deferred') job.build();
           job.done();
         },
         stop: () => undefined,
--- a/test/leader/standstill.test.ts
+++ b/test/leader/standstill.test.ts
@@ -66,20 +66,19 @@
       list: () => Promise.resolve([]),
     };
     const surelyLeading = (): boolean => this.clock.now() < this.sureUntil;
-    const writer = new LeaderWriter(
-      {
+    const writer = new LeaderWriter({
+      host: {
         compareAndSwap: () => Promise.resolve({ kind: 'ok', revision: 1 }),
-        readFence: () => Promise.resolve(1),
-        readLeader: () => Promise.resolve(1),
+        readVersion: () => Promise.resolve({ kind: 'ok', value: 1 }),
         lost: () => undefined,
         pause: () => settle(),
       },
-      1,
-      1,
-      { txnOps: 12, bytes: 56 * 1024 },
-      new RateBudget(1e6, () => this.clock.now()),
-      silent,
-    );
+      leaderVersion: 1,
+      fenceVersion: 1,
+      limits: { maxMutations: 12, maxBytes: 56 * 1024 },
+      budget: new RateBudget(1e6, () => this.clock.now()),
+      log: silent,
+    });
     const teams = [{ name: 'vision', cpus: 0, gpus: 8, cpusMax: 0, gpusMax: 1000 }];
     this.leader = new Leader({
       host: {
--- a/test/store/budget.test.ts
+++ b/test/store/budget.test.ts
@@ -6,7 +6,8 @@
 test('submissions may come in a burst, and in the long run leave the leader its writes', () => {
   // With a burst of one second's share, jobs that came together were refused by a service that had nothing to do.
   const clock = new FakeClock();
-  const [writesPerSecond, nodes] = [30, 5];
+  const writesPerSecond = 30;
+  const nodes = 5;
   const budgets = Array.from({ length: nodes }, () =>
     submissionBudget(writesPerSecond, nodes, () => clock.now()),
   );
--- /dev/null
+++ b/test/store/flaky-store.ts
@@ -0,0 +1,65 @@
+import type { CompareAndSwapResult } from '../../src/store/key-value-store.ts';
+import { KEYS } from '../../src/store/keys.ts';
+import type { Condition, Mutation } from '../../src/wire/state.ts';
+
+/**
+ * What becomes of one transaction: `ok`; `lost` (executed, without a response); `late` (no response, and executed only
+ * when the test says so); `refused` (never executed).
+ */
+export type Fate = 'ok' | 'lost' | 'late' | 'refused';
+
+export interface Transaction {
+  conditions: readonly Condition[];
+  mutations: readonly Mutation[];
+}
+
+/** A store that loses responses and executes transactions late, by a script of fates. */
+export class FlakyStore {
+  readonly versions = new Map<string, number>([[KEYS.leader, 5]]);
+  readonly values = new Map<string, unknown>();
+  /** Transactions that have not been executed yet. */
+  readonly late: Transaction[] = [];
+  revision = 10;
+  /** Transactions that were sent, retries too. */
+  sent = 0;
+
+  constructor(private readonly fates: Fate[]) {}
+
+  apply({ conditions, mutations }: Transaction): CompareAndSwapResult {
+    const failed = conditions
+      .filter(({ key, version }) => this.version(key) !== version)
+      .map(({ key }) => key);
+    if (failed.length > 0) return { kind: 'conflict', failed };
+    this.revision += 1;
+    for (const mutation of mutations) {
+      if ('put' in mutation) {
+        this.versions.set(mutation.put, this.revision);
+        this.values.set(mutation.put, mutation.value);
+      } else {
+        this.versions.delete(mutation.delete);
+        this.values.delete(mutation.delete);
+      }
+    }
+    return { kind: 'ok', revision: this.revision };
+  }
+
+  compareAndSwap(
+    conditions: readonly Condition[],
+    mutations: readonly Mutation[],
+  ): Promise<CompareAndSwapResult> {
+    this.sent += 1;
+    const fate = this.fates.shift() ?? 'ok';
+    if (fate === 'refused') return Promise.resolve({ kind: 'refused' });
+    if (fate === 'late') {
+      this.late.push({ conditions, mutations });
+      return Promise.resolve({ kind: 'unknown' });
+    }
+    const result = this.apply({ conditions, mutations });
+    return Promise.resolve(fate === 'lost' ? { kind: 'unknown' } : result);
+  }
+
+  /** The version of a key; 0: it does not exist. */
+  version(key: string): number {
+    return this.versions.get(key) ?? 0;
+  }
+}
--- a/test/store/leader-writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -2,84 +2,54 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { RateBudget } from '../../src/store/budget.ts';
-import type { CompareAndSwapResult } from '../../src/store/key-value-store.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import { LeaderWriter, type WritePriority } from '../../src/store/leader-writer.ts';
-import type { Mutation, Condition } from '../../src/wire/state.ts';
+import { LeaderWriter } from '../../src/store/leader-writer.ts';
+import type { Write, WritePriority } from '../../src/store/write-queues.ts';
 import { FakeClock, SEED, silent } from '../helpers.ts';
+import { FlakyStore, type Fate } from './flaky-store.ts';
 
-/** A store that loses answers and carries transactions out late, by a script of fates. */
-class FlakyStore {
-  readonly versions = new Map<string, number>([[KEYS.leader, 5]]);
-  readonly values = new Map<string, unknown>();
-  revision = 10;
-  late: { conditions: readonly Condition[]; changes: readonly Mutation[] }[] = [];
-
-  sent = 0;
-
-  constructor(private readonly fates: ('ok' | 'lost' | 'late' | 'refused')[]) {}
-
-  apply(conditions: readonly Condition[], changes: readonly Mutation[]): CompareAndSwapResult {
-    const failed = conditions.filter((c) => (this.versions.get(c.key) ?? 0) !== c.version).map((c) => c.key);
-    if (failed.length > 0) return { kind: 'conflict', failed };
-    this.revision += 1;
-    for (const c of changes) {
-      if ('put' in c) {
-        this.versions.set(c.put, this.revision);
-        this.values.set(c.put, c.value);
-      } else {
-        this.versions.delete(c.delete);
-        this.values.delete(c.delete);
-      }
-    }
-    return { kind: 'ok', revision: this.revision };
-  }
-
-  compareAndSwap(
-    conditions: readonly Condition[],
-    changes: readonly Mutation[],
-  ): Promise<CompareAndSwapResult> {
-    this.sent += 1;
-    const fate = this.fates.shift() ?? 'ok';
-    if (fate === 'refused') return Promise.resolve({ kind: 'refused' });
-    if (fate === 'late') {
-      this.late.push({ conditions, changes });
-      return Promise.resolve({ kind: 'unknown' });
-    }
-    const result = this.apply(conditions, changes);
-    return Promise.resolve(fate === 'lost' ? { kind: 'unknown' } : result);
-  }
+interface Setup {
+  /** Reasons for which the writer gave the leadership up. */
+  lost?: string[];
+  clock?: FakeClock;
+  maxMutations?: number;
+  mutationsPerSecond?: number;
 }
 
+/** A writer whose pauses end at once, and move the clock. */
 function writerOn(
   store: FlakyStore,
-  lost: string[],
-  clock = new FakeClock(),
-  { txnOps, perSecond } = { txnOps: 4, perSecond: 1000 },
+  { lost = [], clock = new FakeClock(), maxMutations = 4, mutationsPerSecond = 1000 }: Setup = {},
 ): LeaderWriter {
-  return new LeaderWriter(
-    {
-      compareAndSwap: (conditions, changes) => store.compareAndSwap(conditions, changes),
-      readFence: () => Promise.resolve(store.versions.get(KEYS.fence) ?? 0),
-      readLeader: () => Promise.resolve(store.versions.get(KEYS.leader) ?? 0),
+  return new LeaderWriter({
+    host: {
+      compareAndSwap: (conditions, mutations) => store.compareAndSwap(conditions, mutations),
+      readVersion: (key) => Promise.resolve({ kind: 'ok', value: store.version(key) }),
       lost: (reason) => lost.push(reason),
       pause: (ms) => {
         clock.at += ms;
         return Promise.resolve();
       },
     },
-    5,
-    0,
-    { txnOps, bytes: 10_000 },
-    new RateBudget(perSecond, () => clock.now()),
-    silent,
-  );
+    leaderVersion: 5,
+    fenceVersion: 0,
+    limits: { maxMutations, maxBytes: 10_000 },
+    budget: new RateBudget(mutationsPerSecond, () => clock.now()),
+    log: silent,
+  });
+}
+
+function put(key: string, value: unknown, done: () => void): Write {
+  return { kind: 'ready', mutations: [{ put: key, value }], done };
 }
 
-const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+/** Lets the writer run for so many turns of the event loop. */
+async function settle(turns = 1): Promise<void> {
+  for (let turn = 0; turn < turns; turn++) await new Promise((resolve) => setImmediate(resolve));
+}
 
-test('writes arrive once and in order, however answers are lost; late copies change nothing', async () => {
-  const fate = fc.constantFrom('ok' as const, 'lost' as const, 'late' as const, 'refused' as const);
+test('writes are committed once and in order, whatever responses are lost; late copies change nothing', async () => {
+  const fate = fc.constantFrom<Fate[]>('ok', 'lost', 'late', 'refused');
   await fc.assert(
     fc.asyncProperty(
       fc.array(fate, { maxLength: 12 }),
@@ -87,17 +57,20 @@
       async (fates, writes) => {
         const store = new FlakyStore([...fates]);
         const lost: string[] = [];
-        const writer = writerOn(store, lost);
+        const writer = writerOn(store, { lost });
         const done: number[] = [];
-        for (let i = 0; i < writes; i++) {
-          writer.enqueue({ changes: [{ put: 'k', value: i }], done: () => done.push(i) }, 'progress');
-          if (i % 2 === 1) await settle();
+        for (let number = 0; number < writes; number++) {
+          writer.enqueue(
+            put('k', number, () => done.push(number)),
+            'progress',
+          );
+          if (number % 2 === 1) await settle();
         }
-        for (let i = 0; i < 60; i++) await settle();
+        await settle(60);
         assert.deepEqual(lost, []);
         assert.deepEqual(done, [...Array(writes).keys()]);
         assert.equal(store.values.get('k'), writes - 1);
-        for (const l of store.late) store.apply(l.conditions, l.changes);
+        for (const transaction of store.late) store.apply(transaction);
         assert.equal(store.values.get('k'), writes - 1, 'a late copy changed the outcome');
       },
     ),
@@ -105,67 +78,81 @@
   );
 });
 
-test('a transaction that meets another leader ends the leadership', async () => {
+test('a transaction that conflicts with another leader ends the leadership', async () => {
   const store = new FlakyStore([]);
   store.versions.set(KEYS.leader, 6);
   const lost: string[] = [];
-  const writer = writerOn(store, lost);
+  const writer = writerOn(store, { lost });
   let done = false;
-  writer.enqueue({ changes: [{ put: 'k', value: 1 }], done: () => (done = true) }, 'ends');
-  for (let i = 0; i < 5; i++) await settle();
+  writer.enqueue(
+    put('k', 1, () => (done = true)),
+    'ends',
+  );
+  await settle(5);
   assert.equal(lost.length, 1);
   assert.equal(done, false);
   assert.equal(store.values.has('k'), false);
 });
 
-test('a write whose answer is lost is settled by a look, and not sent again', async () => {
+test('a transaction whose response is lost is resolved by read-back, and not sent again', async () => {
   // It was sent again after 2 s, again and again, while others read from the store what it had written.
   const store = new FlakyStore(['lost', 'late']);
   const clock = new FakeClock();
   const lost: string[] = [];
-  const writer = writerOn(store, lost, clock);
+  const writer = writerOn(store, { lost, clock });
   const done: string[] = [];
-  writer.enqueue({ changes: [{ put: 'a', value: 1 }], done: () => done.push('a') }, 'ends');
-  for (let i = 0; i < 10; i++) await settle();
+  writer.enqueue(
+    put('a', 1, () => done.push('a')),
+    'ends',
+  );
+  await settle(10);
   assert.deepEqual([done, store.sent, clock.at], [['a'], 1, 0]);
-  // One that was not carried out is sent again at once; its late copy changes nothing.
-  writer.enqueue({ changes: [{ put: 'a', value: 2 }], done: () => done.push('b') }, 'ends');
-  for (let i = 0; i < 10; i++) await settle();
+  // One that is not committed is sent again at once; its late copy changes nothing.
+  writer.enqueue(
+    put('a', 2, () => done.push('b')),
+    'ends',
+  );
+  await settle(10);
   assert.deepEqual([done, store.sent, clock.at], [['a', 'b'], 3, 0]);
-  for (const l of store.late) assert.equal(store.apply(l.conditions, l.changes).kind, 'conflict');
+  for (const transaction of store.late) assert.equal(store.apply(transaction).kind, 'conflict');
   assert.deepEqual(lost, []);
 });
 
-test('a fence that another leader moved does not confirm a write', async () => {
-  // The transaction is never carried out; another controller takes the lead and writes.
+test('a fence key that another leader has changed does not confirm a write', async () => {
+  // The transaction is never executed; another controller becomes the leader and writes.
   const store = new FlakyStore(['late']);
   const lost: string[] = [];
-  const writer = writerOn(store, lost);
+  const writer = writerOn(store, { lost });
   let done = false;
-  writer.enqueue({ changes: [{ put: 'k', value: 1 }], done: () => (done = true) }, 'ends');
+  writer.enqueue(
+    put('k', 1, () => (done = true)),
+    'ends',
+  );
   store.versions.set(KEYS.leader, 11);
   store.versions.set(KEYS.fence, 12);
   store.revision = 12;
-  for (let i = 0; i < 10; i++) await settle();
+  await settle(10);
   assert.equal(done, false);
   assert.equal(lost.length, 1);
-  for (const l of store.late) assert.equal(store.apply(l.conditions, l.changes).kind, 'conflict');
+  for (const transaction of store.late) assert.equal(store.apply(transaction).kind, 'conflict');
 });
 
-test('ends go before notes of starts, these before finished tasks, and housekeeping goes last', async () => {
+test('terminal states go before start watermarks, these before completions, and housekeeping goes last', async () => {
   const store = new FlakyStore([]);
-  const clock = new FakeClock();
-  const writer = writerOn(store, [], clock, { txnOps: 4, perSecond: 10 });
+  const writer = writerOn(store, { mutationsPerSecond: 10 });
   const order: string[] = [];
-  const push = (name: string, lane: WritePriority): void => {
-    writer.enqueue({ changes: [{ put: name, value: 1 }], done: () => order.push(name) }, lane);
+  const enqueue = (name: string, priority: WritePriority): void => {
+    writer.enqueue(
+      put(name, 1, () => order.push(name)),
+      priority,
+    );
   };
-  for (const lane of ['background', 'progress', 'starts', 'ends'] as const) {
-    for (let i = 0; i < 5; i++) push(`${lane}${i}`, lane);
+  for (const priority of ['background', 'progress', 'starts', 'ends'] as const) {
+    for (let number = 0; number < 5; number++) enqueue(`${priority}${number}`, priority);
   }
-  for (let i = 0; i < 400; i++) await settle();
-  const expected = ['ends', 'starts', 'progress', 'background'].flatMap((lane) =>
-    [0, 1, 2, 3, 4].map((i) => `${lane}${i}`),
+  await settle(400);
+  const expected = ['ends', 'starts', 'progress', 'background'].flatMap((priority) =>
+    [0, 1, 2, 3, 4].map((number) => `${priority}${number}`),
   );
   assert.deepEqual(order, expected);
 });
@@ -173,30 +160,39 @@
 test('a write to an idle store waits for nothing; many share transactions and stay within the budget', async () => {
   const store = new FlakyStore([]);
   const clock = new FakeClock();
-  const writer = writerOn(store, [], clock, { txnOps: 12, perSecond: 15 });
+  const writer = writerOn(store, { clock, maxMutations: 12, mutationsPerSecond: 15 });
   let done = 0;
-  const push = (): void => {
-    writer.enqueue({ changes: [{ put: `k${done}`, value: 1 }], done: () => (done += 1) }, 'ends');
+  const enqueue = (): void => {
+    writer.enqueue(
+      put(`k${done}`, 1, () => (done += 1)),
+      'ends',
+    );
   };
-  push();
-  for (let i = 0; i < 5; i++) await settle();
+  enqueue();
+  await settle(5);
   assert.deepEqual([done, clock.at], [1, 0]);
-  for (let i = 0; i < 110; i++) push();
-  for (let i = 0; i < 600; i++) await settle();
+  for (let number = 0; number < 110; number++) enqueue();
+  await settle(600);
   assert.equal(done, 111);
   assert.ok(store.sent <= 14, `${store.sent} transactions`);
-  // 111 changes and a fence for each transaction, less the second's worth that was there.
+  // 111 mutations and a fence mutation for each transaction, less the second's worth that was there.
   assert.ok(clock.at >= ((111 + store.sent - 15) / 15) * 1000 - 1 && clock.at < 10_000, `${clock.at} ms`);
 });
 
-test('what is written late takes the value of the moment at which it is sent', async () => {
+test('a deferred write takes the value of the moment at which its transaction is put together', async () => {
   const store = new FlakyStore([]);
-  const clock = new FakeClock();
-  const writer = writerOn(store, [], clock, { txnOps: 3, perSecond: 3 });
+  const writer = writerOn(store, { maxMutations: 3, mutationsPerSecond: 3 });
   let value = 0;
-  for (let i = 0; i < 4; i++)
-    writer.enqueue({ changes: [{ put: `k${i}`, value: i }], done: () => (value += 1) }, 'ends');
-  writer.enqueue({ bytes: 10, build: () => ({ put: 'page', value }), done: () => undefined }, 'starts');
-  for (let i = 0; i < 200; i++) await settle();
+  for (let number = 0; number < 4; number++) {
+    writer.enqueue(
+      put(`k${number}`, number, () => (value += 1)),
+      'ends',
+    );
+  }
+  writer.enqueue(
+    { kind: 'deferred', maxBytes: 10, build: () => ({ put: 'page', value }), done: () => undefined },
+    'starts',
+  );
+  await settle(200);
   assert.equal(store.values.get('page'), 4);
 });
--- a/test/store/memory.ts
+++ b/test/store/memory.ts
@@ -1,11 +1,11 @@
-import type { StoreResult, CompareAndSwapResult } from '../../src/store/key-value-store.ts';
-import type { Mutation, Condition, Item } from '../../src/wire/state.ts';
+import type { CompareAndSwapResult, StoreResult } from '../../src/store/key-value-store.ts';
+import type { Condition, Item, Mutation } from '../../src/wire/state.ts';
 
-/** The state service as the protocol has it, in memory. */
+/** The key-value store as the protocol has it, in memory. */
 export class MemoryStore {
   readonly data = new Map<string, { value: unknown; version: number }>();
   revision = 1;
-  /** Changes that were asked for, also by transactions that found a condition unmet. */
+  /** Mutations that were asked for, also by transactions whose conditions failed. */
   changes = 0;
   /** What the next transactions come to, instead of their own results. */
   readonly fates: ('over_limit' | 'lost')[] = [];
@@ -17,24 +17,24 @@
 
   compareAndSwap(
     conditions: readonly Condition[],
-    changes: readonly Mutation[],
+    mutations: readonly Mutation[],
   ): Promise<CompareAndSwapResult> {
     const fate = this.fates.shift();
     if (fate === 'over_limit') return Promise.resolve({ kind: 'refused', overLimit: true });
-    const result = this.apply(conditions, changes);
+    const result = this.apply(conditions, mutations);
     return Promise.resolve(fate === 'lost' ? { kind: 'unknown' } : result);
   }
 
-  apply(conditions: readonly Condition[], changes: readonly Mutation[]): CompareAndSwapResult {
-    this.changes += changes.length;
+  apply(conditions: readonly Condition[], mutations: readonly Mutation[]): CompareAndSwapResult {
+    this.changes += mutations.length;
     const failed = conditions
-      .filter((c) => (this.data.get(c.key)?.version ?? 0) !== c.version)
-      .map((c) => c.key);
+      .filter(({ key, version }) => (this.data.get(key)?.version ?? 0) !== version)
+      .map(({ key }) => key);
     if (failed.length > 0) return { kind: 'conflict', failed };
     this.revision += 1;
-    for (const c of changes) {
-      if ('put' in c) this.data.set(c.put, { value: c.value, version: this.revision });
-      else this.data.delete(c.delete);
+    for (const mutation of mutations) {
+      if ('put' in mutation) this.data.set(mutation.put, { value: mutation.value, version: this.revision });
+      else this.data.delete(mutation.delete);
     }
     return { kind: 'ok', revision: this.revision };
   }
--- a/test/workers/machine-registry.test.ts
+++ b/test/workers/machine-registry.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import type { Write } from '../../src/store/leader-writer.ts';
+import type { Write } from '../../src/store/write-queues.ts';
 import type { MachineIdentity } from '../../src/workers/machine.ts';
 import { MachineRegistry } from '../../src/workers/machine-registry.ts';
 import { SEED } from '../helpers.ts';
@@ -24,7 +24,7 @@
   take(): void {
     const job = this.queue.shift();
     if (!job) return;
-    for (const c of job.changes) {
+    for (const c of job.mutations) {
       this.writes += 1;
       if ('put' in c) {
         assert.ok(JSON.stringify(c.value).length <= PAGE * 1.2);
