--- a/src/store/key-value-store.ts
+++ b/src/store/key-value-store.ts
@@ -12,7 +12,7 @@
  * The call was not executed and never will be: this node's budget withheld it, the connection was refused before it
  * was sent, or the service answered that it did not execute it.
  */
-export interface Refused {
+interface Refused {
   kind: 'refused';
   /** True if it was refused for its rate: by the service (429) or by this node's own budget. */
   overLimit?: boolean;
@@ -22,7 +22,7 @@
  * No usable response: the call may have been executed, or may yet be executed, even minutes later. Only a read of
  * what it would have changed can tell.
  */
-export interface Unknown {
+interface Unknown {
   kind: 'unknown';
 }
 
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -67,7 +67,7 @@
   return decoded.ok ? { ok: true, value: toItem(decoded.value) } : decoded;
 }
 
-/** Decodes one page of a list; `more`: there are keys after this page. */
+/** Decodes one page of a list, in the order of keys; `more`: there are keys after this page. */
 export function decodeItems(text: string): Decoded<{ items: Item[]; more: boolean; revision: number }> {
   const decoded = decodeText(wireList, text);
   if (!decoded.ok) return decoded;
@@ -75,7 +75,7 @@
   return { ok: true, value: { items: rows.map(toItem), more: hasNext, revision: ledger } };
 }
 
-/** Encodes a transaction. */
+/** Encodes a transaction: all mutations at once if every condition holds, otherwise none. */
 export function encodeTransaction(conditions: readonly Condition[], mutations: readonly Mutation[]): string {
   return JSON.stringify({
     if: conditions.map((condition) => ({ k: condition.key, stamp: condition.version })),
@@ -107,12 +107,12 @@
   return decoded.ok && decoded.value.error === NO_LEASE_ERROR;
 }
 
-/** Encodes the request for a lease. */
+/** Encodes the request for a new lease; time to live in milliseconds. */
 export function encodeGrant(ttlMs: number): string {
   return JSON.stringify({ ttlMs });
 }
 
-/** Decodes the id of a granted lease. */
+/** Decodes the id of a new lease. */
 export function decodeGrant(text: string): Decoded<number> {
   const decoded = decodeText(wireGrant, text);
   return decoded.ok ? { ok: true, value: decoded.value.permit } : decoded;
