--- a/src/wire/amounts.ts
+++ b/src/wire/amounts.ts
@@ -1,13 +1,17 @@
+/** Building blocks of the codecs: types of fields, and decoding whose failure is a result. */
 import * as z from 'zod/mini';
 
+/** Length to which a reason is cut. */
+const MAX_REASON_LENGTH = 200;
+
 /** An amount of something, such as cores, GB or seconds: a number of at least 0. */
 export const amount = z.number().check(z.minimum(0));
-/** A count, revision or id. They reach 2^64 on the wire; past 2^53 they are refused, never rounded. */
+/** A count, revision or numeric id. They reach 2^64 on the wire; past 2^53 they are refused, never rounded. */
 export const count = z.int().check(z.minimum(0));
 /** A field that may be absent or null. */
 export const orNull = <T>(type: z.ZodMiniType<T>) => z.nullish(type);
 
-/** The value of a message, or in one line why it is none. Malformed messages are ordinary, so they are no errors. */
+/** A decoded message, or in one line why it is malformed. Malformed messages are ordinary, so this is no exception. */
 export type Decoded<T> = { ok: true; value: T } | { ok: false; reason: string };
 
 /** Decodes JSON text; a failure carries a one-line reason. */
@@ -21,7 +25,7 @@
   return decodeValue(type, raw);
 }
 
-/** Decodes a parsed JSON object; a failure names the first field that is off, in at most 200 characters. */
+/** Decodes a parsed JSON object; a failure names the first invalid field, in at most 200 characters. */
 export function decodeValue<T>(type: z.ZodMiniType<T>, raw: unknown): Decoded<T> {
   if (typeof raw !== 'object' || raw === null || Array.isArray(raw)) {
     return { ok: false, reason: 'body is not an object' };
@@ -30,5 +34,5 @@
   if (result.success) return { ok: true, value: result.data };
   const issue = result.error.issues[0];
   const field = issue?.path.join('.') ?? '';
-  return { ok: false, reason: `field ${field}: ${issue?.message ?? 'invalid'}`.slice(0, 200) };
+  return { ok: false, reason: `field ${field}: ${issue?.message ?? 'invalid'}`.slice(0, MAX_REASON_LENGTH) };
 }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,6 +1,14 @@
+/**
+ * Codec of the cloud's interface: the only place of its wire names. On the wire a machine type is an `oven`, a machine a
+ * `hearth`, a zone a `yard`, a spot machine `borrowed`, and the request id of a provisioning a `booking`.
+ */
 import * as z from 'zod/mini';
 import { amount, decodeText, type Decoded } from './amounts.ts';
 
+const wireMachineNames = z.object({ hearths: z.array(z.string()) });
+const wireError = z.object({ error: z.string() });
+const NO_CAPACITY_ERROR = 'no capacity';
+
 const wireCatalog = z.object({
   ovens: z.array(
     z.object({
@@ -18,43 +26,51 @@
   ),
 });
 
-/** A machine type of the cloud's catalog: memory and cache in GB, prices an hour, boot time in seconds. */
+/** A machine type of the cloud's catalog. */
 export interface MachineTypeInfo {
   name: string;
   cpus: number;
   gpus: number;
+  /** GB. */
   memory: number;
+  /** Local disk for images. */
   cacheGb: number;
+  /** Nominal rate at which images are fetched. */
   fetchGbPerS: number;
+  /** Per hour. */
   price: number;
+  /** Per hour. */
   spotPrice: number;
+  /** Nominal boot time. */
   bootS: number;
+  /** Zones in which the type is offered. */
   zones: string[];
 }
 
-/** Decodes the catalog. A type without a spot price is rented as a spot machine at its ordinary price. */
+/** Decodes the catalog. The spot price of a type without one is its ordinary price. */
 export function decodeCatalog(text: string): Decoded<MachineTypeInfo[]> {
   const decoded = decodeText(wireCatalog, text);
   if (!decoded.ok) return decoded;
   return {
     ok: true,
-    value: decoded.value.ovens.map((o) => ({
-      name: o.name,
-      cpus: o.cores,
-      gpus: o.accelerators,
-      memory: o.memGb,
-      cacheGb: o.localGb,
-      fetchGbPerS: o.pullGbPerS,
-      price: o.rate,
-      spotPrice: o.spotPrice > 0 ? o.spotPrice : o.rate,
-      bootS: o.startupS,
-      zones: o.yards,
+    value: decoded.value.ovens.map((type) => ({
+      name: type.name,
+      cpus: type.cores,
+      gpus: type.accelerators,
+      memory: type.memGb,
+      cacheGb: type.localGb,
+      fetchGbPerS: type.pullGbPerS,
+      price: type.rate,
+      spotPrice: type.spotPrice > 0 ? type.spotPrice : type.rate,
+      bootS: type.startupS,
+      zones: type.yards,
     })),
   };
 }
 
-/** A rental of `count` equal machines. Repeated under the same `request` name it rents nothing twice. */
+/** Asks for `count` equal machines. */
 export interface RentRequest {
+  /** Idempotency key: a request that is repeated under the same one provisions nothing twice. */
   request: string;
   machineType: string;
   zone: string;
@@ -62,30 +78,30 @@
   count: number;
 }
 
-/** Encodes the body of a rental. */
-export function encodeRent(r: RentRequest): string {
+/** Encodes the request that provisions machines. */
+export function encodeRent(request: RentRequest): string {
   return JSON.stringify({
-    booking: r.request,
-    oven: r.machineType,
-    yard: r.zone,
-    borrowed: r.spot,
-    count: r.count,
+    booking: request.request,
+    oven: request.machineType,
+    yard: request.zone,
+    borrowed: request.spot,
+    count: request.count,
   });
 }
 
-/** Decodes the answer to a rental: the names of the machines, which may be fewer than were asked for. */
+/** Decodes the names of the machines that were provisioned, which may be fewer than were asked for. */
 export function decodeRented(text: string): Decoded<string[]> {
-  const decoded = decodeText(z.object({ hearths: z.array(z.string()) }), text);
+  const decoded = decodeText(wireMachineNames, text);
   return decoded.ok ? { ok: true, value: decoded.value.hearths } : decoded;
 }
 
-/** True when a refused rental says that there is no capacity, rather than that the cloud is in trouble. */
+/** True when a refusal says that there is no capacity, rather than that the cloud has an outage. */
 export function isNoCapacity(text: string): boolean {
-  const decoded = decodeText(z.object({ error: z.string() }), text);
-  return decoded.ok && decoded.value.error === 'no capacity';
+  const decoded = decodeText(wireError, text);
+  return decoded.ok && decoded.value.error === NO_CAPACITY_ERROR;
 }
 
-/** Encodes the body that returns machines by name. */
+/** Encodes the request that terminates machines by name. */
 export function encodeTermination(names: readonly string[]): string {
   return JSON.stringify({ hearths: names });
 }
@@ -105,7 +121,7 @@
   hasNext: z.boolean(),
 });
 
-/** A machine in the cloud's list, which lags behind rentals and returns. `ageS`: seconds since it was rented. */
+/** A machine in the cloud's list, which lags behind provisioning and termination. */
 export interface ListedMachine {
   name: string;
   address: string;
@@ -113,10 +129,12 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
+  /** Time since the request that provisioned it, as of the list. */
   ageS: number;
 }
 
-const LIST_STATES: Record<string, ListedMachine['state']> = {
+/** States by their wire names; one that this version does not know counts as running. */
+const MACHINE_STATES: Record<string, ListedMachine['state']> = {
   starting: 'booting',
   running: 'running',
   failed: 'failed',
@@ -126,14 +144,14 @@
 export function decodeMachineList(text: string): Decoded<{ machines: ListedMachine[]; more: boolean }> {
   const decoded = decodeText(wireList, text);
   if (!decoded.ok) return decoded;
-  const machines = decoded.value.hearths.map((h) => ({
-    name: h.uid,
-    address: h.address,
-    machineType: h.oven,
-    zone: h.yard,
-    spot: h.borrowed,
-    state: LIST_STATES[h.stage] ?? 'running',
-    ageS: h.ageS,
+  const machines = decoded.value.hearths.map((machine) => ({
+    name: machine.uid,
+    address: machine.address,
+    machineType: machine.oven,
+    zone: machine.yard,
+    spot: machine.borrowed,
+    state: MACHINE_STATES[machine.stage] ?? 'running',
+    ageS: machine.ageS,
   }));
   return { ok: true, value: { machines, more: decoded.value.hasNext } };
 }
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -1,10 +1,16 @@
+/**
+ * Codec of the users' interface: the only place of its wire names. On the wire a job's class is a `batch`, its team a
+ * `crew`, its tasks `loaves`, a machine type an `oven`, a zone a `yard`, an image a `recipe`; `borrowed` allows spot
+ * machines, `samePlace` asks for one zone and `apart` for a spread over zones. Times are in seconds: `bakeS` the estimated
+ * run time, `proofS` the checkpoint interval, `coolS` the time that a checkpoint takes, `dueS` the deadline.
+ */
 import * as z from 'zod/mini';
 import { amount, decodeText, decodeValue, orNull, type Decoded } from './amounts.ts';
 
 const MAX_TASKS = 100_000;
 const JOB_ID = /^req-\d{1,20}$/;
 
-/** `daemon` is asked for by the users' checks on real processes: an array whose tasks run until it is cancelled. */
+/** `daemon` is sent by the users' checks on real processes: an array whose tasks run until it is cancelled. */
 const SHAPES = { array: 'array', ensemble: 'gang', daemon: 'array' } as const;
 const RANKS = { critical: 3, urgent: 2, standard: 1, low: 0 } as const;
 
@@ -17,6 +23,8 @@
   cancelled: 'aborted',
 };
 
+const wireJobId = z.object({ uid: z.string() });
+
 const wireJob = z.object({
   uid: z.string().check(z.regex(JOB_ID)),
   batch: z.string(),
@@ -64,77 +72,90 @@
   dueS: orNull(submittedAmount),
 });
 
-/** The user's request in the form in which it is also kept in the store. */
+/** A submission in its wire form, in which it is also kept in the key-value store. */
 type StoredJob = z.infer<typeof wireJob>;
 
-/** A job in the service's own terms; names are still names here. */
+/** A submission in the service's own terms. Teams, machine types, zones and images go by their names here. */
 export interface JobRequest {
   id: string;
   className: string;
   team: string;
   gang: boolean;
+  /** The larger, the more urgent. */
   priority: number;
+  /** Number of tasks. */
   tasks: number;
+  /** Of each task, as are `gpus` and `memory`. */
   cpus: number;
   gpus: number;
+  /** GB. */
   memory: number;
+  /** Machine types that are allowed; null: all. */
   types: string[] | null;
+  /** The zone that is asked for; null: any. */
   zone: string | null;
+  /** All tasks must run in the same zone. */
   oneZone: boolean;
+  /** At most half of the tasks, rounded up, may be in one zone. */
   spread: boolean;
+  /** Spot machines are allowed. */
   spot: boolean;
   image: string;
   imageGb: number;
+  /** The owner's estimate of a task's run time, without the image fetch. */
   estimateS: number;
+  /** Progress after which a running task saves a checkpoint; 0: it never saves. */
   checkpointIntervalS: number;
+  /** Time that a task needs to save a checkpoint when it is stopped. */
   checkpointDurationS: number;
+  /** From submission to the time at which the job should be complete; null: no deadline. */
   deadlineS: number | null;
   stored: StoredJob;
 }
 
-function toRequest(w: StoredJob): JobRequest {
+function toRequest(stored: StoredJob): JobRequest {
   return {
-    id: w.uid,
-    className: w.batch,
-    team: w.crew,
-    gang: SHAPES[w.shape] === 'gang',
-    priority: RANKS[w.rank],
-    tasks: w.loaves,
-    cpus: w.cores,
-    gpus: w.accelerators,
-    memory: w.memGb,
-    types: w.ovens ?? null,
-    zone: w.yard ?? null,
-    oneZone: w.samePlace,
-    spread: w.apart,
-    spot: w.borrowed,
-    image: w.recipe,
-    imageGb: w.imageGb,
-    estimateS: w.bakeS,
-    checkpointIntervalS: w.proofS,
-    checkpointDurationS: w.coolS,
-    deadlineS: w.dueS ?? null,
-    stored: w,
+    id: stored.uid,
+    className: stored.batch,
+    team: stored.crew,
+    gang: SHAPES[stored.shape] === 'gang',
+    priority: RANKS[stored.rank],
+    tasks: stored.loaves,
+    cpus: stored.cores,
+    gpus: stored.accelerators,
+    memory: stored.memGb,
+    types: stored.ovens ?? null,
+    zone: stored.yard ?? null,
+    oneZone: stored.samePlace,
+    spread: stored.apart,
+    spot: stored.borrowed,
+    image: stored.recipe,
+    imageGb: stored.imageGb,
+    estimateS: stored.bakeS,
+    checkpointIntervalS: stored.proofS,
+    checkpointDurationS: stored.coolS,
+    deadlineS: stored.dueS ?? null,
+    stored,
   };
 }
 
-function mapped(decoded: Decoded<StoredJob>): Decoded<JobRequest> {
+function toJobRequest(decoded: Decoded<StoredJob>): Decoded<JobRequest> {
   return decoded.ok ? { ok: true, value: toRequest(decoded.value) } : decoded;
 }
 
 /** Decodes a user's submission; a failure names the first field that is missing or invalid. */
 export function decodeJob(text: string): Decoded<JobRequest> {
-  return mapped(decodeText(wireSubmission, text));
+  return toJobRequest(decodeText(wireSubmission, text));
 }
 
 /** Decodes the record of a job that was accepted, possibly by an earlier version. */
 export function decodeStoredJob(raw: unknown): Decoded<JobRequest> {
-  return mapped(decodeValue(wireJob, raw));
+  return toJobRequest(decodeValue(wireJob, raw));
 }
 
-/** The id of a body that may otherwise be off: a known job is answered with its state whatever else is sent. */
+/** The job id in a body that may otherwise be malformed: a known job is answered with its state whatever else is sent. */
 export function peekJobId(text: string): string | null {
-  const decoded = decodeText(z.object({ uid: z.string() }), text);
+  const decoded = decodeText(wireJobId, text);
   return decoded.ok && isJobId(decoded.value.uid) ? decoded.value.uid : null;
 }
 
@@ -150,7 +171,7 @@
   running: number;
 }
 
-/** Encodes the answer to a question for a job. */
+/** Encodes the response to a submission, a cancellation or a poll of a job. */
 export function encodeStatus(id: string, status: JobStatus): string {
   return JSON.stringify({
     uid: id,
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,7 +1,12 @@
+/**
+ * Codec of the messages between workers and controllers: the only place of their wire names. On the wire a machine is a
+ * `hearth`, its type an `oven`, a zone a `yard`, a spot machine `borrowed`, an incarnation a `shift`, a heartbeat's
+ * sequence number a `tick`, a fencing token a `baton`, a task a `loaf`, a command an order, and the leader a `foreman`.
+ */
 import * as z from 'zod/mini';
 import { amount, count, decodeText, orNull, type Decoded } from './amounts.ts';
 
-/** Why a task's attempt has ended, in the service's terms. */
+/** Why a task's attempt has ended. */
 export type ExitReason =
   | 'done'
   | 'stopped'
@@ -11,6 +16,7 @@
   | 'insufficientResources'
   | 'busy'
   | 'jobUnknown';
+/** Exit reasons by their wire names. */
 const EXIT_REASONS: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
@@ -22,9 +28,9 @@
   no_such: 'jobUnknown',
 };
 
-const STAGES = ['fetching', 'waiting', 'running', 'saving', 'ended'] as const;
+const TASK_PHASES = ['fetching', 'waiting', 'running', 'saving', 'ended'] as const;
 /** Where a task's attempt stands on its machine. */
-export type TaskPhase = (typeof STAGES)[number];
+export type TaskPhase = (typeof TASK_PHASES)[number];
 
 const wireHeartbeat = z.object({
   hearth: z.string().check(z.minLength(1), z.maxLength(100)),
@@ -40,115 +46,122 @@
     z.object({
       loaf: z.string(),
       try: count,
-      stage: z.enum(STAGES),
+      stage: z.enum(TASK_PHASES),
       cause: orNull(z.string()),
       saved: orNull(z.boolean()),
     }),
   ),
 });
 
-/** One attempt of a task on a reporting worker's machine. */
+/** One attempt of a task on the machine of the worker that sends the heartbeat. */
 export interface TaskStatus {
   jobId: string;
+  /** Number of the task within its job, from 0. */
   task: number;
   attempt: number;
   phase: TaskPhase;
-  /** Set once the task has ended. A cause this version doesn't know counts as an error. */
+  /** Set once the task has ended. One that this version doesn't know counts as an error. */
   exitReason: ExitReason | null;
+  /** Its progress was saved when it was stopped. */
   checkpointed: boolean;
 }
 
-/**
- * A worker's report. `session` and `seq` order the reports of a machine; `token`: the highest it has seen.
- * `noticeS`: seconds until the cloud takes a spot machine away, or null.
- */
+/** A worker's heartbeat with the status of all its tasks. Incarnation and sequence order the heartbeats of a machine. */
 export interface Heartbeat {
   machine: string;
+  /** Host and port of the worker. */
   address: string;
   machineType: string;
   zone: string;
   spot: boolean;
   incarnation: number;
+  /** Grows with each heartbeat of an incarnation. */
   sequence: number;
+  /** The highest that the worker has seen. */
   fencingToken: number;
+  /** Seconds until the cloud reclaims a spot machine; null: no notice. */
   interruptionNoticeS: number | null;
   tasks: TaskStatus[];
 }
 
 const TASK_ID = /^(.+)\/(\d{1,6})$/;
 
-/** Decodes a report; a failure names the first field that is off. */
+/** Decodes a heartbeat; a failure names the first invalid field. */
 export function decodeHeartbeat(text: string): Decoded<Heartbeat> {
   const decoded = decodeText(wireHeartbeat, text);
   if (!decoded.ok) return decoded;
-  const w = decoded.value;
+  const wire = decoded.value;
   const tasks: TaskStatus[] = [];
-  for (const t of w.loaves) {
-    const match = TASK_ID.exec(t.loaf);
+  for (const status of wire.loaves) {
+    const match = TASK_ID.exec(status.loaf);
     const jobId = match?.[1];
     if (!match || jobId === undefined) return { ok: false, reason: 'field loaves: malformed task id' };
-    const ended = t.stage === 'ended';
+    const ended = status.stage === 'ended';
     tasks.push({
       jobId,
       task: Number(match[2]),
-      attempt: t.try,
-      phase: t.stage,
-      exitReason: ended ? (EXIT_REASONS[t.cause ?? ''] ?? 'error') : null,
-      checkpointed: t.saved ?? false,
+      attempt: status.try,
+      phase: status.stage,
+      exitReason: ended ? (EXIT_REASONS[status.cause ?? ''] ?? 'error') : null,
+      checkpointed: status.saved ?? false,
     });
   }
   return {
     ok: true,
     value: {
-      machine: w.hearth,
-      address: w.address,
-      machineType: w.oven,
-      zone: w.yard,
-      spot: w.borrowed,
-      incarnation: w.shift,
-      sequence: w.tick,
-      fencingToken: w.baton,
-      interruptionNoticeS: w.warningS ?? null,
+      machine: wire.hearth,
+      address: wire.address,
+      machineType: wire.oven,
+      zone: wire.yard,
+      spot: wire.borrowed,
+      incarnation: wire.shift,
+      sequence: wire.tick,
+      fencingToken: wire.baton,
+      interruptionNoticeS: wire.warningS ?? null,
       tasks,
     },
   };
 }
 
-/** The sequence number in a report's text, with all before and after it. Only a number without a sign or exponent. */
+/** The sequence number in a heartbeat's text. Matches only a number without a sign or exponent. */
 const SEQUENCE_FIELD = /"tick":(0|[1-9]\d{0,14})(?=[,}])/;
 const SEQUENCE_NAME = '"tick"';
 
-/** False if the number found may not be the report's own: a name is used twice, or may be written with escapes. */
+/** False if the number found may not be the heartbeat's own: a name is used twice, or may be written with escapes. */
 function namesSequenceOnce(start: string, rest: string): boolean {
   return [start, rest].every((text) => !text.includes(SEQUENCE_NAME) && !text.includes('\\'));
 }
 
 interface LastHeartbeat {
+  /** The text after the sequence number. */
   rest: string;
   heartbeat: Heartbeat;
+  /** When it was last decoded or repeated, in steady milliseconds. */
   usedAt: number;
 }
 
 /**
- * Decodes reports, and remembers the last one of each machine: most reports differ from the one before only in their
- * sequence number, and are then not decoded again. A report that isn't written that way is decoded in full.
+ * Decodes heartbeats, with a cache of the last one of each machine: most heartbeats differ from the one before only in
+ * their sequence number, and are then not decoded again. One that isn't written that way is decoded in full.
  */
 export class HeartbeatDecoder {
-  /** By the text before the sequence number, which names machine and session. */
+  /** By the text before the sequence number, which names machine and incarnation. */
   private readonly last = new Map<string, LastHeartbeat>();
   private sweptAt = -Infinity;
 
   constructor(
+    /** Steady milliseconds. */
     private readonly now: () => number,
-    /** After so long without a report of a machine its last one is dropped. */
+    /** After so many milliseconds without a heartbeat of a machine its last one is dropped. */
     private readonly keptMs: number,
   ) {}
 
-  /** Reports that are remembered. */
+  /** Heartbeats in the cache. */
   get size(): number {
     return this.last.size;
   }
 
+  /** Decodes a heartbeat as `decodeHeartbeat` does. */
   decode(text: string): Decoded<Heartbeat> {
     const sequence = SEQUENCE_FIELD.exec(text);
     if (!sequence) return decodeHeartbeat(text);
@@ -175,32 +188,36 @@
   }
 }
 
-/** An order to a worker about one attempt of a task. `graceS`: seconds to save its progress before it is killed. */
+/** A command to a worker about one attempt of a task. `graceS`: seconds to save a checkpoint before it is killed. */
 export type Command =
   | { op: 'start'; jobId: string; task: number; attempt: number }
   | { op: 'stop'; jobId: string; task: number; attempt: number; graceS: number }
   | { op: 'forget'; jobId: string; task: number; attempt: number };
 
-function encodeCommand(c: Command): object {
-  const loaf = `${c.jobId}/${c.task}`;
-  switch (c.op) {
+function encodeCommand(command: Command): object {
+  const loaf = `${command.jobId}/${command.task}`;
+  switch (command.op) {
     case 'start':
-      return { verb: 'launch', loaf, try: c.attempt };
+      return { verb: 'launch', loaf, try: command.attempt };
     case 'stop':
-      return { verb: 'stop', loaf, try: c.attempt, windDownS: c.graceS };
+      return { verb: 'stop', loaf, try: command.attempt, windDownS: command.graceS };
     case 'forget':
-      return { verb: 'clear', loaf, try: c.attempt };
+      return { verb: 'clear', loaf, try: command.attempt };
   }
 }
 
-/** Encodes the answer to a report: the orders, under the token of the leader that gives them. */
-export function encodeHeartbeatResponse(token: number, commands: readonly Command[]): string {
-  return JSON.stringify({ baton: token, orders: commands.map(encodeCommand) });
+/** Encodes the response to a heartbeat: commands under the fencing token of the leader that gives them. */
+export function encodeHeartbeatResponse(fencingToken: number, commands: readonly Command[]): string {
+  return JSON.stringify({ baton: fencingToken, orders: commands.map(encodeCommand) });
 }
 
-/** Encodes direct orders. The worker refuses them in another session, or after a higher token. */
-export function encodeCommands(token: number, session: number, commands: readonly Command[]): string {
-  return JSON.stringify({ baton: token, shift: session, orders: commands.map(encodeCommand) });
+/** Encodes direct commands. The worker refuses them in another incarnation, or after a higher fencing token. */
+export function encodeCommands(
+  fencingToken: number,
+  incarnation: number,
+  commands: readonly Command[],
+): string {
+  return JSON.stringify({ baton: fencingToken, shift: incarnation, orders: commands.map(encodeCommand) });
 }
 
 /** Encodes the body that sends a worker to the controller `node`; null: none is known. */
