--- a/src/store/fenced-transactions.ts
+++ b/src/store/fenced-transactions.ts
@@ -116,7 +116,7 @@
         if (result.failed.includes(KEYS.leader) || !inDoubt) {
           return this.leadershipLost('a transaction conflicts with another leader');
         }
-        // Only an earlier copy of this transaction can have changed the fence key.
+        // The leader key still stood, so only an earlier copy of this transaction can have changed the fence key.
         const fence = await this.host.readVersion(KEYS.fence);
         if (fence.kind === 'ok') return this.committedAt(fence.value);
       }
