--- a/test/wire/codecs.test.ts
+++ b/test/wire/codecs.test.ts
@@ -8,7 +8,7 @@
 import { SEED } from '../helpers.ts';
 import { JOB } from './sample.ts';
 
-const REPORT = {
+const HEARTBEAT = {
   hearth: 'n-000231',
   address: '10.1.0.232:9000',
   oven: 'g8',
@@ -23,7 +23,7 @@
 const withField = (base: object, field: string, value: unknown) =>
   JSON.stringify({ ...base, [field]: value });
 
-test('a job is read into the terms of the service; nullable fields may be missing, unknown ones are ignored', () => {
+test('a submission is decoded to the terms of the service; nullable fields may be missing, unknown ones are ignored', () => {
   const { yard, dueS, ovens, ...rest } = JOB;
   const read = decodeJob(JSON.stringify({ ...rest, novelty: [yard, dueS, ovens] }));
   assert.ok(read.ok);
@@ -33,13 +33,13 @@
   assert.equal(read.value.deadlineS, null);
 });
 
-test('the third shape that the users ask for on real processes is an array that ends when it is cancelled', () => {
-  // It is not on the protocol's page, and was refused as malformed until the check on real processes asked for it.
+test('the third shape, which users send on real processes only, is an array that ends when it is cancelled', () => {
+  // It is not on the protocol's page, and was rejected as malformed until the check on real processes asked for it.
   const read = decodeJob(withField(JOB, 'shape', 'daemon'));
   assert.ok(read.ok && !read.value.gang);
 });
 
-test('every job with a field that is missing or off is refused with one line', () => {
+test('a submission with a missing or invalid field is rejected with a reason of one line', () => {
   const optional = new Set(['ovens', 'yard', 'dueS']);
   for (const field of Object.keys(JOB)) {
     if (!optional.has(field)) {
@@ -76,25 +76,25 @@
   );
 });
 
-test('integers past 2^53 are refused, never rounded', () => {
-  assert.ok(decodeHeartbeat(JSON.stringify(REPORT)).ok);
-  assert.equal(decodeHeartbeat(JSON.stringify(REPORT).replace('88', '9007199254740993')).ok, false);
+test('integers past 2^53 are rejected, never rounded', () => {
+  assert.ok(decodeHeartbeat(JSON.stringify(HEARTBEAT)).ok);
+  assert.equal(decodeHeartbeat(JSON.stringify(HEARTBEAT).replace('88', '9007199254740993')).ok, false);
 });
 
-test('a known id is found in a body that is otherwise off', () => {
+test('a job id is found in a body that is otherwise malformed', () => {
   assert.equal(peekJobId('{"uid":"req-000001","loaves":"many"}'), 'req-000001');
   assert.equal(peekJobId('{"uid":"../x"}'), null);
   assert.equal(isJobId('req-000001/2'), false);
 });
 
 test('a deletion without a value is an event like any other', () => {
-  // A watch answer with a deletion was once refused whole, and the leader learnt of no job until it listed again.
+  // A watch response with a deletion was once rejected whole, and the leader learnt of no job until it listed again.
   const read = decodeEvents(
     '{"ledger":433,"log":[{"drop":"c/d","stamp":432},{"set":"c/e","data":1,"stamp":433}]}',
   );
   assert.ok(read.ok);
   assert.deepEqual(
-    read.value.events.map((e) => [e.key, e.deleted]),
+    read.value.events.map(({ key, deleted }) => [key, deleted]),
     [
       ['c/d', true],
       ['c/e', false],
--- a/test/wire/heartbeat-decoder.test.ts
+++ b/test/wire/heartbeat-decoder.test.ts
@@ -4,7 +4,7 @@
 import { decodeHeartbeat, HeartbeatDecoder } from '../../src/wire/worker.ts';
 import { SEED } from '../helpers.ts';
 
-const loaf = fc.record(
+const taskStatus = fc.record(
   {
     loaf: fc.constantFrom('req-000001/0', 'req-000002/7', 'no-task'),
     try: fc.nat(3),
@@ -16,7 +16,7 @@
   { requiredKeys: ['loaf', 'try', 'stage'] },
 );
 
-const report = fc.record(
+const heartbeat = fc.record(
   {
     hearth: fc.constantFrom('n-1', 'n-2', 'n"tick":1,'),
     address: fc.constant('10.0.0.1:9000'),
@@ -27,19 +27,20 @@
     tick: fc.oneof(fc.nat(5), fc.constantFrom(-1, 1.5, 1e21)),
     baton: fc.nat(2),
     warningS: fc.constantFrom(null, 12.5),
-    loaves: fc.array(loaf, { maxLength: 2 }),
+    loaves: fc.array(taskStatus, { maxLength: 2 }),
   },
   { requiredKeys: ['hearth', 'address', 'oven', 'yard', 'borrowed', 'shift', 'tick', 'loaves'] },
 );
 
-const withTicks = (json: string, second: string): string => json.replace(/\}$/, second);
+/** Replaces the end of a heartbeat's text, so that a second sequence number can follow. */
+const withEnd = (json: string, end: string): string => json.replace(/\}$/, end);
 
-test('a remembered report is told like one that is decoded in full', () => {
+test('a heartbeat that is decoded by way of the cache is like one that is decoded in full', () => {
   fc.assert(
     fc.property(
       fc.array(
         fc.tuple(
-          report,
+          heartbeat,
           fc.constantFrom('}', ',"tick":7}', ',"t\\u0069ck":8}', ', "tick" : 9}'),
           fc.boolean(),
         ),
@@ -47,13 +48,13 @@
       ),
       (sent) => {
         const decoder = new HeartbeatDecoder(() => 0, 1000);
-        for (const [fields, second, spaced] of sent) {
+        for (const [fields, end, spaced] of sent) {
           const json = spaced ? JSON.stringify(fields, null, 1) : JSON.stringify(fields);
-          const text = withTicks(json, second);
-          const got = decoder.decode(text);
+          const text = withEnd(json, end);
+          const cached = decoder.decode(text);
           const full = decodeHeartbeat(text);
-          assert.equal(got.ok, full.ok);
-          if (got.ok && full.ok) assert.deepEqual(got.value, full.value);
+          assert.equal(cached.ok, full.ok);
+          if (cached.ok && full.ok) assert.deepEqual(cached.value, full.value);
         }
       },
     ),
@@ -61,7 +62,7 @@
   );
 });
 
-test('what is remembered is dropped when a machine no longer reports', () => {
+test('the cache drops the heartbeat of a machine that sends no more of them', () => {
   let now = 0;
   const decoder = new HeartbeatDecoder(() => now, 1000);
   const text = (machine: number): string =>
--- a/test/wire/submissions.test.ts
+++ b/test/wire/submissions.test.ts
@@ -13,7 +13,7 @@
   withRawField,
 } from './submissions.ts';
 
-test('every valid submission is read, and its record is read back as the same job', () => {
+test('every valid submission is decoded, and its stored record is decoded to the same job', () => {
   fc.assert(
     fc.property(validSubmission, (submission) => {
       const read = decodeJob(JSON.stringify(submission));
@@ -26,7 +26,7 @@
   );
 });
 
-test('null and left out mean the same, and unknown fields change nothing', () => {
+test('a null field means the same as a missing one, and unknown fields change nothing', () => {
   fc.assert(
     fc.property(
       validSubmission,
@@ -47,7 +47,7 @@
   );
 });
 
-test('a field that is missing or invalid is named in one line, whatever the others hold', () => {
+test('a missing or invalid field is named in one line, whatever the others hold', () => {
   assert.deepEqual([...REQUIRED_FIELDS, ...OPTIONAL_FIELDS].sort(), Object.keys(JOB).sort());
   fc.assert(
     fc.property(validSubmission, (submission) => {
@@ -67,13 +67,13 @@
   );
 });
 
-test('of a field that is given twice the last one counts', () => {
+test('the last occurrence of a field counts', () => {
   const text = JSON.stringify(JOB);
   assert.equal(decodeJob(text.replace('{', '{"loaves":0,')).ok, true);
   assert.equal(decodeJob(text.replace('}', ',"loaves":0}')).ok, false);
 });
 
-test('what an earlier version accepted stays readable though a submission like it is now refused', () => {
+test('a record that an earlier version accepted stays readable though such a submission is now rejected', () => {
   // An accepted job must run: a stricter form for new submissions must not make old records malformed.
   const old = { ...JOB, batch: '', recipe: '', dueS: 1e300 };
   assert.equal(decodeJob(JSON.stringify(old)).ok, false);
