--- a/src/jobs/archive.ts
+++ b/src/jobs/archive.ts
@@ -1,6 +1,6 @@
 /** The move of old terminal records out of the place of the open ones. */
 import { KEYS } from '../store/keys.ts';
-import type { Write } from '../store/leader-writer.ts';
+import type { Write } from '../store/write-queues.ts';
 
 /** Limits, and the way to the store. */
 export interface ArchiveDeps {
@@ -44,7 +44,8 @@
     const records = this.oldest(Math.min(surplus, this.maxMovesPerTransaction()));
     this.moving = true;
     this.deps.enqueueWrite({
-      changes: records.flatMap(([id, value]) => [
+      kind: 'ready',
+      mutations: records.flatMap(([id, value]) => [
         { delete: KEYS.open(id) },
         { put: KEYS.archived(id), value },
       ]),
--- a/src/jobs/job-state-reader.ts
+++ b/src/jobs/job-state-reader.ts
@@ -1,6 +1,6 @@
 /** The job lookup that submissions, polls and cancellations share. */
 import { KEYS } from '../store/keys.ts';
-import type { Urgency } from '../store/key-value-store.ts';
+import type { Urgency } from '../store/call-budget.ts';
 import type { JobStatus } from '../wire/user.ts';
 import { unlessStale, type JobLookup, type LeaderLookup } from './job-lookup.ts';
 import { lookupFromReply, lookupRequest } from './peer-messages.ts';
--- a/src/jobs/start-watermarks.ts
+++ b/src/jobs/start-watermarks.ts
@@ -1,6 +1,6 @@
 /** Start watermarks: a write-ahead record of which tasks may have been started. */
 import { KEYS } from '../store/keys.ts';
-import type { DeferredWrite } from '../store/leader-writer.ts';
+import type { DeferredWrite } from '../store/write-queues.ts';
 import type { Item } from '../wire/state.ts';
 import { readStartWatermarks, startWatermarksValue } from './records.ts';
 
@@ -128,8 +128,9 @@
     page.queued = true;
     let callbacks: (() => void)[] = [];
     this.deps.enqueueWrite({
+      kind: 'deferred',
       // Entries can still grow in number until it is sent, up to the size of a page.
-      bytes: this.deps.pageBytes,
+      maxBytes: this.deps.pageBytes,
       build: () => {
         page.queued = false;
         callbacks = page.onDurable;
--- a/src/leader/state-recovery.ts
+++ b/src/leader/state-recovery.ts
@@ -78,7 +78,10 @@
     const [, id, chunk] = item.key.split('/');
     const job = this.parts.cluster.jobs.get(id ?? '');
     if (!job) {
-      this.deps.writer.enqueue({ changes: [{ delete: item.key }], done: () => undefined }, 'background');
+      this.deps.writer.enqueue(
+        { kind: 'ready', mutations: [{ delete: item.key }], done: () => undefined },
+        'background',
+      );
       return;
     }
     const bits = readChunk(item.value);
--- a/test/jobs/archive.test.ts
+++ b/test/jobs/archive.test.ts
@@ -3,7 +3,7 @@
 import { Archive } from '../../src/jobs/archive.ts';
 import { readTerminal, terminalValue } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { Write } from '../../src/store/leader-writer.ts';
+import type { Write } from '../../src/store/write-queues.ts';
 import { MemoryStore } from '../store/memory.ts';
 import { jobId } from './support/user-requests.ts';
 
@@ -67,8 +67,8 @@
     assert.ok(queuedWrites() <= 1, 'more than one write at once');
     const write = queue.shift();
     if (!write) continue;
-    assert.ok(write.changes.length < TXN_OPS, 'no room for the fence key');
-    assert.equal(store.apply([], write.changes).kind, 'ok');
+    assert.ok(write.mutations.length < TXN_OPS, 'no room for the fence key');
+    assert.equal(store.apply([], write.mutations).kind, 'ok');
     write.done();
     for (let number = 0; number < JOBS; number++) assert.equal(tasksDone(store, jobId(number)), number);
   }
--- a/test/jobs/start-watermarks.test.ts
+++ b/test/jobs/start-watermarks.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { StartWatermarks } from '../../src/jobs/start-watermarks.ts';
-import type { DeferredWrite } from '../../src/store/leader-writer.ts';
+import type { DeferredWrite } from '../../src/store/write-queues.ts';
 import type { Item } from '../../src/wire/state.ts';
 import { SEED } from '../helpers.ts';
 import { jobId } from './support/user-requests.ts';
@@ -25,7 +25,7 @@
     if (!write) return;
     const mutation = write.build();
     assert.ok('put' in mutation);
-    assert.ok(JSON.stringify(mutation.value).length <= write.bytes, 'a page grew past its bound');
+    assert.ok(JSON.stringify(mutation.value).length <= write.maxBytes, 'a page grew past its bound');
     this.inFlight = { write, key: mutation.put, value: structuredClone(mutation.value) };
   }
 
