--- a/src/leader/best-effort-work.ts
+++ b/src/leader/best-effort-work.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import type { IdleTask } from '../scheduling/idle-work.ts';
 import { fits, resourcesOf, allocate, type Resources } from '../scheduling/snapshot.ts';
@@ -16,7 +17,7 @@
 
   /** Work of the lowest rank of a team without a guarantee. */
   isBestEffort(job: Job): boolean {
-    const team = this.deps.teams[job.team]!;
+    const team = required(this.deps.teams[job.team], 'team of the job');
     return job.spec.priority === 0 && team.cpus === 0 && team.gpus === 0;
   }
 
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import {
   fetchTime,
   mergeReleases,
@@ -121,7 +122,7 @@
     const now = this.deps.host.clock.now();
     for (const b of this.sources.provisioner.booting()) {
       if (this.sources.cluster.unreachableZones.has(b.zone)) continue;
-      const type = this.deps.catalog.types[b.type]!;
+      const type = required(this.deps.catalog.types[b.type], 'machine type of a booting machine');
       views.push({
         machine: -1 - b.index,
         type: b.type,
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { MachineProvisioner, IdleMachine } from '../fleet/machine-provisioner.ts';
 import type { Job } from '../jobs/job.ts';
 import { selectVictims, type PreemptionCandidate } from '../scheduling/preempt.ts';
@@ -149,11 +150,12 @@
     const victims = new PreemptionCandidates(this.snapshots);
     const gangNumbers = new Map<number, number>();
     for (const p of result.placements) {
-      const job = this.cluster.jobsByIndex.get(p.job)!;
-      const machine = this.cluster.machinesByIndex[p.machine]!;
-      const view = viewOf.get(p.machine)!;
-      const group = byJob.get(p.job)!;
+      const job = required(this.cluster.jobsByIndex.get(p.job), 'placed job');
+      const machine = required(this.cluster.machinesByIndex[p.machine], 'machine of a placement');
+      const view = required(viewOf.get(p.machine), 'snapshot of the machine');
+      const group = required(byJob.get(p.job), 'task group of the job');
       if (this.preemptForCachedImage(job, group, view, machines, teamRoom, victims)) continue;
+      const headroom = required(teamRoom[group.team], 'quota headroom of the team');
       for (let i = 0; i < p.count; i++) {
         const number = (job.spec.gang ? gangNumbers.get(p.job) : undefined) ?? this.attempts.nextNumber();
         gangNumbers.set(p.job, number);
@@ -161,8 +163,8 @@
         // What is placed takes room in what the rest of this round sees.
         allocate(view.free, group.need);
         view.load += 1;
-        teamRoom[group.team]!.cpus -= group.need.cpus;
-        teamRoom[group.team]!.gpus -= group.need.gpus;
+        headroom.cpus -= group.need.cpus;
+        headroom.gpus -= group.need.gpus;
       }
       this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: p.count }, 'placed');
     }
@@ -316,7 +318,7 @@
 
   /** Stops a task so that it can save; of a gang all tasks at the same time. */
   stopGracefully(a: Attempt, reason: string): void {
-    const job = a.job!;
+    const job = required(a.job, 'job of the attempt');
     const graceS = job.spec.checkpointIntervalS > 0 ? job.spec.checkpointDurationS + 2 : 0;
     const gang = job.spec.gang ? this.cluster.gangs.get(job) : undefined;
     this.deps.host.log.info(
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import type { IdleTask } from '../scheduling/idle-work.ts';
 import type { PreemptionCandidate } from '../scheduling/preempt.ts';
@@ -68,10 +69,13 @@
       hiddenCpus += type?.cpus ?? Infinity;
       hiddenGpus += type?.gpus ?? Infinity;
     }
-    return this.deps.teams.map((team, i) => ({
-      cpus: team.cpusMax > 0 ? team.cpusMax - this.cluster.usage[i]!.cpus - hiddenCpus : Infinity,
-      gpus: team.gpusMax > 0 ? team.gpusMax - this.cluster.usage[i]!.gpus - hiddenGpus : Infinity,
-    }));
+    return this.deps.teams.map((team, index) => {
+      const usage = required(this.cluster.usage[index], 'usage of the team');
+      return {
+        cpus: team.cpusMax > 0 ? team.cpusMax - usage.cpus - hiddenCpus : Infinity,
+        gpus: team.gpusMax > 0 ? team.gpusMax - usage.gpus - hiddenGpus : Infinity,
+      };
+    });
   }
 
   /**
@@ -123,7 +127,7 @@
     }
     if (tasks === 0) return;
     for (const m of machines) {
-      const size = this.deps.catalog.types[m.type]!;
+      const size = required(this.deps.catalog.types[m.type], 'machine type of a snapshot');
       const last = m.releases.at(-1)?.inS ?? m.bootsInS;
       m.releases.push({
         inS: last + seconds / tasks,
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import { MeanWork } from '../scheduling/mean-work.ts';
 import { shareGuarantees, type GuaranteeLeft } from '../scheduling/urgency.ts';
@@ -40,8 +41,8 @@
     const ordered = [...this.cluster.jobs.values()].filter((j) => j.pendingOutcome === null);
     ordered.sort((a, b) => a.createdWall - b.createdWall);
     for (const job of ordered) {
-      const team = this.deps.teams[job.team]!;
-      const sum = used[job.team]!;
+      const team = required(this.deps.teams[job.team], 'team of the job');
+      const sum = required(used[job.team], 'usage of the team');
       const left = job.spec.tasks - job.doneCount;
       sum.cpus += job.spec.cpus * left;
       sum.gpus += job.spec.gpus * left;
@@ -128,7 +129,12 @@
         guaranteed: false,
         size: 0,
       });
-      work.note(groups.at(-1)!, spec.className, job.pendingCount * spec.estimateS, perTask || spec.gang);
+      work.note(
+        required(groups.at(-1), 'newest group'),
+        spec.className,
+        job.pendingCount * spec.estimateS,
+        perTask || spec.gang,
+      );
     }
     work.giveSizes();
     shareGuarantees(groups, this.guaranteesLeft(), scheduling.reserve_after_s * 1000);
@@ -136,10 +142,10 @@
   }
 
   private guaranteesLeft(): GuaranteeLeft[] {
-    return this.deps.teams.map((team, i) => ({
-      cpus: team.cpus > 0 ? team.cpus - this.cluster.usage[i]!.cpus : null,
-      gpus: team.gpus - this.cluster.usage[i]!.gpus,
-    }));
+    return this.deps.teams.map((team, index) => {
+      const usage = required(this.cluster.usage[index], 'usage of the team');
+      return { cpus: team.cpus > 0 ? team.cpus - usage.cpus : null, gpus: team.gpus - usage.gpus };
+    });
   }
 
   /** Room to keep at hand for classes that must start soon: groups like any other, but nothing is placed. */
