--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -10,7 +10,7 @@
   PeerLeaseLedger,
   type PeerLeaseRequest,
   type LeaderlessWriteOutcome,
-} from './peer-leases.ts';
+} from './peer-lease-ledger.ts';
 
 /** What the election needs of the state service. */
 export type LeaseStore = Pick<
