--- a/test/leadership/heartbeat-grace.test.ts
+++ b/test/leadership/heartbeat-grace.test.ts
@@ -8,7 +8,7 @@
 } from '../../src/leadership/heartbeat-grace.ts';
 import { SEED } from '../helpers.ts';
 
-test('grace and lease together stay within the time of a cancellation, whatever the settings', () => {
+test('grace and worker lease together stay within the time of a cancellation, whatever the settings', () => {
   // Counted without drift, a lease nearly as long as that time left none for slow clocks.
   const seconds = fc.double({ min: 0.5, max: 4000, noNaN: true });
   fc.assert(
