--- a/test/leadership/election-fixture.ts
+++ b/test/leadership/election-fixture.ts
@@ -16,9 +16,15 @@
   acquired?: ElectionEvents['acquired'];
   pause?: (ms: number) => Promise<void>;
   requestPeerLeases?: RequestPeerLeases;
+  onFault?: (error: unknown) => void;
 }
 
-/** An election with the default options. A failed background task fails the test. */
+/** Thrown where nobody waits, an error becomes an unhandled rejection, which fails the test. */
+function failTest(error: unknown): void {
+  assert.ifError(error);
+}
+
+/** An election with the default options. Unless the test handles it, a failed background task fails the test. */
 export function electionOnModel(sim: Sim, setup: ElectionSetup): Election {
   const { leadership } = defaultOptions();
   return new Election({
@@ -32,9 +38,6 @@
     log: silent,
     pause: setup.pause ?? ((ms) => sim.pause(ms)),
     requestPeerLeases: setup.requestPeerLeases ?? null,
-    onFault: (error) => {
-      // Thrown here it becomes an unhandled rejection, which fails the test.
-      assert.ifError(error);
-    },
+    onFault: setup.onFault ?? failTest,
   });
 }
