--- a/src/leadership/candidacy.ts
+++ b/src/leadership/candidacy.ts
@@ -3,9 +3,8 @@
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import { putLeader, putTerm } from './leader-record.ts';
 import type { LeaderlessWrite, LeaderlessWrites } from './leaderless-write.ts';
-import type { ElectionOptions } from './lease-renewal.ts';
 import type { Leadership, LeadershipState } from './leadership-state.ts';
-import { renewalValidUntil } from './lease.ts';
+import { renewalValidUntil, type LeaseOptions } from './lease.ts';
 
 /** The longest a candidate waits because it has been up for long, before the random part. */
 const MAX_UPTIME_DELAY_MS = 120;
@@ -31,7 +30,7 @@
   /** When this controller was started. */
   startedAt: number;
   random: () => number;
-  options: ElectionOptions;
+  options: LeaseOptions;
   state: LeadershipState;
   writes: LeaderlessWrites;
   pause: (ms: number) => Promise<void>;
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -11,7 +11,8 @@
 import { LeaderlessWrites, type LeaderlessWrite } from './leaderless-write.ts';
 import { LeadershipRecords } from './leader-record.ts';
 import { LeadershipState, type Leadership } from './leadership-state.ts';
-import { LeaseRenewal, type ElectionOptions } from './lease-renewal.ts';
+import { LeaseRenewal } from './lease-renewal.ts';
+import type { LeaseOptions } from './lease.ts';
 import { PeerLeaseExtension } from './peer-lease-extension.ts';
 import { PeerLeaseLedger } from './peer-lease-ledger.ts';
 import type { PeerLeaseRequest, RequestPeerLeases } from './peer-leases.ts';
@@ -40,7 +41,7 @@
   clock: Clock;
   /** Random numbers from 0 to below 1. */
   random: () => number;
-  options: ElectionOptions;
+  options: LeaseOptions;
   events: ElectionEvents;
   log: Logger;
   pause: (ms: number) => Promise<void>;
--- a/src/leadership/lease-renewal.ts
+++ b/src/leadership/lease-renewal.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../base/clock.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import type { Leadership, LeadershipState } from './leadership-state.ts';
-import { renewalValidUntil } from './lease.ts';
+import { renewalValidUntil, type LeaseOptions } from './lease.ts';
 
 /** More renewals than this are never in flight at once. */
 const MAX_RENEWALS_IN_FLIGHT = 4;
@@ -10,19 +10,11 @@
 const RETRY_STEP_MS = 100;
 const MAX_RETRY_DELAY_MS = 500;
 
-/** Times of the leader's lease. */
-export interface ElectionOptions {
-  /** Time to live of the lease, in ms. */
-  ttlMs: number;
-  /** Time from one renewal to the next, in ms. */
-  renewMs: number;
-}
-
 /** What the renewal of a lease needs from the rest of the election. */
 export interface LeaseRenewalDependencies {
   store: Pick<KeyValueStore, 'renewLease'>;
   clock: Clock;
-  options: ElectionOptions;
+  options: LeaseOptions;
   state: LeadershipState;
   pause: (ms: number) => Promise<void>;
   /** Asks the peers for leases that stand in for a renewal. */
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -4,6 +4,14 @@
  */
 import { DRIFT } from '../base/clock.ts';
 
+/** Times of the leader's lease. */
+export interface LeaseOptions {
+  /** Time to live of the lease, in ms. */
+  ttlMs: number;
+  /** Time from one renewal to the next, in ms. */
+  renewMs: number;
+}
+
 /** A controller with less of a core than this reads answers late; its lease is longer in proportion. */
 const FULL_SPEED_CORES = 0.14;
 /** However small the share of a core, the lease is at most this many times as long. */
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -149,7 +149,7 @@
     const alive = (): boolean => node.life === life;
     const rate = 1 + ((node.index % 3) - 1) * MAX_DRIFT;
     const clock = { now: () => this.sim.at * rate, wall: () => this.sim.at };
-    const store = this.store.for(node);
+    const store = this.store.storeOf(node);
     const election = electionOnModel(this.sim, {
       node: node.name,
       nonce: `${node.index}-${life}`,
--- a/test/leadership/election-lifecycle.test.ts
+++ b/test/leadership/election-lifecycle.test.ts
@@ -16,7 +16,7 @@
 function harness(): Harness {
   const sim = new Sim(SEED);
   const model = new LeaseModel(sim);
-  return { sim, model, store: model.for({ refusedUntil: 0, lossy: false }) };
+  return { sim, model, store: model.storeOf({ refusedUntil: 0, lossy: false }) };
 }
 
 const failing = (name: string) => (): Promise<never> => Promise.reject(new Error(name));
--- a/test/leadership/election.test.ts
+++ b/test/leadership/election.test.ts
@@ -92,7 +92,7 @@
   const access = { refusedUntil: 0, lossy: false, answerMs: 0 };
   let acquired = 0;
   const election = electionOnModel(sim, {
-    store: new LeaseModel(sim).for(access),
+    store: new LeaseModel(sim).storeOf(access),
     acquired: () => {
       acquired += 1;
       access.answerMs = leadership.lease_ms * 0.45;
--- a/test/leadership/lease-model.ts
+++ b/test/leadership/lease-model.ts
@@ -122,7 +122,7 @@
   }
 
   /** The store as one controller reaches it. */
-  for(access: StoreAccess): LeaseStore {
+  storeOf(access: StoreAccess): LeaseStore {
     const call = <T extends { kind: string }>(
       run: () => T,
       delayMs: number | null = null,
--- a/test/leadership/peer-leases.test.ts
+++ b/test/leadership/peer-leases.test.ts
@@ -195,7 +195,7 @@
   const access = { refusedUntil: 0, lossy: false };
   const requested: boolean[] = [];
   const election = electionOnModel(sim, {
-    store: new LeaseModel(sim).for(access),
+    store: new LeaseModel(sim).storeOf(access),
     requestPeerLeases: async ({ continuous }) => {
       requested.push(continuous);
       await sim.pause(3500);
