--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -114,7 +114,7 @@
     );
     if (result.kind === 'conflict') return this.reader.lookupInStore(job.id);
     if (result.kind === 'refused' && result.overLimit) {
-      this.deps.submissions.rest(OVER_LIMIT_REST_MS);
+      this.deps.submissions.blockFor(OVER_LIMIT_REST_MS);
       return { kind: 'rateLimited' };
     }
     if (result.kind === 'unknown') {
--- a/src/jobs/user-request-deps.ts
+++ b/src/jobs/user-request-deps.ts
@@ -2,10 +2,11 @@
 import type { Clock } from '../base/clock.ts';
 import type { Options } from '../config/options.ts';
 import type { Catalog } from '../fleet/catalog.ts';
-import type { LeaderlessWrite } from '../leadership/election.ts';
+import type { LeaderlessWrite } from '../leadership/leaderless-write.ts';
 import type { PeerReply, PeerRequest } from '../peers/frames.ts';
 import type { RateBudget } from '../store/budget.ts';
-import type { KeyValueStore, Urgency } from '../store/key-value-store.ts';
+import type { Urgency } from '../store/call-budget.ts';
+import type { KeyValueStore } from '../store/key-value-store.ts';
 import type { JobStatus } from '../wire/user.ts';
 import type { TeamQuota } from './admission.ts';
 import type { LeaderLookup } from './job-lookup.ts';
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod/mini';
 import { required } from '../base/required.ts';
 import { KEYS } from '../store/keys.ts';
-import type { Write } from '../store/leader-writer.ts';
+import type { Write } from '../store/write-queues.ts';
 import type { Item, Mutation } from '../wire/state.ts';
 import type { MachineIdentity } from './machine.ts';
 
@@ -134,7 +134,7 @@
         for (const callback of callbacks) callback();
       });
     };
-    this.deps.enqueueWrite({ changes: [mutationOf(page)], done }, urgent);
+    this.deps.enqueueWrite({ kind: 'ready', mutations: [mutationOf(page)], done }, urgent);
   }
 }
 
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -10,7 +10,7 @@
 } from '../../src/jobs/poll-batches.ts';
 import { MIN_READ_INTERVAL_MS, SharedReads } from '../../src/jobs/shared-reads.ts';
 import type { PollAnswer } from '../../src/peers/frames.ts';
-import { moreUrgent, type Urgency } from '../../src/store/key-value-store.ts';
+import { moreUrgent, type Urgency } from '../../src/store/call-budget.ts';
 import { SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
 
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -99,28 +99,26 @@
   held: HeldLeadership,
   { terminalWrites, isCurrent }: { terminalWrites: TerminalWrites; isCurrent: () => boolean },
 ): LeaderWriter {
-  const readVersion = async (key: string): Promise<number | null> => {
-    const read = await store.get(controller, key);
-    return read.kind === 'ok' ? (read.value?.version ?? 0) : null;
-  };
-  return new LeaderWriter(
-    {
+  return new LeaderWriter({
+    host: {
       compareAndSwap: terminalWrites.tracking((conditions, mutations, timeoutMs: number) =>
         store.compareAndSwap(controller, conditions, mutations, timeoutMs),
       ),
-      readLeader: () => readVersion(KEYS.leader),
-      readFence: () => readVersion(KEYS.fence),
+      readVersion: async (key) => {
+        const read = await store.get(controller, key);
+        return read.kind === 'ok' ? { kind: 'ok', value: read.value?.version ?? 0 } : read;
+      },
       lost: () => {
         if (isCurrent()) controller.stepDown();
       },
       pause: (ms) => sim.pause(ms),
     },
-    held.version,
-    state.data.get(KEYS.fence)?.version ?? 0,
-    { txnOps: SETTINGS.settings.state.txn_ops, bytes: 50_000 },
-    new RateBudget(100, () => sim.at),
-    silent,
-  );
+    leaderVersion: held.version,
+    fenceVersion: state.data.get(KEYS.fence)?.version ?? 0,
+    limits: { maxMutations: SETTINGS.settings.state.txn_ops, maxBytes: 50_000 },
+    budget: new RateBudget(100, () => sim.at),
+    log: silent,
+  });
 }
 
 /** The records are listed, and restored when the answer is there; later changes are passed on in their order. */
--- a/test/workers/machine-registry.test.ts
+++ b/test/workers/machine-registry.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import type { Write } from '../../src/store/leader-writer.ts';
+import type { Write } from '../../src/store/write-queues.ts';
 import type { MachineIdentity } from '../../src/workers/machine.ts';
 import { MachineRegistry } from '../../src/workers/machine-registry.ts';
 import { SEED } from '../helpers.ts';
@@ -35,7 +35,7 @@
   executeNext(): void {
     const write = this.queue.shift();
     if (!write) return;
-    for (const change of write.changes) {
+    for (const change of write.mutations) {
       this.writes += 1;
       if ('put' in change) {
         assert.ok(JSON.stringify(change.value).length <= PAGE_BYTES * SIZE_TOLERANCE);
