--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -19,13 +19,13 @@
 /** Different machines on which a job without any success fails before the fault is taken to be its own. */
 export const FAILING_MACHINES = 3;
 /** Jobs whose failures prove a machine to be faulty. */
-export const FAULTY_JOBS = 2;
+const FAULTY_JOBS = 2;
 /** Jobs whose failures, proven or not, quarantine a machine. */
-export const QUARANTINE_JOBS = 3;
+const QUARANTINE_JOBS = 3;
 /** How long after its last failure a quarantined machine takes no new tasks, in milliseconds. */
-export const QUARANTINE_MS = 60_000;
+const QUARANTINE_MS = 60_000;
 /** Delay of the second retry, in milliseconds; the first one is made at once, on another machine. */
-export const RETRY_BASE_MS = 2000;
+const RETRY_BASE_MS = 2000;
 /** Greatest delay between two attempts, in milliseconds. */
 export const RETRY_MAX_MS = 60_000;
 /** Doublings of the delay that are ever counted; the greatest delay is reached long before. */
