--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -199,9 +199,9 @@
       peers.names.length === settings.settings.nodes - 1
         ? async (request) => {
             const asked = peers.names.map((name) =>
-              peers.call(name, { kind: 'promise', ...request }, PEER_LEASE_TIMEOUT_MS),
+              peers.call(name, { kind: 'grantPeerLease', ...request }, PEER_LEASE_TIMEOUT_MS),
             );
-            return (await Promise.all(asked)).map((reply) => reply?.kind === 'promised');
+            return (await Promise.all(asked)).map((reply) => reply?.kind === 'granted');
           }
         : null,
     );
@@ -271,29 +271,29 @@
   onPeerRequest(request: PeerRequest, reply: (reply: PeerReply) => void): void {
     this.commands.enqueue(() => {
       if (request.kind === 'ping') {
-        reply({ kind: 'here' });
+        reply({ kind: 'ack' });
         return;
       }
-      if (request.kind === 'workers') {
+      if (request.kind === 'workerContact') {
         const lately =
           this.heartbeats.directHeartbeatAgeMs() < this.settings.settings.workers.report_s * 1000;
-        reply({ kind: lately ? 'here' : 'unable' });
+        reply({ kind: lately ? 'ack' : 'unavailable' });
         return;
       }
-      if (request.kind === 'polls') {
-        reply({ kind: 'answers', answers: this.answerPolls(request.jobIds) });
+      if (request.kind === 'pollBatch') {
+        reply({ kind: 'pollAnswers', answers: this.answerPolls(request.jobIds) });
         return;
       }
-      if (request.kind === 'reports') {
-        this.heartbeats.onRelayedHeartbeats(request.node, request.reports, reply);
+      if (request.kind === 'heartbeats') {
+        this.heartbeats.onRelayedHeartbeats(request.node, request.heartbeats, reply);
         return;
       }
-      if (request.kind !== 'promise') {
+      if (request.kind !== 'grantPeerLease') {
         this.userRequests.onPeerRequest(request, reply);
         return;
       }
       void this.election.grantPeerLease(request).then((given) => {
-        reply({ kind: given ? 'promised' : 'unable' });
+        reply({ kind: given ? 'granted' : 'unavailable' });
       });
     });
   }
@@ -337,9 +337,9 @@
     this.askedOthersAt = this.clock.now();
     const heard = await callAny(
       this.platform.peers,
-      { kind: 'workers' },
+      { kind: 'workerContact' },
       PEER_LEASE_TIMEOUT_MS,
-      (r) => r.kind === 'here',
+      (r) => r.kind === 'ack',
     );
     if (heard && this.isCurrent(held))
       this.election.stepDownFor(NO_CANDIDACY_MS, 'workers reach others only');
@@ -352,21 +352,21 @@
   }
 
   private async sendPolls(jobIds: string[]): Promise<readonly PollAnswer[] | null> {
-    const reply = await this.callLeader({ kind: 'polls', jobIds }, this.options.users.forward_ms);
-    return reply?.kind === 'answers' ? reply.answers : null;
+    const reply = await this.callLeader({ kind: 'pollBatch', jobIds }, this.options.users.forward_ms);
+    return reply?.kind === 'pollAnswers' ? reply.answers : null;
   }
 
   private answerPolls(jobIds: readonly string[]): PollAnswer[] {
     return answerBatch(jobIds, (jobId, reply) => {
       this.userRequests.onPeerRequest({ kind: 'poll', jobId }, (answer) => {
-        reply(answer.kind === 'status' || answer.kind === 'unknown' ? answer : { kind: 'unable' });
+        reply(answer.kind === 'status' || answer.kind === 'notFound' ? answer : { kind: 'unavailable' });
       });
     });
   }
 
   private async callOtherControllers(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     if (this.clock.now() - this.othersFailedAt < OTHERS_PAUSE_MS) return null;
-    const reply = await callAny(this.platform.peers, request, timeoutMs, (r) => r.kind !== 'unable');
+    const reply = await callAny(this.platform.peers, request, timeoutMs, (r) => r.kind !== 'unavailable');
     if (!reply) this.othersFailedAt = this.clock.now();
     return reply;
   }
--- a/src/controller/heartbeat-handler.ts
+++ b/src/controller/heartbeat-handler.ts
@@ -101,13 +101,13 @@
     const machines = leader?.machineCount ?? null;
     // Until the state is read nothing is known, not even whether followers are to go on.
     if (!leader || machines === null) {
-      reply({ kind: 'unable' });
+      reply({ kind: 'unavailable' });
       return;
     }
     this.balancer.noteRelayed(follower, bodies.length);
     const judged = this.answerAll(leader, bodies);
     const goOn = bodies.length > 0 && this.isSettling(leader);
-    reply({ kind: 'judged', relay: this.balancer.relay(machines) || goOn, judged });
+    reply({ kind: 'heartbeatResponses', relay: this.balancer.relay(machines) || goOn, responses: judged });
   }
 
   /**
@@ -137,9 +137,11 @@
     timeoutMs: number,
   ): Promise<RelayReply | null> {
     if (leader === this.deps.node) return null;
-    const request: PeerRequest = { kind: 'reports', node: this.deps.node, reports };
+    const request: PeerRequest = { kind: 'heartbeats', node: this.deps.node, heartbeats: reports };
     const answer = await this.deps.call(leader, request, timeoutMs);
-    return answer?.kind === 'judged' && answer.judged.length === reports.length ? answer : null;
+    return answer?.kind === 'heartbeatResponses' && answer.responses.length === reports.length
+      ? answer
+      : null;
   }
 
   /** Answers of a batch, as many as surely fit a frame; the others are refused without being judged. */
--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -62,14 +62,14 @@
 
 /**
  * Answers a batch from what is known without waiting. A job whose state takes a while to find out is answered
- * `unable`, so that one of them doesn't hold up all others; the asking controller then finds it out by itself.
+ * `unavailable`, so that one of them doesn't hold up all others; the asking controller then finds it out by itself.
  */
 export function answerBatch(
   jobIds: readonly string[],
   answerOne: (jobId: string, reply: (answer: PollAnswer) => void) => void,
 ): PollAnswer[] {
   return jobIds.map((jobId) => {
-    let answer: PollAnswer = { kind: 'unable' };
+    let answer: PollAnswer = { kind: 'unavailable' };
     answerOne(jobId, (found) => {
       answer = found;
     });
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -219,13 +219,13 @@
     if (looked.kind !== 'unable') return looked;
     const { forward_ms } = this.deps.options.users;
     return this.timely(async () =>
-      this.lookedBy(await this.deps.callOthers({ kind: 'look', jobId: id }, forward_ms)),
+      this.lookedBy(await this.deps.callOthers({ kind: 'lookup', jobId: id }, forward_ms)),
     );
   }
 
   private lookedBy(reply: PeerReply | null): JobLookup {
     if (reply?.kind === 'status') return { kind: 'status', status: reply };
-    return { kind: reply?.kind === 'unknown' ? 'missing' : 'unable' };
+    return { kind: reply?.kind === 'notFound' ? 'missing' : 'unable' };
   }
 
   private look(id: string, urgency: Urgency = 'user'): Promise<JobLookup> {
@@ -332,18 +332,18 @@
   // ---- requests handed over by other nodes ----
 
   onPeerRequest(
-    request: Exclude<PeerRequest, { kind: 'promise' | 'ping' | 'workers' | 'polls' }>,
+    request: Exclude<PeerRequest, { kind: 'grantPeerLease' | 'ping' | 'workerContact' | 'pollBatch' }>,
     reply: (reply: PeerReply) => void,
   ): void {
     const answer = (looked: JobLookup): void => {
       if (looked.kind === 'status') reply({ kind: 'status', created: false, ...looked.status });
-      else reply({ kind: looked.kind === 'missing' ? 'unknown' : 'unable' });
+      else reply({ kind: looked.kind === 'missing' ? 'notFound' : 'unavailable' });
     };
     if (request.kind === 'poll') {
       // Anything but a certain state sends the asking node to the store.
       const known = this.view(request.jobId);
       answer(known.kind === 'status' ? known : { kind: 'unable' });
-    } else if (request.kind === 'look') {
+    } else if (request.kind === 'lookup') {
       const known = this.view(request.jobId);
       if (known.kind === 'status') answer(known);
       else void this.look(request.jobId, 'poll').then(answer);
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -14,7 +14,7 @@
 /** What the leader answers to a batch: whether more reports are to be handed on, and one answer for each. */
 export interface RelayReply {
   relay: boolean;
-  judged: readonly HeartbeatResponse[];
+  responses: readonly HeartbeatResponse[];
 }
 
 /** What the relay needs of the node it runs on. */
@@ -95,7 +95,7 @@
     void this.deps.send(leader, bodies, MOST_AGE_MS).then((answer) => {
       this.learn(answer);
       batch.forEach((report, index) => {
-        report.reply(this.answerFor(report, leader, answer?.judged[index]));
+        report.reply(this.answerFor(report, leader, answer?.responses[index]));
       });
     });
   }
--- a/test/golden/frames.test.ts
+++ b/test/golden/frames.test.ts
@@ -28,17 +28,21 @@
   ],
   [
     'batch of polls',
-    asRequest(2, { kind: 'polls', jobIds: ['req-000412', 'req-000413', ''] }),
+    asRequest(2, { kind: 'pollBatch', jobIds: ['req-000412', 'req-000413', ''] }),
     '0000002404020e0000000006147265712d303030343132147265712d303030343133000000000000',
   ],
-  ['empty batch of polls', asRequest(3, { kind: 'polls', jobIds: [] }), '0000000c06020e000000000000000000'],
+  [
+    'empty batch of polls',
+    asRequest(3, { kind: 'pollBatch', jobIds: [] }),
+    '0000000c06020e000000000000000000',
+  ],
   [
     'lookup in the store',
-    asRequest(64, { kind: 'look', jobId: 'req-000412' }),
+    asRequest(64, { kind: 'lookup', jobId: 'req-000412' }),
     '0000001780010208147265712d3030303431320000000000000000',
   ],
   ['sign of life', asRequest(5, { kind: 'ping' }), '0000000c0a020a000000000000000000'],
-  ['question for workers', asRequest(6, { kind: 'workers' }), '0000000c0c020c000000000000000000'],
+  ['question for workers', asRequest(6, { kind: 'workerContact' }), '0000000c0c020c000000000000000000'],
   [
     'cancellation',
     asRequest(7, { kind: 'cancel', jobId: 'req-000412' }),
@@ -51,22 +55,22 @@
   ],
   [
     'batch of reports of workers',
-    asRequest(9, { kind: 'reports', node: 'hearth-2', reports: [REPORT, '{}'] }),
+    asRequest(9, { kind: 'heartbeats', node: 'hearth-2', heartbeats: [REPORT, '{}'] }),
     '000000ad120210000000000000106865617274682d3204a6027b22686561727468223a226e2d303030323331222c2261646472657373223a2231302e312e302e3233323a39303030222c226f76656e223a226738222c2279617264223a2261222c22626f72726f776564223a747275652c227368696674223a312c227469636b223a38382c226261746f6e223a34312c227761726e696e6753223a6e756c6c2c226c6f61766573223a5b5d7d047b7d0000',
   ],
   [
     'empty batch of reports',
-    asRequest(10, { kind: 'reports', node: 'hearth-2', reports: [] }),
+    asRequest(10, { kind: 'heartbeats', node: 'hearth-2', heartbeats: [] }),
     '00000014140210000000000000106865617274682d320000',
   ],
   [
     'request for abstention',
-    asRequest(11, { kind: 'promise', term: 41, ms: 5000, continuous: true }),
+    asRequest(11, { kind: 'grantPeerLease', term: 41, ms: 5000, continuous: true }),
     '0000000d160206000052904e0001000000',
   ],
   [
     'request for abstention after a gap',
-    asRequest(12, { kind: 'promise', term: 2 ** 33, ms: 0, continuous: false }),
+    asRequest(12, { kind: 'grantPeerLease', term: 2 ** 33, ms: 0, continuous: false }),
     '0000001018020600008080808040000000000000',
   ],
   [
@@ -89,24 +93,24 @@
     asReply(16, { kind: 'status', created: false, stage: 'cancelled', done: 5, running: 0 }),
     '0000000d2000020000060a000000000000',
   ],
-  ['unknown job', asReply(17, { kind: 'unknown' }), '0000000d22000204000000000000000000'],
-  ['no decision now', asReply(18, { kind: 'unable' }), '0000000d24000206000000000000000000'],
+  ['unknown job', asReply(17, { kind: 'notFound' }), '0000000d22000204000000000000000000'],
+  ['no decision now', asReply(18, { kind: 'unavailable' }), '0000000d24000206000000000000000000'],
   [
     'refusal',
     asReply(19, { kind: 'refused', status: 422, reason: 'no such crew' }),
     '0000001a2600020200000000cc06186e6f20737563682063726577000000',
   ],
-  ['abstention granted', asReply(20, { kind: 'promised' }), '0000000d28000208000000000000000000'],
-  ['sign of life answered', asReply(21, { kind: 'here' }), '0000000d2a00020a000000000000000000'],
+  ['abstention granted', asReply(20, { kind: 'granted' }), '0000000d28000208000000000000000000'],
+  ['sign of life answered', asReply(21, { kind: 'ack' }), '0000000d2a00020a000000000000000000'],
   [
     'answers to a batch of polls',
     asReply(22, {
-      kind: 'answers',
+      kind: 'pollAnswers',
       answers: [
         { kind: 'status', created: false, stage: 'pending', done: 0, running: 0 },
         { kind: 'status', created: false, stage: 'running', done: 1, running: 2 },
-        { kind: 'unknown' },
-        { kind: 'unable' },
+        { kind: 'notFound' },
+        { kind: 'unavailable' },
         { kind: 'status', created: false, stage: 'done', done: 16, running: 0 },
         { kind: 'status', created: false, stage: 'cancelled', done: 300, running: 0 },
       ],
@@ -115,15 +119,15 @@
   ],
   [
     'answers to an empty batch of polls',
-    asReply(23, { kind: 'answers', answers: [] }),
+    asReply(23, { kind: 'pollAnswers', answers: [] }),
     '0000000d2e00020c000000000000000000',
   ],
   [
     'answers to a batch of reports',
     asReply(24, {
-      kind: 'judged',
+      kind: 'heartbeatResponses',
       relay: true,
-      judged: [
+      responses: [
         { status: 200, body: '{"baton":41,"orders":[]}' },
         { status: 503, body: '' },
       ],
@@ -132,7 +136,7 @@
   ],
   [
     'answers to an empty batch of reports, and no more of them',
-    asReply(25, { kind: 'judged', relay: false, judged: [] }),
+    asReply(25, { kind: 'heartbeatResponses', relay: false, responses: [] }),
     '0000000d3200020e000000000000000000',
   ],
 ];
@@ -168,7 +172,7 @@
 
 test('inside a batch no answer says that a job was just created', () => {
   const frame = asReply(26, {
-    kind: 'answers',
+    kind: 'pollAnswers',
     answers: [{ kind: 'status', created: true, stage: 'pending', done: 0, running: 0 }],
   });
   const hex = '000000123400020c0000000000000000020000000000';
--- a/test/jobs/bad-submissions.test.ts
+++ b/test/jobs/bad-submissions.test.ts
@@ -53,10 +53,12 @@
   };
   const askOthers: UserRequestDeps['callOthers'] = (request) => {
     const { other } = situation;
-    if (!other || request.kind !== 'look') return Promise.resolve(null);
+    if (!other || request.kind !== 'lookup') return Promise.resolve(null);
     const found = other.has(KEYS.open(request.jobId));
     return Promise.resolve(
-      found ? { kind: 'status', created: false, stage: 'pending', done: 0, running: 0 } : { kind: 'unknown' },
+      found
+        ? { kind: 'status', created: false, stage: 'pending', done: 0, running: 0 }
+        : { kind: 'notFound' },
     );
   };
   const userRequests = new UserRequests({
--- a/test/jobs/controllers.ts
+++ b/test/jobs/controllers.ts
@@ -199,8 +199,8 @@
       now,
       after,
       send: async (jobIds) => {
-        const reply = await this.askLeader(c, { kind: 'polls', jobIds }, users.forward_ms);
-        return reply?.kind === 'answers' ? reply.answers : null;
+        const reply = await this.askLeader(c, { kind: 'pollBatch', jobIds }, users.forward_ms);
+        return reply?.kind === 'pollAnswers' ? reply.answers : null;
       },
     });
     const reads = new SharedReads<StoreResult<Item | null>, Urgency>({
@@ -230,7 +230,7 @@
         const others = this.nodes.filter((n) => n !== c);
         const asked = others.map(async (n) => {
           const reply = await this.askNode(c, n, request, timeoutMs);
-          if (!reply || reply.kind === 'unable') throw new Error('no use');
+          if (!reply || reply.kind === 'unavailable') throw new Error('no use');
           return reply;
         });
         return Promise.any(asked).catch(() => null);
@@ -245,17 +245,18 @@
 
   /** As a controller answers another one. */
   private answerNode(asked: Controller, request: PeerRequest, reply: (reply: PeerReply) => void): void {
-    if (request.kind === 'promise' || request.kind === 'ping' || request.kind === 'workers') return;
-    if (request.kind !== 'polls') {
+    if (request.kind === 'grantPeerLease' || request.kind === 'ping' || request.kind === 'workerContact')
+      return;
+    if (request.kind !== 'pollBatch') {
       asked.userRequests.onPeerRequest(request, reply);
       return;
     }
     const answerOne = (id: string, answered: (answer: PollAnswer) => void): void => {
       asked.userRequests.onPeerRequest({ kind: 'poll', jobId: id }, (found) => {
-        answered(found.kind === 'status' || found.kind === 'unknown' ? found : { kind: 'unable' });
+        answered(found.kind === 'status' || found.kind === 'notFound' ? found : { kind: 'unavailable' });
       });
     };
-    reply({ kind: 'answers', answers: answerBatch(request.jobIds, answerOne) });
+    reply({ kind: 'pollAnswers', answers: answerBatch(request.jobIds, answerOne) });
   }
 
   private askNode(
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -157,12 +157,12 @@
   const later: ((answer: PollAnswer) => void)[] = [];
   const answers = answerBatch(['a', 'slow', 'b'], (id, reply) => {
     if (id === 'slow') later.push(reply);
-    else reply({ kind: 'unknown' });
+    else reply({ kind: 'notFound' });
   });
   assert.deepEqual(
     answers.map((a) => a.kind),
-    ['unknown', 'unable', 'unknown'],
+    ['notFound', 'unavailable', 'notFound'],
   );
-  later[0]!({ kind: 'unknown' });
-  assert.equal(answers[1]!.kind, 'unable');
+  later[0]!({ kind: 'notFound' });
+  assert.equal(answers[1]!.kind, 'unavailable');
 });
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -98,12 +98,12 @@
   assert.equal((JSON.parse(cancel.body) as { stage: string }).stage, 'aborted');
   assert.deepEqual(
     helped.asked.map((r) => r.kind),
-    ['look', 'submit', 'cancel'],
+    ['lookup', 'submit', 'cancel'],
   );
 });
 
 test('a job is unknown only if somebody looked and found nothing; else the answer is 503 at once', async () => {
-  const unknown = refused(() => ({ kind: 'unknown' }));
+  const unknown = refused(() => ({ kind: 'notFound' }));
   const poll = (userRequests: UserRequests): Promise<Answer> =>
     answer((reply) => {
       userRequests.poll('req-000002', reply);
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -207,12 +207,12 @@
     const { election, userRequests, life } = to;
     if (!election || !userRequests) return null;
     const reply = await new Promise<PeerReply>((resolve) => {
-      if (request.kind === 'promise')
+      if (request.kind === 'grantPeerLease')
         void election
           .grantPeerLease(request)
-          .then((given) => resolve({ kind: given ? 'promised' : 'unable' }));
-      else if (request.kind === 'ping' || request.kind === 'workers') resolve({ kind: 'here' });
-      else if (request.kind === 'polls') resolve({ kind: 'unable' });
+          .then((given) => resolve({ kind: given ? 'granted' : 'unavailable' }));
+      else if (request.kind === 'ping' || request.kind === 'workerContact') resolve({ kind: 'ack' });
+      else if (request.kind === 'pollBatch') resolve({ kind: 'unavailable' });
       else userRequests.onPeerRequest(request, resolve);
     });
     await delay();
@@ -227,12 +227,12 @@
     const others = this.nodes.filter((n) => n !== node);
     const replies = others.map((n) => {
       const late = this.pause(node, alive, ASK_MS).then(() => null);
-      return Promise.race([this.ask(node, n, { kind: 'promise', ...request }), late]);
+      return Promise.race([this.ask(node, n, { kind: 'grantPeerLease', ...request }), late]);
     });
     const answers = await Promise.all(replies);
     // A stalled process reads what came meanwhile once it goes on.
     await this.pause(node, alive, 0);
-    return answers.map((reply) => reply?.kind === 'promised');
+    return answers.map((reply) => reply?.kind === 'granted');
   }
 
   /**
--- a/test/peers/frames.test.ts
+++ b/test/peers/frames.test.ts
@@ -14,24 +14,24 @@
   done: fc.nat(),
   running: fc.nat(),
 });
-const unanswered = fc.record({ kind: fc.constantFrom('unknown' as const, 'unable' as const) });
+const unanswered = fc.record({ kind: fc.constantFrom('notFound' as const, 'unavailable' as const) });
 const frame: fc.Arbitrary<PeerFrame> = fc.oneof(
   fc.record({
     id,
     request: fc.oneof(
       fc.record({
-        kind: fc.constantFrom('poll' as const, 'cancel' as const, 'look' as const),
+        kind: fc.constantFrom('poll' as const, 'cancel' as const, 'lookup' as const),
         jobId: fc.string(),
       }),
-      fc.record({ kind: fc.constantFrom('ping' as const, 'workers' as const) }),
+      fc.record({ kind: fc.constantFrom('ping' as const, 'workerContact' as const) }),
       fc.record({ kind: fc.constant('submit' as const), jobId: fc.string(), body: fc.string() }),
       fc.record({
-        kind: fc.constant('promise' as const),
+        kind: fc.constant('grantPeerLease' as const),
         term: fc.nat(),
         ms: fc.nat(),
         continuous: fc.boolean(),
       }),
-      fc.record({ kind: fc.constant('polls' as const), jobIds: fc.array(fc.string()) }),
+      fc.record({ kind: fc.constant('pollBatch' as const), jobIds: fc.array(fc.string()) }),
     ),
     reply: fc.constant(null),
   }),
@@ -47,12 +47,17 @@
         running: fc.nat(),
       }),
       fc.record({
-        kind: fc.constant('answers' as const),
+        kind: fc.constant('pollAnswers' as const),
         answers: fc.array(fc.oneof(status, unanswered)),
       }),
       fc.record({ kind: fc.constant('refused' as const), status: fc.nat(), reason: fc.string() }),
       fc.record({
-        kind: fc.constantFrom('unknown' as const, 'unable' as const, 'promised' as const, 'here' as const),
+        kind: fc.constantFrom(
+          'notFound' as const,
+          'unavailable' as const,
+          'granted' as const,
+          'ack' as const,
+        ),
       }),
     ),
   }),
@@ -79,10 +84,10 @@
 });
 
 test('a bad frame closes its own connection and nothing else', async () => {
-  const server = new PeerRpc([], (_request, reply) => reply({ kind: 'unknown' }), silent);
+  const server = new PeerRpc([], (_request, reply) => reply({ kind: 'notFound' }), silent);
   await server.listen('127.0.0.1:0');
   const client = new PeerRpc([{ name: 'n', address: `127.0.0.1:${server.port()}` }], () => undefined, silent);
-  assert.deepEqual(await client.call('n', { kind: 'poll', jobId: 'x' }, 5000), { kind: 'unknown' });
+  assert.deepEqual(await client.call('n', { kind: 'poll', jobId: 'x' }, 5000), { kind: 'notFound' });
   await new Promise<void>((resolve) => {
     const bad = connect(server.port(), '127.0.0.1', () => bad.write(Buffer.alloc(8, 255)));
     bad.on('close', () => {
@@ -90,7 +95,7 @@
     });
     bad.on('error', () => undefined);
   });
-  assert.deepEqual(await client.call('n', { kind: 'cancel', jobId: 'x' }, 5000), { kind: 'unknown' });
+  assert.deepEqual(await client.call('n', { kind: 'cancel', jobId: 'x' }, 5000), { kind: 'notFound' });
   assert.equal(await client.call('nobody', { kind: 'poll', jobId: 'x' }, 5000), null);
   client.close();
   server.close();
--- a/test/relay/heartbeat-relay.test.ts
+++ b/test/relay/heartbeat-relay.test.ts
@@ -39,7 +39,7 @@
   /** The leader wants reports to be handed on. */
   async wanted(): Promise<void> {
     this.relay.take('first', () => undefined);
-    this.batches.pop()!.answer({ relay: true, judged: [] });
+    this.batches.pop()!.answer({ relay: true, responses: [] });
     await this.pass(1000);
   }
 }
@@ -63,14 +63,14 @@
           await bench.pass(gapMs);
           for (const batch of bench.batches.splice(0)) {
             frames += 1;
-            const request = { kind: 'reports' as const, node: 'n', reports: batch.reports };
+            const request = { kind: 'heartbeats' as const, node: 'n', heartbeats: batch.reports };
             assert.ok(encodeFrame({ id: 1, request, reply: null }).length <= MAX_FRAME);
-            batch.answer({ relay: true, judged: judgedLike(batch.reports) });
+            batch.answer({ relay: true, responses: judgedLike(batch.reports) });
           }
         }
         await bench.pass(100);
         for (const batch of bench.batches.splice(0))
-          batch.answer({ relay: true, judged: judgedLike(batch.reports) });
+          batch.answer({ relay: true, responses: judgedLike(batch.reports) });
         await bench.pass(0);
         assert.equal(answers.size, sizes.length);
         for (const [key, answer] of answers) {
@@ -89,12 +89,12 @@
     async (bench, batch) => {
       // The process stood still while the answer waited.
       bench.at += MOST_AGE_MS + 1;
-      batch.answer({ relay: true, judged: judgedLike(batch.reports) });
+      batch.answer({ relay: true, responses: judgedLike(batch.reports) });
       await bench.pass(0);
     },
     async (bench, batch) => {
       bench.leader = 'two';
-      batch.answer({ relay: true, judged: judgedLike(batch.reports) });
+      batch.answer({ relay: true, responses: judgedLike(batch.reports) });
       await bench.pass(0);
     },
     async (bench, batch) => {
@@ -102,7 +102,7 @@
       await bench.pass(0);
     },
     async (bench, batch) => {
-      batch.answer({ relay: true, judged: [] });
+      batch.answer({ relay: true, responses: [] });
       await bench.pass(0);
     },
   ];
@@ -125,10 +125,10 @@
   const bench = new Bench();
   const take = (): boolean => bench.relay.take('report', () => undefined);
   assert.equal(take(), false);
-  bench.batches.pop()!.answer({ relay: false, judged: [] });
+  bench.batches.pop()!.answer({ relay: false, responses: [] });
   await bench.pass(1000);
   assert.equal(take(), false);
-  bench.batches.pop()!.answer({ relay: true, judged: [] });
+  bench.batches.pop()!.answer({ relay: true, responses: [] });
   await bench.pass(0);
   assert.equal(take(), true);
   bench.leader = null;
@@ -139,7 +139,7 @@
   await bench.pass(50);
   const batch = bench.batches.pop()!;
   assert.equal(batch.leader, 'two');
-  batch.answer({ relay: false, judged: judgedLike(batch.reports) });
+  batch.answer({ relay: false, responses: judgedLike(batch.reports) });
   await bench.pass(0);
   assert.equal(take(), false);
   // At most one question a second.
@@ -155,11 +155,11 @@
       fc.boolean(),
       fc.integer({ min: 200, max: 599 }),
       (texts, relay, status) => {
-        const request = { kind: 'reports' as const, node: 'hearth-1', reports: texts };
+        const request = { kind: 'heartbeats' as const, node: 'hearth-1', heartbeats: texts };
         const reply = {
-          kind: 'judged' as const,
+          kind: 'heartbeatResponses' as const,
           relay,
-          judged: texts.map((body) => ({ status, body })),
+          responses: texts.map((body) => ({ status, body })),
         };
         const bytes = Buffer.concat([
           encodeFrame({ id: 1, request, reply: null }),
