--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -12,7 +12,7 @@
 import { cancellationCanHold, heartbeatGraceMs } from '../leadership/heartbeat-grace.ts';
 import { answerBatch, PollBatcher } from '../jobs/poll-batches.ts';
 import { SharedReads } from '../jobs/shared-reads.ts';
-import type { PeerReply, PeerRequest, PollAnswer } from '../peers/frames.ts';
+import type { PeerReply, PeerRequest, PollAnswer } from '../peers/messages.ts';
 import { callAny } from '../peers/peers.ts';
 import { Connectivity } from '../peers/connectivity.ts';
 import { LEADER_WRITES, RateBudget, submissionBudget } from '../store/budget.ts';
--- a/src/controller/heartbeat-handler.ts
+++ b/src/controller/heartbeat-handler.ts
@@ -3,7 +3,7 @@
 import { CountedLog, type Logger } from '../base/log.ts';
 import { failure, type Answer, type Reply } from '../http/server.ts';
 import type { Leader } from '../leader/leader.ts';
-import type { HeartbeatResponse, PeerReply, PeerRequest } from '../peers/frames.ts';
+import type { HeartbeatResponse, PeerReply, PeerRequest } from '../peers/messages.ts';
 import { HeartbeatRelay, type RelayReply } from '../relay/heartbeat-relay.ts';
 import { WorkerBalancer, workerCapacity } from '../relay/worker-balancer.ts';
 import { encodeHeartbeatResponse, encodeRedirect, HeartbeatDecoder } from '../wire/worker.ts';
--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -1,5 +1,5 @@
 import { BatchPacer, type PacerTimers } from '../base/batch-pacer.ts';
-import type { PollAnswer } from '../peers/frames.ts';
+import type { PollAnswer } from '../peers/messages.ts';
 
 /** Least time between two batches to the leader. */
 export const BATCH_GAP_MS = 10;
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -3,7 +3,7 @@
 import type { Catalog } from '../fleet/catalog.ts';
 import { failure, type Answer, type Reply } from '../http/server.ts';
 import type { LeaderlessWrite } from '../leadership/election.ts';
-import type { PeerReply, PeerRequest } from '../peers/frames.ts';
+import type { PeerReply, PeerRequest } from '../peers/messages.ts';
 import { KEYS } from '../store/keys.ts';
 import type { RateBudget } from '../store/budget.ts';
 import type { KeyValueStore, Urgency } from '../store/key-value-store.ts';
--- a/src/peers/peer-rpc.ts
+++ b/src/peers/peer-rpc.ts
@@ -1,7 +1,9 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import type { Logger } from '../base/log.ts';
 import type { Peers } from './peers.ts';
-import { encodeFrame, FrameReader, type PeerFrame, type PeerReply, type PeerRequest } from './frames.ts';
+import { encodeFrame } from './frame-codec.ts';
+import { FrameReader } from './frame-reader.ts';
+import type { PeerFrame, PeerReply, PeerRequest } from './messages.ts';
 
 interface Waiting {
   resolve: (reply: PeerReply | null) => void;
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -1,4 +1,4 @@
-import type { PeerReply, PeerRequest } from './frames.ts';
+import type { PeerReply, PeerRequest } from './messages.ts';
 
 /** The other controllers, whatever carries the messages. */
 export interface Peers {
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -1,6 +1,6 @@
 import { BatchPacer, type PacerTimers } from '../base/batch-pacer.ts';
 import { failure, type Answer } from '../http/server.ts';
-import type { HeartbeatResponse } from '../peers/frames.ts';
+import type { HeartbeatResponse } from '../peers/messages.ts';
 
 /** Least time between two batches to the leader, in milliseconds. */
 const BATCH_GAP_MS = 20;
--- a/src/sim/node.ts
+++ b/src/sim/node.ts
@@ -4,7 +4,7 @@
 import type { Options } from '../config/options.ts';
 import type { Settings } from '../config/settings.ts';
 import type { HttpResult, HttpSender } from '../http/client.ts';
-import type { PeerReply, PeerRequest } from '../peers/frames.ts';
+import type { PeerReply, PeerRequest } from '../peers/messages.ts';
 import type { Exchange, Host, SimNetwork } from './network.ts';
 import type { EventQueue } from './queue.ts';
 import type { Random } from './random.ts';
--- a/test/digest/traffic-digest.ts
+++ b/test/digest/traffic-digest.ts
@@ -1,5 +1,6 @@
 import { createHash } from 'node:crypto';
-import { encodeFrame, type PeerReply, type PeerRequest } from '../../src/peers/frames.ts';
+import { encodeFrame } from '../../src/peers/frame-codec.ts';
+import type { PeerReply, PeerRequest } from '../../src/peers/messages.ts';
 import { Emulator } from '../../src/sim/emulator.ts';
 import type { SentMessage } from '../../src/sim/network.ts';
 import { silent } from '../helpers.ts';
--- a/test/golden/frames.test.ts
+++ b/test/golden/frames.test.ts
@@ -4,7 +4,9 @@
  */
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { encodeFrame, FrameReader, MAX_FRAME, type PeerFrame } from '../../src/peers/frames.ts';
+import { encodeFrame, MAX_FRAME } from '../../src/peers/frame-codec.ts';
+import { FrameReader } from '../../src/peers/frame-reader.ts';
+import type { PeerFrame } from '../../src/peers/messages.ts';
 
 type Request = NonNullable<PeerFrame['request']>;
 type Reply = NonNullable<PeerFrame['reply']>;
--- a/test/jobs/controllers.ts
+++ b/test/jobs/controllers.ts
@@ -9,7 +9,7 @@
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { answerBatch, PollBatcher } from '../../src/jobs/poll-batches.ts';
 import { SharedReads } from '../../src/jobs/shared-reads.ts';
-import type { PeerReply, PeerRequest, PollAnswer } from '../../src/peers/frames.ts';
+import type { PeerReply, PeerRequest, PollAnswer } from '../../src/peers/messages.ts';
 import { RateBudget } from '../../src/store/budget.ts';
 import {
   moreUrgent,
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { answerBatch, BATCH_GAP_MS, MOST_IN_BATCH, PollBatcher } from '../../src/jobs/poll-batches.ts';
 import { READ_GAP_MS, SharedReads } from '../../src/jobs/shared-reads.ts';
-import type { PollAnswer } from '../../src/peers/frames.ts';
+import type { PollAnswer } from '../../src/peers/messages.ts';
 import { moreUrgent, type Urgency } from '../../src/store/key-value-store.ts';
 import { SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -6,7 +6,7 @@
 import { UserRequests, type UserRequestDeps, type LocalLeader } from '../../src/jobs/user-requests.ts';
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { MAX_LOOKUP_AGE_MS } from '../../src/jobs/job-lookup.ts';
-import type { PeerReply, PeerRequest } from '../../src/peers/frames.ts';
+import type { PeerReply, PeerRequest } from '../../src/peers/messages.ts';
 import { RateBudget } from '../../src/store/budget.ts';
 import type { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { KEYS } from '../../src/store/keys.ts';
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -4,7 +4,7 @@
 import { openValue } from '../../src/jobs/records.ts';
 import { Election } from '../../src/leadership/election.ts';
 import type { PeerLeaseRequest } from '../../src/leadership/peer-leases.ts';
-import type { PeerReply, PeerRequest } from '../../src/peers/frames.ts';
+import type { PeerReply, PeerRequest } from '../../src/peers/messages.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { decodeStoredJob, type JobStatus } from '../../src/wire/user.ts';
--- a/test/peers/frames.test.ts
+++ b/test/peers/frames.test.ts
@@ -2,7 +2,9 @@
 import { connect } from 'node:net';
 import test from 'node:test';
 import fc from 'fast-check';
-import { encodeFrame, FrameReader, MAX_FRAME, type PeerFrame } from '../../src/peers/frames.ts';
+import { encodeFrame, MAX_FRAME } from '../../src/peers/frame-codec.ts';
+import { FrameReader } from '../../src/peers/frame-reader.ts';
+import type { PeerFrame } from '../../src/peers/messages.ts';
 import { PeerRpc } from '../../src/peers/peer-rpc.ts';
 import { SEED, silent } from '../helpers.ts';
 
