--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -1,23 +1,37 @@
+/** How a controller reaches the other controllers, whatever carries the messages. */
 import type { PeerReply, PeerRequest } from './messages.ts';
 
-/** The other controllers, whatever carries the messages. */
+/** The other controllers of the cluster. */
 export interface Peers {
   readonly names: readonly string[];
-  /** null: no reply in time; the request may still be carried out. */
+  /**
+   * Sends a request and waits for its reply for at most `timeoutMs` milliseconds. null: no reply in time; the request
+   * may still be carried out.
+   */
   call(peer: string, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
 }
 
-/** Asks all others at once; the first reply that is of use, or null once none is left. */
+/** A controller sent no reply in time, or none that the caller can use. */
+class NoUsableReplyError extends Error {
+  override readonly name = 'NoUsableReplyError';
+  readonly code = 'ERR_NO_USABLE_REPLY';
+
+  constructor(readonly peer: string) {
+    super(`no usable reply from ${peer}`);
+  }
+}
+
+/** Calls all other controllers at once. Returns the first usable reply, or null once none can come any more. */
 export async function callAny(
   peers: Peers,
   request: PeerRequest,
   timeoutMs: number,
-  useful: (reply: PeerReply) => boolean,
+  isUsable: (reply: PeerReply) => boolean,
 ): Promise<PeerReply | null> {
-  const asked = peers.names.map(async (peer) => {
+  const calls = peers.names.map(async (peer) => {
     const reply = await peers.call(peer, request, timeoutMs);
-    if (!reply || !useful(reply)) throw new Error('no use');
+    if (!reply || !isUsable(reply)) throw new NoUsableReplyError(peer);
     return reply;
   });
-  return Promise.any(asked).catch(() => null);
+  return Promise.any(calls).catch(() => null);
 }
--- a/test/peers/connectivity.test.ts
+++ b/test/peers/connectivity.test.ts
@@ -3,40 +3,56 @@
 import { Connectivity } from '../../src/peers/connectivity.ts';
 import { FakeClock } from '../helpers.ts';
 
-/** A node asked once a second, for a while, with the store and the others there or not. */
-async function cutOffAfter(
+interface Reachable {
+  store: boolean;
+  peers: boolean;
+}
+
+/** Checks once a second for a while with this reachable, and once more with everything reachable. */
+async function isolationAfter(
   seconds: number,
-  store: boolean,
-  peers: boolean,
-): Promise<{ cut: boolean; back: boolean }> {
+  reachable: Reachable,
+): Promise<{ isolated: boolean; recovered: boolean }> {
   const clock = new FakeClock();
-  let servedAt = 0;
-  let there = { store, peers };
-  const reach = new Connectivity({
+  let storeServedAt = 0;
+  let now = reachable;
+  const connectivity = new Connectivity({
     clock,
-    storeServedAt: () => servedAt,
+    storeServedAt: () => storeServedAt,
     probeStore: () => {
-      if (there.store) servedAt = clock.at;
+      if (now.store) storeServedAt = clock.at;
       return Promise.resolve();
     },
-    probePeers: () => Promise.resolve(there.peers),
+    probePeers: () => Promise.resolve(now.peers),
   });
-  for (let s = 0; s < seconds; s++) {
+  for (let second = 0; second < seconds; second++) {
     clock.at += 1000;
-    await reach.check();
+    await connectivity.check();
   }
-  const cut = reach.isIsolated();
-  there = { store: true, peers: true };
+  const isolated = connectivity.isIsolated();
+  now = { store: true, peers: true };
   clock.at += 1000;
-  await reach.check();
-  return { cut, back: !reach.isIsolated() };
+  await connectivity.check();
+  return { isolated, recovered: !connectivity.isIsolated() };
 }
 
-test('only a node that reaches neither the state service nor any other controller is cut off', async () => {
+test('only a node that reaches neither the state service nor any other controller is isolated', async () => {
   // Users' connections once stayed with such a node, which could only refuse them.
-  assert.deepEqual(await cutOffAfter(10, false, false), { cut: true, back: true });
-  assert.deepEqual(await cutOffAfter(2, false, false), { cut: false, back: true });
+  assert.deepEqual(await isolationAfter(10, { store: false, peers: false }), {
+    isolated: true,
+    recovered: true,
+  });
+  assert.deepEqual(await isolationAfter(2, { store: false, peers: false }), {
+    isolated: false,
+    recovered: true,
+  });
   // An outage of the state service that all see, or controllers that refuse each other, are no reason.
-  assert.deepEqual(await cutOffAfter(10, false, true), { cut: false, back: true });
-  assert.deepEqual(await cutOffAfter(10, true, false), { cut: false, back: true });
+  assert.deepEqual(await isolationAfter(10, { store: false, peers: true }), {
+    isolated: false,
+    recovered: true,
+  });
+  assert.deepEqual(await isolationAfter(10, { store: true, peers: false }), {
+    isolated: false,
+    recovered: true,
+  });
 });
--- a/test/peers/frames.test.ts
+++ b/test/peers/frames.test.ts
@@ -2,103 +2,114 @@
 import { connect } from 'node:net';
 import test from 'node:test';
 import fc from 'fast-check';
-import { encodeFrame, MAX_FRAME } from '../../src/peers/frame-codec.ts';
+import { encodeFrame, FrameError, LENGTH_BYTES, MAX_FRAME } from '../../src/peers/frame-codec.ts';
 import { FrameReader } from '../../src/peers/frame-reader.ts';
-import type { PeerFrame } from '../../src/peers/messages.ts';
-import { PeerRpc } from '../../src/peers/peer-rpc.ts';
+import type { PeerFrame, PeerReply, PeerRequest, PollAnswer } from '../../src/peers/messages.ts';
+import { PeerRpc, type PeerRequestHandler } from '../../src/peers/peer-rpc.ts';
 import { SEED, silent } from '../helpers.ts';
 
-const id = fc.integer({ min: 0, max: 2 ** 40 });
-const status = fc.record({
-  kind: fc.constant('status' as const),
-  created: fc.constant(false),
-  stage: fc.constantFrom('pending' as const, 'running' as const, 'done' as const, 'cancelled' as const),
-  done: fc.nat(),
-  running: fc.nat(),
-});
-const unanswered = fc.record({ kind: fc.constantFrom('notFound' as const, 'unavailable' as const) });
-const frame: fc.Arbitrary<PeerFrame> = fc.oneof(
+const jobStage = fc.constantFrom(
+  'pending' as const,
+  'running' as const,
+  'done' as const,
+  'cancelled' as const,
+);
+
+/** The state of a job; a batch of polls never says that a job was just created. */
+function jobStatus(created: fc.Arbitrary<boolean>): fc.Arbitrary<PollAnswer> {
+  const kind = fc.constant('status' as const);
+  return fc.record({ kind, created, stage: jobStage, done: fc.nat(), running: fc.nat() });
+}
+
+const request: fc.Arbitrary<PeerRequest> = fc.oneof(
+  fc.record({
+    kind: fc.constantFrom('poll' as const, 'cancel' as const, 'lookup' as const),
+    jobId: fc.string(),
+  }),
+  fc.record({ kind: fc.constantFrom('ping' as const, 'workerContact' as const) }),
+  fc.record({ kind: fc.constant('submit' as const), jobId: fc.string(), body: fc.string() }),
+  fc.record({
+    kind: fc.constant('grantPeerLease' as const),
+    term: fc.nat(),
+    ms: fc.nat(),
+    continuous: fc.boolean(),
+  }),
+  fc.record({ kind: fc.constant('pollBatch' as const), jobIds: fc.array(fc.string()) }),
+);
+
+const withoutState = fc.record({ kind: fc.constantFrom('notFound' as const, 'unavailable' as const) });
+
+const reply: fc.Arbitrary<PeerReply> = fc.oneof(
+  jobStatus(fc.boolean()),
   fc.record({
-    id,
-    request: fc.oneof(
-      fc.record({
-        kind: fc.constantFrom('poll' as const, 'cancel' as const, 'lookup' as const),
-        jobId: fc.string(),
-      }),
-      fc.record({ kind: fc.constantFrom('ping' as const, 'workerContact' as const) }),
-      fc.record({ kind: fc.constant('submit' as const), jobId: fc.string(), body: fc.string() }),
-      fc.record({
-        kind: fc.constant('grantPeerLease' as const),
-        term: fc.nat(),
-        ms: fc.nat(),
-        continuous: fc.boolean(),
-      }),
-      fc.record({ kind: fc.constant('pollBatch' as const), jobIds: fc.array(fc.string()) }),
-    ),
-    reply: fc.constant(null),
+    kind: fc.constant('pollAnswers' as const),
+    answers: fc.array(fc.oneof(jobStatus(fc.constant(false)), withoutState)),
   }),
+  fc.record({ kind: fc.constant('refused' as const), status: fc.nat(), reason: fc.string() }),
   fc.record({
-    id,
-    request: fc.constant(null),
-    reply: fc.oneof(
-      fc.record({
-        kind: fc.constant('status' as const),
-        created: fc.boolean(),
-        stage: fc.constantFrom('pending' as const, 'running' as const, 'done' as const, 'cancelled' as const),
-        done: fc.nat(),
-        running: fc.nat(),
-      }),
-      fc.record({
-        kind: fc.constant('pollAnswers' as const),
-        answers: fc.array(fc.oneof(status, unanswered)),
-      }),
-      fc.record({ kind: fc.constant('refused' as const), status: fc.nat(), reason: fc.string() }),
-      fc.record({
-        kind: fc.constantFrom(
-          'notFound' as const,
-          'unavailable' as const,
-          'granted' as const,
-          'ack' as const,
-        ),
-      }),
-    ),
+    kind: fc.constantFrom('notFound' as const, 'unavailable' as const, 'granted' as const, 'ack' as const),
   }),
 );
 
-test('frames survive any cutting of the stream', () => {
+const id = fc.integer({ min: 0, max: 2 ** 40 });
+const frame: fc.Arbitrary<PeerFrame> = fc.oneof(
+  fc.record({ id, request, reply: fc.constant(null) }),
+  fc.record({ id, request: fc.constant(null), reply }),
+);
+
+/** Without the prototypes that fast-check's records lack. */
+const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+
+test('frames are read alike however the stream is cut into chunks', () => {
   fc.assert(
-    fc.property(fc.array(frame, { maxLength: 5 }), fc.integer({ min: 1, max: 40 }), (frames, step) => {
+    fc.property(fc.array(frame, { maxLength: 5 }), fc.integer({ min: 1, max: 40 }), (frames, chunkBytes) => {
       const bytes = Buffer.concat(frames.map(encodeFrame));
       const reader = new FrameReader();
-      const got: PeerFrame[] = [];
-      for (let at = 0; at < bytes.length; at += step) got.push(...reader.push(bytes.subarray(at, at + step)));
-      assert.deepEqual(JSON.parse(JSON.stringify(got)), JSON.parse(JSON.stringify(frames)));
+      const read: PeerFrame[] = [];
+      for (let offset = 0; offset < bytes.length; offset += chunkBytes)
+        read.push(...reader.push(bytes.subarray(offset, offset + chunkBytes)));
+      assert.deepEqual(plain(read), plain(frames));
     }),
     { seed: SEED, numRuns: 200 },
   );
 });
 
-test('a frame that is too long or does not decode is an error', () => {
-  const long = Buffer.alloc(4);
-  long.writeUInt32BE(MAX_FRAME + 1);
-  assert.throws(() => new FrameReader().push(long));
-  assert.throws(() => new FrameReader().push(Buffer.from([0, 0, 0, 2, 255, 255])));
+test('a frame that is too long or does not decode is a FrameError', () => {
+  const tooLong = Buffer.alloc(LENGTH_BYTES);
+  tooLong.writeUInt32BE(MAX_FRAME + 1);
+  assert.throws(() => new FrameReader().push(tooLong), FrameError);
+  assert.throws(() => new FrameReader().push(Buffer.from([0, 0, 0, 2, 255, 255])), FrameError);
 });
 
-test('a bad frame closes its own connection and nothing else', async () => {
-  const server = new PeerRpc([], (_request, reply) => reply({ kind: 'notFound' }), silent);
+test('a malformed frame closes its own connection and no other', async () => {
+  const answerNotFound: PeerRequestHandler = (_request, sendReply) => {
+    sendReply({ kind: 'notFound' });
+  };
+  const server = new PeerRpc([], answerNotFound, silent);
   await server.listen('127.0.0.1:0');
   const client = new PeerRpc([{ name: 'n', address: `127.0.0.1:${server.port()}` }], () => undefined, silent);
   assert.deepEqual(await client.call('n', { kind: 'poll', jobId: 'x' }, 5000), { kind: 'notFound' });
   await new Promise<void>((resolve) => {
-    const bad = connect(server.port(), '127.0.0.1', () => bad.write(Buffer.alloc(8, 255)));
-    bad.on('close', () => {
+    const socket = connect(server.port(), '127.0.0.1', () => socket.write(Buffer.alloc(8, 255)));
+    socket.on('close', () => {
       resolve();
     });
-    bad.on('error', () => undefined);
+    socket.on('error', () => undefined);
   });
   assert.deepEqual(await client.call('n', { kind: 'cancel', jobId: 'x' }, 5000), { kind: 'notFound' });
   assert.equal(await client.call('nobody', { kind: 'poll', jobId: 'x' }, 5000), null);
   client.close();
   server.close();
 });
+
+test('closing ends the connections of both directions, and calls in progress without a reply', async () => {
+  let served = 0;
+  const server = new PeerRpc([], () => (served += 1), silent);
+  await server.listen('127.0.0.1:0');
+  const client = new PeerRpc([{ name: 'n', address: `127.0.0.1:${server.port()}` }], () => undefined, silent);
+  const call = client.call('n', { kind: 'ping' }, 60_000);
+  while (served === 0) await new Promise((resolve) => setImmediate(resolve));
+  server.close();
+  assert.equal(await call, null);
+  client.close();
+});
