--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -33,6 +33,7 @@
 import { EventLoopLag } from '../base/event-loop-lag.ts';
 import type { Logger } from '../base/log.ts';
 import { CommandQueue } from '../base/command-queue.ts';
+import { errorLogger, type ErrorHandler } from './error-log.ts';
 import type { Platform } from './platform.ts';
 import { HeartbeatHandler } from './heartbeat-handler.ts';
 import { Routes } from './routes.ts';
@@ -63,6 +64,7 @@
 export class Controller {
   private readonly clock: Clock;
   private readonly lag: EventLoopLag;
+  private readonly onError: ErrorHandler;
   private readonly commands: CommandQueue;
   private readonly store: KeyValueStore;
   private readonly cloud: CloudClient;
@@ -95,14 +97,10 @@
     this.lag = new EventLoopLag(TICK_MS, () => this.clock.now());
     const now = (): number => this.clock.now();
     const { state, cloud, workers, teams, zones } = settings.settings;
+    this.onError = errorLogger(log);
     this.commands = new CommandQueue(
       () => this.leader?.afterBatch(),
-      (error) => {
-        log.error(
-          { error: error instanceof Error ? (error.stack ?? error.message) : String(error) },
-          'fault',
-        );
-      },
+      this.onError,
       (run) => {
         platform.timers.defer(run);
       },
@@ -217,6 +215,7 @@
       msSinceLeaseExpiry: () => this.election.msSinceLeaseExpiry(),
       heartbeatGraceMs: this.heartbeatGraceMs,
       call: (peer, request, timeoutMs) => peers.call(peer, request, timeoutMs),
+      onError: this.onError,
     });
     const limit = (initial: number, min: number, max: number, slackMs: number): AdaptiveLimit =>
       new AdaptiveLimit(now, { initial, min, max, slackMs, tolerance: 4 });
@@ -275,9 +274,7 @@
         return;
       }
       if (request.kind === 'workerContact') {
-        const lately =
-          this.heartbeats.directHeartbeatAgeMs() < this.settings.settings.workers.report_s * 1000;
-        reply({ kind: lately ? 'ack' : 'unavailable' });
+        reply({ kind: this.heartbeats.hasWorkerContact() ? 'ack' : 'unavailable' });
         return;
       }
       if (request.kind === 'pollBatch') {
--- a/test/bench/heartbeat.ts
+++ b/test/bench/heartbeat.ts
@@ -69,6 +69,7 @@
       msSinceLeaseExpiry: () => 0,
       heartbeatGraceMs: GRACE_MS,
       call: () => Promise.resolve(null),
+    onError: () => undefined,
     });
   }
 
--- a/test/peers/frames.test.ts
+++ b/test/peers/frames.test.ts
@@ -113,3 +113,29 @@
   assert.equal(await call, null);
   client.close();
 });
+
+test('frames carry heartbeats and the responses to them unchanged', () => {
+  fc.assert(
+    fc.property(
+      fc.array(fc.string({ unit: 'grapheme' })),
+      fc.boolean(),
+      fc.integer({ min: 200, max: 599 }),
+      (bodies, relay, status) => {
+        const frames: PeerFrame[] = [
+          { id: 1, request: { kind: 'heartbeats', node: 'hearth-1', heartbeats: bodies }, reply: null },
+          {
+            id: 2,
+            request: null,
+            reply: {
+              kind: 'heartbeatResponses',
+              relay,
+              responses: bodies.map((body) => ({ status, body })),
+            },
+          },
+        ];
+        assert.deepEqual(new FrameReader().push(Buffer.concat(frames.map(encodeFrame))), frames);
+      },
+    ),
+    { seed: SEED, numRuns: 100 },
+  );
+});
--- a/test/relay/heartbeat-relay.test.ts
+++ b/test/relay/heartbeat-relay.test.ts
@@ -3,81 +3,48 @@
 import fc from 'fast-check';
 import type { Answer } from '../../src/http/server.ts';
 import { encodeFrame, MAX_FRAME } from '../../src/peers/frame-codec.ts';
-import { FrameReader } from '../../src/peers/frame-reader.ts';
-import type { HeartbeatResponse } from '../../src/peers/messages.ts';
-import { MOST_AGE_MS, HeartbeatRelay, type RelayReply } from '../../src/relay/heartbeat-relay.ts';
-import { WorkerBalancer, workerCapacity } from '../../src/relay/worker-balancer.ts';
+import { MAX_RESPONSE_AGE_MS } from '../../src/relay/heartbeat-relay.ts';
 import { SEED } from '../helpers.ts';
+import { RelayHarness, responsesTo, type SentBatch } from './relay-harness.ts';
 
-interface Batch {
-  leader: string;
-  reports: string[];
-  answer(answer: RelayReply | null): void;
-}
-
-/** A relay on a clock of its own, whose batches the test answers. */
-class Bench {
-  at = 0;
-  leader: string | null = 'one';
-  readonly batches: Batch[] = [];
-  private timers: { at: number; run: () => void }[] = [];
-  readonly relay = new HeartbeatRelay({
-    now: () => this.at,
-    after: (ms, run) => this.timers.push({ at: this.at + ms, run }),
-    leader: () => this.leader,
-    send: (leader, reports) =>
-      new Promise((resolve) => this.batches.push({ leader, reports, answer: resolve })),
-    keepMs: 30_000,
-  });
-
-  async pass(ms: number): Promise<void> {
-    this.at += ms;
-    const due = this.timers.filter((t) => t.at <= this.at);
-    this.timers = this.timers.filter((t) => t.at > this.at);
-    for (const timer of due) timer.run();
-    await new Promise((resolve) => setImmediate(resolve));
-  }
+const MAX_HEARTBEAT_BYTES = 64 * 1024;
 
-  /** The leader wants reports to be handed on. */
-  async wanted(): Promise<void> {
-    this.relay.take('first', () => undefined);
-    this.batches.pop()!.answer({ relay: true, responses: [] });
-    await this.pass(1000);
-  }
+function frameBytes(batch: SentBatch): number {
+  const request = { kind: 'heartbeats' as const, node: 'n', heartbeats: batch.heartbeats };
+  return encodeFrame({ id: 1, request, reply: null }).length;
 }
 
-const judgedLike = (reports: readonly string[]): HeartbeatResponse[] =>
-  reports.map((body) => ({ status: 200, body: `for ${body}` }));
-
-test('every report gets the answer to itself, in batches that fit a frame', async () => {
+test('every heartbeat gets the response to itself, in batches that fit a frame', async () => {
   await fc.assert(
     fc.asyncProperty(
-      fc.array(fc.tuple(fc.integer({ min: 1, max: 64 * 1024 }), fc.nat(30)), { minLength: 1, maxLength: 40 }),
+      fc.array(fc.tuple(fc.integer({ min: 1, max: MAX_HEARTBEAT_BYTES }), fc.nat(30)), {
+        minLength: 1,
+        maxLength: 40,
+      }),
       async (sizes) => {
-        const bench = new Bench();
-        await bench.wanted();
+        const harness = new RelayHarness();
+        await harness.startRelaying();
         const answers = new Map<string, Answer>();
         let frames = 0;
-        for (const [i, [size, gapMs]] of sizes.entries()) {
-          const body = `${i}:`.padEnd(size, 'x').slice(0, 64 * 1024);
-          const key = body.slice(0, 20);
-          assert.ok(bench.relay.take(body, (answer) => answers.set(`${i} ${key}`, answer)));
-          await bench.pass(gapMs);
-          for (const batch of bench.batches.splice(0)) {
+        for (const [index, [size, gapMs]] of sizes.entries()) {
+          const body = `${index}:`.padEnd(size, 'x').slice(0, MAX_HEARTBEAT_BYTES);
+          const start = body.slice(0, 20);
+          assert.ok(harness.relay.take(body, (answer) => answers.set(`${index} ${start}`, answer)));
+          await harness.advance(gapMs);
+          for (const batch of harness.batches.splice(0)) {
             frames += 1;
-            const request = { kind: 'heartbeats' as const, node: 'n', heartbeats: batch.reports };
-            assert.ok(encodeFrame({ id: 1, request, reply: null }).length <= MAX_FRAME);
-            batch.answer({ relay: true, responses: judgedLike(batch.reports) });
+            assert.ok(frameBytes(batch) <= MAX_FRAME);
+            batch.reply({ relay: true, responses: responsesTo(batch.heartbeats) });
           }
         }
-        await bench.pass(100);
-        for (const batch of bench.batches.splice(0))
-          batch.answer({ relay: true, responses: judgedLike(batch.reports) });
-        await bench.pass(0);
+        await harness.advance(100);
+        for (const batch of harness.batches.splice(0))
+          batch.reply({ relay: true, responses: responsesTo(batch.heartbeats) });
+        await harness.advance(0);
         assert.equal(answers.size, sizes.length);
         for (const [key, answer] of answers) {
-          const sent = key.slice(key.indexOf(' ') + 1);
-          assert.ok(answer.body.startsWith(`for ${sent}`), key);
+          const start = key.slice(key.indexOf(' ') + 1);
+          assert.ok(answer.body.startsWith(`for ${start}`), key);
         }
         assert.ok(frames <= sizes.length);
       },
@@ -86,125 +53,73 @@
   );
 });
 
-test('an answer that is older than a second, of a deposed leader or missing is never passed on', async () => {
-  const cases: ((bench: Bench, batch: Batch) => Promise<void>)[] = [
-    async (bench, batch) => {
-      // The process stood still while the answer waited.
-      bench.at += MOST_AGE_MS + 1;
-      batch.answer({ relay: true, responses: judgedLike(batch.reports) });
-      await bench.pass(0);
+test('a response that is older than a second, of a deposed leader or missing is never passed on', async () => {
+  const cases: Record<string, (harness: RelayHarness, batch: SentBatch) => void> = {
+    'the process stood still while the response waited': (harness, batch) => {
+      harness.now += MAX_RESPONSE_AGE_MS + 1;
+      batch.reply({ relay: true, responses: responsesTo(batch.heartbeats) });
     },
-    async (bench, batch) => {
-      bench.leader = 'two';
-      batch.answer({ relay: true, responses: judgedLike(batch.reports) });
-      await bench.pass(0);
+    'another controller leads': (harness, batch) => {
+      harness.leader = 'two';
+      batch.reply({ relay: true, responses: responsesTo(batch.heartbeats) });
     },
-    async (bench, batch) => {
-      batch.answer(null);
-      await bench.pass(0);
+    'no reply': (_harness, batch) => {
+      batch.reply(null);
     },
-    async (bench, batch) => {
-      batch.answer({ relay: true, responses: [] });
-      await bench.pass(0);
+    'a reply without responses': (_harness, batch) => {
+      batch.reply({ relay: true, responses: [] });
     },
-  ];
-  for (const [i, settle] of cases.entries()) {
-    const bench = new Bench();
-    await bench.wanted();
-    const answers: Answer[] = [];
-    bench.relay.take('report', (answer) => answers.push(answer));
-    await bench.pass(50);
-    await settle(bench, bench.batches.pop()!);
-    assert.deepEqual(
-      answers.map((a) => a.status),
-      [503],
-      `case ${i}`,
-    );
+  };
+  for (const [name, settle] of Object.entries(cases)) {
+    const harness = new RelayHarness();
+    await harness.startRelaying();
+    const statuses: number[] = [];
+    harness.relay.take('heartbeat', (answer) => statuses.push(answer.status));
+    await harness.advance(50);
+    settle(harness, harness.takeBatch());
+    await harness.advance(0);
+    assert.deepEqual(statuses, [503], name);
   }
 });
 
-test('reports are handed on only while the leader wants them, and to nobody without a leader', async () => {
-  const bench = new Bench();
-  const take = (): boolean => bench.relay.take('report', () => undefined);
+test('heartbeats are relayed only while the leader asks for it, and to nobody without a leader', async () => {
+  const harness = new RelayHarness();
+  const take = (): boolean => harness.relay.take('heartbeat', () => undefined);
   assert.equal(take(), false);
-  bench.batches.pop()!.answer({ relay: false, responses: [] });
-  await bench.pass(1000);
+  harness.takeBatch().reply({ relay: false, responses: [] });
+  await harness.advance(1000);
   assert.equal(take(), false);
-  bench.batches.pop()!.answer({ relay: true, responses: [] });
-  await bench.pass(0);
+  harness.takeBatch().reply({ relay: true, responses: [] });
+  await harness.advance(0);
   assert.equal(take(), true);
-  bench.leader = null;
+  harness.leader = null;
   assert.equal(take(), false);
   // A new leader gets them at once, until it says otherwise.
-  bench.leader = 'two';
+  harness.leader = 'two';
   assert.equal(take(), true);
-  await bench.pass(50);
-  const batch = bench.batches.pop()!;
+  await harness.advance(50);
+  const batch = harness.takeBatch();
   assert.equal(batch.leader, 'two');
-  batch.answer({ relay: false, responses: judgedLike(batch.reports) });
-  await bench.pass(0);
+  batch.reply({ relay: false, responses: responsesTo(batch.heartbeats) });
+  await harness.advance(0);
   assert.equal(take(), false);
   // At most one question a second.
-  const asked = bench.batches.length;
+  const asked = harness.batches.length;
   for (let i = 0; i < 100; i++) take();
-  assert.ok(bench.batches.length - asked <= 1);
+  assert.ok(harness.batches.length - asked <= 1);
 });
 
-test('frames carry reports and their answers unchanged', () => {
-  fc.assert(
-    fc.property(
-      fc.array(fc.string({ unit: 'grapheme' })),
-      fc.boolean(),
-      fc.integer({ min: 200, max: 599 }),
-      (texts, relay, status) => {
-        const request = { kind: 'heartbeats' as const, node: 'hearth-1', heartbeats: texts };
-        const reply = {
-          kind: 'heartbeatResponses' as const,
-          relay,
-          responses: texts.map((body) => ({ status, body })),
-        };
-        const bytes = Buffer.concat([
-          encodeFrame({ id: 1, request, reply: null }),
-          encodeFrame({ id: 2, request: null, reply }),
-        ]);
-        assert.deepEqual(new FrameReader().push(bytes), [
-          { id: 1, request, reply: null },
-          { id: 2, request: null, reply },
-        ]);
-      },
-    ),
-    { seed: SEED, numRuns: 100 },
-  );
-});
-
-test('workers are shared out only with more of them than a leader carries, and no follower gets most', () => {
-  let now = 0;
-  const carried = workerCapacity({ reportsPerCoreS: 2500, cores: 0.085, reportS: 5 });
-  assert.equal(carried, 1062);
-  const few = new WorkerBalancer(() => now, carried, 5000);
-  for (let i = 0; i < 1062; i++) assert.equal(few.referTo(1062), null);
-  assert.equal(few.relay(1062), false);
-  // 4,000 workers that all begin at the leader, each with a report in five seconds.
-  const shares = new WorkerBalancer(() => now, carried, 5000);
-  const at = new Map<number, string>();
-  for (let turn = 0; turn < 12; turn++) {
-    for (let worker = 0; worker < 4000; worker++) {
-      now += 5000 / 4000;
-      const follower = at.get(worker);
-      if (follower) {
-        shares.noteRelayed(follower, 1);
-        continue;
-      }
-      for (const name of ['a', 'b']) shares.noteRelayed(name, 0);
-      const other = shares.referTo(4000);
-      if (other) at.set(worker, other);
-    }
-  }
-  const served = (name: string): number => [...at.values()].filter((n) => n === name).length;
-  const own = 4000 - at.size;
-  assert.ok(own <= carried, `${own} at the leader`);
-  assert.ok(Math.abs(served('a') - served('b')) < 600, `${served('a')} and ${served('b')}`);
-  // A follower that hands nothing on any more gets nobody.
-  now += 10_000;
-  for (let i = 0; i < 2000; i++) assert.equal(shares.referTo(4000), null);
+test('an error while sending is handed to the owner', async () => {
+  const harness = new RelayHarness();
+  const question = new Error('question');
+  const batch = new Error('batch');
+  harness.relay.take('heartbeat', () => undefined);
+  harness.takeBatch().fail(question);
+  await harness.advance(1000);
+  await harness.startRelaying();
+  harness.relay.take('heartbeat', () => undefined);
+  await harness.advance(50);
+  harness.takeBatch().fail(batch);
+  await harness.advance(0);
+  assert.deepEqual(harness.errors, [question, batch]);
 });
