--- /dev/null
+++ b/src/controller/leadership-session.ts
@@ -0,0 +1,236 @@
+/** One leadership of this controller, from the election that won it to its end. */
+import type { Clock } from '../base/clock.ts';
+import type { Logger } from '../base/log.ts';
+import type { NameIndex } from '../base/name-index.ts';
+import type { Options } from '../config/options.ts';
+import type { Settings } from '../config/settings.ts';
+import type { Catalog } from '../fleet/catalog.ts';
+import type { CloudClient } from '../fleet/cloud.ts';
+import type { TeamQuota } from '../jobs/admission.ts';
+import type { TerminalStateCache } from '../jobs/terminal-state-cache.ts';
+import { TerminalWrites } from '../jobs/terminal-writes.ts';
+import type { LeaderHost } from '../leader/context.ts';
+import { Leader } from '../leader/leader.ts';
+import {
+  readStoredState,
+  watchJobRecords,
+  type JobRecordListener,
+  type StoredState,
+} from '../leader/stored-state.ts';
+import type { Election, Leadership } from '../leadership/election.ts';
+import { LEADER_WRITES, RateBudget } from '../store/budget.ts';
+import type { KeyValueStore } from '../store/key-value-store.ts';
+import { KEYS } from '../store/keys.ts';
+import { LeaderWriter, type WriterHost } from '../store/leader-writer.ts';
+import type { WorkerClient } from '../workers/worker-client.ts';
+import type { ClusterCatalog } from './cluster-catalog.ts';
+import type { ErrorHandler } from './error-log.ts';
+import type { LeadershipTransfer } from './leadership-transfer.ts';
+
+/** How often a new leader looks whether the catalog has been read. */
+const CATALOG_POLL_MS = 50;
+/** Pause before a new leader reads the fence again. */
+const FENCE_RETRY_MS = 150;
+/** Pause before a new leader reads the stored state again. */
+const STATE_RETRY_MS = 200;
+/** Most bytes of one transaction. */
+const MAX_TRANSACTION_BYTES = 56 * 1024;
+
+/** What a leadership needs of the controller. */
+export interface LeadershipSessionDeps {
+  settings: Settings;
+  options: Options;
+  log: Logger;
+  clock: Clock;
+  pause: (ms: number) => Promise<void>;
+  store: KeyValueStore;
+  cloud: CloudClient;
+  workers: WorkerClient;
+  election: Election;
+  transfer: LeadershipTransfer;
+  terminalStates: TerminalStateCache;
+  catalog: ClusterCatalog;
+  teams: readonly TeamQuota[];
+  zones: NameIndex;
+  /** How long heartbeats are still answered after the lease has expired, in milliseconds. */
+  heartbeatGraceMs: number;
+  /** Puts a command in the controller's queue. */
+  enqueue: (command: () => void) => void;
+  /** How late this process gets to its work, in milliseconds. */
+  lagMs: () => number;
+  /** Milliseconds since a worker last sent a heartbeat to this controller itself. */
+  directHeartbeatAgeMs: () => number;
+  onError: ErrorHandler;
+  /** Aborted once the controller is stopped. */
+  signal: AbortSignal;
+}
+
+/** Brings a leader up, keeps it informed of changed job records, and ends it with the leadership. */
+export class LeadershipSession {
+  private activeLeader: Leader | null = null;
+
+  constructor(
+    private readonly deps: LeadershipSessionDeps,
+    private readonly leadership: Leadership,
+  ) {}
+
+  /** The leader; null before it is constructed and after the end of the leadership. */
+  get leader(): Leader | null {
+    return this.activeLeader;
+  }
+
+  /** Leads until the leadership is lost. */
+  async run(): Promise<void> {
+    const { catalog: clusterCatalog, pause, store } = this.deps;
+    while (!clusterCatalog.current && this.isCurrent()) await pause(CATALOG_POLL_MS);
+    let fence = await store.get(KEYS.fence, 'lease');
+    while (fence.kind !== 'ok' && this.isCurrent()) {
+      await pause(FENCE_RETRY_MS);
+      fence = await store.get(KEYS.fence, 'lease');
+    }
+    const catalog = clusterCatalog.current;
+    if (!this.isCurrent() || fence.kind !== 'ok' || !catalog) return;
+    const leader = this.startLeader(catalog, fence.value?.version ?? 0);
+    const stored = await this.readState();
+    if (!stored) return;
+    this.whileLeading(leader, () => {
+      leader.recover(stored);
+    });
+    await watchJobRecords(store, stored.revision, this.recordListener(leader), pause);
+  }
+
+  /** The leadership is lost: nothing that is still in progress reaches its leader any more. */
+  end(): void {
+    this.activeLeader?.stop();
+    this.activeLeader = null;
+  }
+
+  private isCurrent(): boolean {
+    return !this.deps.signal.aborted && this.deps.election.current() === this.leadership;
+  }
+
+  private hasValidLease(): boolean {
+    return this.isCurrent() && this.deps.election.hasValidLease();
+  }
+
+  /** Gives this leadership up; a late reason must not end a newer one of the same controller. */
+  private stepDown(reason: string): void {
+    if (this.isCurrent()) this.deps.election.stepDown(reason);
+  }
+
+  private startLeader(catalog: Catalog, fenceVersion: number): Leader {
+    const terminalWrites = new TerminalWrites((id) => leader.isOutcomeUnconfirmed(id));
+    const writer = this.createWriter(terminalWrites, fenceVersion);
+    const { settings, options, teams, zones, cloud, heartbeatGraceMs } = this.deps;
+    const leader: Leader = new Leader({
+      host: this.createHost(terminalWrites),
+      settings,
+      options,
+      teams,
+      zones,
+      catalog,
+      cloud,
+      writer,
+      term: this.leadership.term,
+      heartbeatGraceMs,
+    });
+    this.activeLeader = leader;
+    this.deps.catalog.save(catalog, writer);
+    return leader;
+  }
+
+  private createWriter(terminalWrites: TerminalWrites, fenceVersion: number): LeaderWriter {
+    const { store, settings, clock, pause, log } = this.deps;
+    const { state } = settings.settings;
+    const host: WriterHost = {
+      compareAndSwap: terminalWrites.tracking((conditions, changes, timeoutMs: number) =>
+        store.compareAndSwap(conditions, changes, 'lease', timeoutMs),
+      ),
+      readFence: async () => {
+        const read = await store.get(KEYS.fence, 'lease');
+        return read.kind === 'ok' ? (read.value?.version ?? 0) : null;
+      },
+      readLeader: async () => {
+        const read = await store.get(KEYS.leader, 'lease');
+        return read.kind === 'ok' ? (read.value?.version ?? 0) : null;
+      },
+      lost: (reason) => {
+        this.stepDown(reason);
+      },
+      pause,
+    };
+    return new LeaderWriter(
+      host,
+      this.leadership.version,
+      fenceVersion,
+      { txnOps: state.txn_ops, bytes: MAX_TRANSACTION_BYTES },
+      new RateBudget(state.write_rps * LEADER_WRITES, () => clock.now()),
+      log,
+    );
+  }
+
+  private createHost(terminalWrites: TerminalWrites): LeaderHost {
+    const { clock, log, pause, workers, terminalStates, enqueue, lagMs, directHeartbeatAgeMs } = this.deps;
+    const { term } = this.leadership;
+    return {
+      clock,
+      log,
+      pause,
+      enqueue,
+      lagMs,
+      directHeartbeatAgeMs,
+      hasValidLease: () => this.hasValidLease(),
+      sendCommands: (machine, commands) => {
+        const startsTasks = commands.some((command) => command.op === 'start');
+        const isStillWanted = startsTasks ? () => this.hasValidLease() : () => true;
+        return workers.sendCommands(machine, term, commands, isStillWanted);
+      },
+      inspect: (machine) => workers.inspect(machine),
+      onTerminalState: (id, status) => {
+        terminalStates.put(id, status);
+        terminalWrites.forget(id);
+      },
+      outcomeMayBeWritten: (id) => terminalWrites.mayBeWritten(id),
+      isTerminal: (id) => terminalStates.get(id) !== undefined,
+      superseded: () => {
+        this.stepDown('a worker has seen a higher fencing token');
+      },
+      lostAllWorkers: () => {
+        this.deps.transfer.onLostAllWorkers(() => this.isCurrent()).catch(this.deps.onError);
+      },
+    };
+  }
+
+  /** Reads the stored state until all of it is read; null: the leadership was lost meanwhile. */
+  private async readState(): Promise<StoredState | null> {
+    while (this.isCurrent()) {
+      const stored = await readStoredState(this.deps.store);
+      if (stored) return stored;
+      await this.deps.pause(STATE_RETRY_MS);
+    }
+    return null;
+  }
+
+  /** Runs a step in the controller's queue, unless the leadership is lost by then. */
+  private whileLeading(leader: Leader, step: () => void): void {
+    this.deps.enqueue(() => {
+      if (this.activeLeader === leader) step();
+    });
+  }
+
+  private recordListener(leader: Leader): JobRecordListener {
+    return {
+      active: () => this.isCurrent(),
+      changed: (events) => {
+        this.whileLeading(leader, () => {
+          leader.onStoreEvents(events);
+        });
+      },
+      listed: (items) => {
+        this.whileLeading(leader, () => {
+          leader.onStoreListed(items);
+        });
+      },
+    };
+  }
+}
