--- a/src/controller/cluster-catalog.ts
+++ b/src/controller/cluster-catalog.ts
@@ -1,31 +1,26 @@
 /** The machine types of the cluster, as a controller knows them. */
-import type { ErrorHandler } from './error-log.ts';
 import { Catalog, catalogValue, readCatalogValue } from '../fleet/catalog.ts';
 import type { CloudClient } from '../fleet/cloud.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import type { LeaderWriter } from '../store/leader-writer.ts';
+import type { ControllerContext } from './context.ts';
 
 const FIRST_RETRY_MS = 300;
 const MAX_RETRY_MS = 3000;
 
-/** What reading the catalog needs of the controller. */
-export interface ClusterCatalogDeps {
-  store: KeyValueStore;
-  cloud: CloudClient;
-  pause: (ms: number) => Promise<void>;
-  /** Ends the reading. */
-  signal: AbortSignal;
-  onError: ErrorHandler;
-  /** Most bytes of a value in the store. */
-  maxValueBytes: number;
-}
+/** Most bytes of a value in the store, for each kilobyte of the setting. */
+const BYTES_PER_KB = 1000;
 
 /** Reads the catalog of machine types from whoever answers first, the cloud or the store. */
 export class ClusterCatalog {
   private known: Catalog | null = null;
 
-  constructor(private readonly deps: ClusterCatalogDeps) {}
+  constructor(
+    private readonly context: ControllerContext,
+    private readonly store: KeyValueStore,
+    private readonly cloud: CloudClient,
+  ) {}
 
   /** null until it has been read; it doesn't change afterwards. */
   get current(): Catalog | null {
@@ -34,12 +29,12 @@
 
   /** Asks until one of them has answered. */
   async load(): Promise<void> {
-    const { cloud, pause, signal } = this.deps;
+    const { pause, signal } = this.context;
     let retryMs = FIRST_RETRY_MS;
     while (!this.known && !signal.aborted) {
       // Both are asked at once: a controller that starts while the cloud is in trouble must still be able to lead.
       this.readFromStore();
-      const types = await cloud.catalog();
+      const types = await this.cloud.catalog();
       if (types) this.known ??= new Catalog(types);
       else await pause(retryMs);
       retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
@@ -49,16 +44,17 @@
   /** Stores a catalog for controllers that start later, if it fits a value of the store. */
   save(catalog: Catalog, writer: LeaderWriter): void {
     const value = catalogValue(catalog);
-    if (JSON.stringify(value).length > this.deps.maxValueBytes) return;
+    const maxBytes = this.context.settings.settings.state.value_kb * BYTES_PER_KB;
+    if (JSON.stringify(value).length > maxBytes) return;
     writer.enqueue({ changes: [{ put: KEYS.catalog, value }], done: () => undefined }, 'background');
   }
 
   private readFromStore(): void {
-    this.deps.store
+    this.store
       .get(KEYS.catalog, 'user')
       .then((stored) => {
         if (stored.kind === 'ok' && stored.value) this.known ??= readCatalogValue(stored.value.value);
       })
-      .catch(this.deps.onError);
+      .catch(this.context.onError);
   }
 }
--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -1,9 +1,5 @@
 /** One leadership of this controller, from the election that won it to its end. */
-import type { Clock } from '../base/clock.ts';
-import type { Logger } from '../base/log.ts';
 import type { NameIndex } from '../base/name-index.ts';
-import type { Options } from '../config/options.ts';
-import type { Settings } from '../config/settings.ts';
 import type { Catalog } from '../fleet/catalog.ts';
 import type { CloudClient } from '../fleet/cloud.ts';
 import type { TeamQuota } from '../jobs/admission.ts';
@@ -24,7 +20,7 @@
 import { LeaderWriter, type WriterHost } from '../store/leader-writer.ts';
 import type { WorkerClient } from '../workers/worker-client.ts';
 import type { ClusterCatalog } from './cluster-catalog.ts';
-import type { ErrorHandler } from './error-log.ts';
+import type { ControllerContext } from './context.ts';
 import type { LeadershipTransfer } from './leadership-transfer.ts';
 
 /** How often a new leader looks whether the catalog has been read. */
@@ -36,13 +32,8 @@
 /** Most bytes of one transaction. */
 const MAX_TRANSACTION_BYTES = 56 * 1024;
 
-/** What a leadership needs of the controller. */
-export interface LeadershipSessionDeps {
-  settings: Settings;
-  options: Options;
-  log: Logger;
-  clock: Clock;
-  pause: (ms: number) => Promise<void>;
+/** The parts of the controller that a leadership rests on. */
+export interface LeadershipParts {
   store: KeyValueStore;
   cloud: CloudClient;
   workers: WorkerClient;
@@ -54,15 +45,10 @@
   zones: NameIndex;
   /** How long heartbeats are still answered after the lease has expired, in milliseconds. */
   heartbeatGraceMs: number;
-  /** Puts a command in the controller's queue. */
-  enqueue: (command: () => void) => void;
   /** How late this process gets to its work, in milliseconds. */
   lagMs: () => number;
   /** Milliseconds since a worker last sent a heartbeat to this controller itself. */
   directHeartbeatAgeMs: () => number;
-  onError: ErrorHandler;
-  /** Aborted once the controller is stopped. */
-  signal: AbortSignal;
 }
 
 /** Brings a leader up, keeps it informed of changed job records, and ends it with the leadership. */
@@ -70,7 +56,8 @@
   private activeLeader: Leader | null = null;
 
   constructor(
-    private readonly deps: LeadershipSessionDeps,
+    private readonly context: ControllerContext,
+    private readonly parts: LeadershipParts,
     private readonly leadership: Leadership,
   ) {}
 
@@ -81,7 +68,8 @@
 
   /** Leads until the leadership is lost. */
   async run(): Promise<void> {
-    const { catalog: clusterCatalog, pause, store } = this.deps;
+    const { pause } = this.context;
+    const { catalog: clusterCatalog, store } = this.parts;
     while (!clusterCatalog.current && this.isCurrent()) await pause(CATALOG_POLL_MS);
     let fence = await store.get(KEYS.fence, 'lease');
     while (fence.kind !== 'ok' && this.isCurrent()) {
@@ -106,22 +94,23 @@
   }
 
   private isCurrent(): boolean {
-    return !this.deps.signal.aborted && this.deps.election.current() === this.leadership;
+    return !this.context.signal.aborted && this.parts.election.current() === this.leadership;
   }
 
   private hasValidLease(): boolean {
-    return this.isCurrent() && this.deps.election.hasValidLease();
+    return this.isCurrent() && this.parts.election.hasValidLease();
   }
 
   /** Gives this leadership up; a late reason must not end a newer one of the same controller. */
   private stepDown(reason: string): void {
-    if (this.isCurrent()) this.deps.election.stepDown(reason);
+    if (this.isCurrent()) this.parts.election.stepDown(reason);
   }
 
   private startLeader(catalog: Catalog, fenceVersion: number): Leader {
     const terminalWrites = new TerminalWrites((id) => leader.isOutcomeUnconfirmed(id));
     const writer = this.createWriter(terminalWrites, fenceVersion);
-    const { settings, options, teams, zones, cloud, heartbeatGraceMs } = this.deps;
+    const { settings, options } = this.context;
+    const { teams, zones, cloud, heartbeatGraceMs } = this.parts;
     const leader: Leader = new Leader({
       host: this.createHost(terminalWrites),
       settings,
@@ -135,12 +124,13 @@
       heartbeatGraceMs,
     });
     this.activeLeader = leader;
-    this.deps.catalog.save(catalog, writer);
+    this.parts.catalog.save(catalog, writer);
     return leader;
   }
 
   private createWriter(terminalWrites: TerminalWrites, fenceVersion: number): LeaderWriter {
-    const { store, settings, clock, pause, log } = this.deps;
+    const { settings, now, pause, log } = this.context;
+    const { store } = this.parts;
     const { state } = settings.settings;
     const host: WriterHost = {
       compareAndSwap: terminalWrites.tracking((conditions, changes, timeoutMs: number) =>
@@ -164,13 +154,14 @@
       this.leadership.version,
       fenceVersion,
       { txnOps: state.txn_ops, bytes: MAX_TRANSACTION_BYTES },
-      new RateBudget(state.write_rps * LEADER_WRITES, () => clock.now()),
+      new RateBudget(state.write_rps * LEADER_WRITES, now),
       log,
     );
   }
 
   private createHost(terminalWrites: TerminalWrites): LeaderHost {
-    const { clock, log, pause, workers, terminalStates, enqueue, lagMs, directHeartbeatAgeMs } = this.deps;
+    const { clock, log, pause, enqueue, onError } = this.context;
+    const { workers, terminalStates, transfer, lagMs, directHeartbeatAgeMs } = this.parts;
     const { term } = this.leadership;
     return {
       clock,
@@ -196,7 +187,7 @@
         this.stepDown('a worker has seen a higher fencing token');
       },
       lostAllWorkers: () => {
-        this.deps.transfer.onLostAllWorkers(() => this.isCurrent()).catch(this.deps.onError);
+        transfer.onLostAllWorkers(() => this.isCurrent()).catch(onError);
       },
     };
   }
@@ -204,16 +195,16 @@
   /** Reads the stored state until all of it is read; null: the leadership was lost meanwhile. */
   private async readState(): Promise<StoredState | null> {
     while (this.isCurrent()) {
-      const stored = await readStoredState(this.deps.store);
+      const stored = await readStoredState(this.parts.store);
       if (stored) return stored;
-      await this.deps.pause(STATE_RETRY_MS);
+      await this.context.pause(STATE_RETRY_MS);
     }
     return null;
   }
 
   /** Runs a step in the controller's queue, unless the leadership is lost by then. */
   private whileLeading(leader: Leader, step: () => void): void {
-    this.deps.enqueue(() => {
+    this.context.enqueue(() => {
       if (this.activeLeader === leader) step();
     });
   }
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -1,14 +1,26 @@
-/** Factories of the parts of a controller that depend on settings, options and platform alone. */
-import type { Logger } from '../base/log.ts';
-import type { Options } from '../config/options.ts';
-import type { Settings } from '../config/settings.ts';
+/** Factories of the parts of a controller. */
 import { CloudClient } from '../fleet/cloud.ts';
 import { AdaptiveLimit, USER_SLACK_MS, WORKER_SLACK_MS } from '../http/limit.ts';
+import type { Answer } from '../http/server.ts';
 import type { TeamQuota } from '../jobs/admission.ts';
+import { PollBatcher } from '../jobs/poll-batches.ts';
+import { SharedReads } from '../jobs/shared-reads.ts';
+import type { TerminalStateCache } from '../jobs/terminal-state-cache.ts';
+import { UserRequests } from '../jobs/user-requests.ts';
+import type { Leader } from '../leader/leader.ts';
+import { Election, leaseMs, type ElectionEvents } from '../leadership/election.ts';
 import { cancellationCanHold, heartbeatGraceMs } from '../leadership/heartbeat-grace.ts';
-import { KeyValueStore } from '../store/key-value-store.ts';
+import { Connectivity } from '../peers/connectivity.ts';
+import { submissionBudget } from '../store/budget.ts';
+import { KeyValueStore, moreUrgent, type StoreResult, type Urgency } from '../store/key-value-store.ts';
+import { KEYS } from '../store/keys.ts';
+import type { Item } from '../wire/state.ts';
 import { WorkerClient } from '../workers/worker-client.ts';
-import type { Platform } from './platform.ts';
+import type { ClusterCatalog } from './cluster-catalog.ts';
+import type { ControllerContext } from './context.ts';
+import { HeartbeatHandler } from './heartbeat-handler.ts';
+import type { PeerCalls } from './peer-calls.ts';
+import { Routes, type RequestLimits } from './routes.ts';
 
 /** Share of the controller's sockets that commands to workers may use; the rest is for those who connect to it. */
 const COMMAND_CONNECTION_SHARE = 0.1;
@@ -25,34 +37,34 @@
 }
 
 /** The client of the state service. */
-export function createStore(settings: Settings, platform: Platform, log: Logger): KeyValueStore {
+export function createStore({ settings, platform, now, log }: ControllerContext): KeyValueStore {
   const { state, nodes } = settings.settings;
   return new KeyValueStore(
     (connections) => platform.network.connect(settings.endpoints.state, connections),
     { rps: state.rps, nodes },
-    () => platform.clock.now(),
+    now,
     log,
   );
 }
 
 /** The client of the cloud. */
-export function createCloudClient(settings: Settings, platform: Platform, log: Logger): CloudClient {
+export function createCloudClient({ settings, platform, now, log }: ControllerContext): CloudClient {
   return new CloudClient(
     (connections) => platform.network.connect(settings.endpoints.cloud, connections),
     settings.settings.cloud.rps,
-    () => platform.clock.now(),
+    now,
     log,
   );
 }
 
 /** The client that sends commands to workers. */
-export function createWorkerClient(settings: Settings, platform: Platform): WorkerClient {
+export function createWorkerClient({ settings, platform }: ControllerContext): WorkerClient {
   const { sockets } = settings.settings.limits;
   return new WorkerClient(platform.network.shared(commandConnections(sockets)));
 }
 
 /** The quotas of the teams, in the service's own terms. */
-export function teamQuotas(settings: Settings): TeamQuota[] {
+export function teamQuotas({ settings }: ControllerContext): TeamQuota[] {
   return settings.settings.teams.map((team) => ({
     name: team.name,
     cpus: team.cpus,
@@ -66,7 +78,7 @@
  * How long heartbeats are still answered after the lease has expired, in milliseconds. Warns if a cancellation can't
  * hold with these settings.
  */
-export function heartbeatGrace(settings: Settings, options: Options, log: Logger): number {
+export function heartbeatGrace({ settings, options, log }: ControllerContext): number {
   const { workers } = settings.settings;
   const times = { cancelS: workers.cancel_s, leaseS: workers.lease_s };
   if (!cancellationCanHold(times)) {
@@ -78,18 +90,142 @@
   return heartbeatGraceMs(options.leadership.grace_s, times);
 }
 
-/** How many requests of each kind may be in progress at once. */
-export interface RequestLimits {
-  /** Submissions and cancellations. */
-  userLimit: AdaptiveLimit;
-  /** Polls that wait for the leader or the state service. */
-  pollLimit: AdaptiveLimit;
-  /** Heartbeats. */
-  workerLimit: AdaptiveLimit;
+/** The election of this controller. Peer leases are used only where they cover all other controllers. */
+export function createElection(
+  context: ControllerContext,
+  store: KeyValueStore,
+  peerCalls: PeerCalls,
+  events: ElectionEvents,
+): Election {
+  const { settings, options, platform, clock, log, pause } = context;
+  const { limits, nodes } = settings.settings;
+  const { lease_ms, renew_ms } = options.leadership;
+  const knowsAllPeers = platform.peers.names.length === nodes - 1;
+  return new Election(
+    settings.host_name,
+    platform.nonce,
+    store,
+    clock,
+    () => platform.random(),
+    { ttlMs: leaseMs(lease_ms, limits.cores), renewMs: renew_ms },
+    events,
+    log,
+    pause,
+    knowsAllPeers ? (request) => peerCalls.requestPeerLeases(request) : null,
+  );
+}
+
+/** Tells whether this controller is isolated. */
+export function createConnectivity(
+  { clock }: ControllerContext,
+  store: KeyValueStore,
+  peerCalls: PeerCalls,
+): Connectivity {
+  return new Connectivity({
+    clock,
+    storeServedAt: () => store.servedAt,
+    probeStore: () => store.get(KEYS.term, 'background'),
+    probePeers: () => peerCalls.pingAny(),
+  });
+}
+
+/** The parts that users' requests rest on. */
+export interface UserRequestParts {
+  store: KeyValueStore;
+  election: Election;
+  peerCalls: PeerCalls;
+  terminalStates: TerminalStateCache;
+  teams: readonly TeamQuota[];
+  catalog: ClusterCatalog;
+  /** The leader on this controller, if it leads. */
+  leader: () => Leader | null;
+}
+
+/** The users' side of the controller. Reads of one record are shared, and polls go to the leader in batches. */
+export function createUserRequests(context: ControllerContext, parts: UserRequestParts): UserRequests {
+  const { settings, options, clock, now, after } = context;
+  const { store, election, peerCalls, terminalStates, teams, catalog, leader } = parts;
+  const { state, nodes } = settings.settings;
+  const polls = new PollBatcher({ now, after, send: (jobIds) => peerCalls.pollLeader(jobIds) });
+  const reads = new SharedReads<StoreResult<Item | null>, Urgency>({
+    now,
+    after,
+    read: (key, urgency) => store.get(key, urgency),
+    moreUrgent,
+  });
+  return new UserRequests({
+    clock,
+    options,
+    store: {
+      get: (key, urgency) => reads.get(key, urgency),
+      compareAndSwap: (conditions, mutations, urgency, timeoutMs) =>
+        store.compareAndSwap(conditions, mutations, urgency, timeoutMs),
+    },
+    terminalStates,
+    submissions: submissionBudget(state.write_rps, nodes, now),
+    teams,
+    catalog: () => catalog.current,
+    leader,
+    beginLeaderlessWrite: (urgency) => election.beginLeaderlessWrite(urgency),
+    callLeader: (request, timeoutMs) =>
+      request.kind === 'poll' ? polls.poll(request.jobId) : peerCalls.callLeader(request, timeoutMs),
+    callOthers: (request, timeoutMs) => peerCalls.callOthers(request, timeoutMs),
+  });
 }
 
-/** The limits of requests in progress. */
-export function createRequestLimits(settings: Settings, options: Options, now: () => number): RequestLimits {
+/** The parts that the handling of heartbeats rests on. */
+export interface HeartbeatParts {
+  election: Election;
+  /** The leader on this controller, if it leads. */
+  leader: () => Leader | null;
+  heartbeatGraceMs: number;
+}
+
+/** The workers' side of the controller. */
+export function createHeartbeatHandler(
+  { settings, options, platform, log, now, after, onError }: ControllerContext,
+  { election, leader, heartbeatGraceMs: graceMs }: HeartbeatParts,
+): HeartbeatHandler {
+  return new HeartbeatHandler({
+    node: settings.host_name,
+    settings: settings.settings,
+    options,
+    log,
+    now,
+    after,
+    onError,
+    leader,
+    knownLeader: () => election.leader(),
+    msSinceLeaseExpiry: () => election.msSinceLeaseExpiry(),
+    heartbeatGraceMs: graceMs,
+    call: (peer, request, timeoutMs) => platform.peers.call(peer, request, timeoutMs),
+  });
+}
+
+/** The parts that the routes lead to. */
+export interface RouteTargets {
+  userRequests: UserRequests;
+  heartbeats: HeartbeatHandler;
+  health: () => Answer;
+}
+
+/** The routes of HTTP requests to the parts that answer them. */
+export function createRoutes(context: ControllerContext, targets: RouteTargets): Routes {
+  const { userRequests, heartbeats, health } = targets;
+  return new Routes({
+    ...createRequestLimits(context),
+    options: context.options,
+    userRequests,
+    enqueue: context.enqueue,
+    onHeartbeat: (body, reply) => {
+      heartbeats.onHeartbeat(body, reply);
+    },
+    health,
+  });
+}
+
+/** How many requests of each kind may be in progress at once. */
+function createRequestLimits({ settings, options, now }: ControllerContext): RequestLimits {
   const { users_min, users_max, polls_min, polls_max, workers_min, workers_max } = options.http;
   // Each worker has one heartbeat in progress, over a socket of its own.
   const maxWorkers = Math.max(workers_min, Math.min(workers_max, settings.settings.limits.sockets));
