--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -36,7 +36,7 @@
   return Math.max(MIN_COMMAND_CONNECTIONS, Math.floor(sockets * COMMAND_CONNECTION_SHARE));
 }
 
-/** The client of the state service. */
+/** Reads and writes the state service, within this controller's share of its request rate. */
 export function createStore({ settings, platform, now, log }: ControllerContext): KeyValueStore {
   const { state, nodes } = settings.settings;
   return new KeyValueStore(
@@ -47,7 +47,7 @@
   );
 }
 
-/** The client of the cloud. */
+/** Rents machines and lists them, within the request rate of the settings. */
 export function createCloudClient({ settings, platform, now, log }: ControllerContext): CloudClient {
   return new CloudClient(
     (connections) => platform.network.connect(settings.endpoints.cloud, connections),
@@ -57,7 +57,7 @@
   );
 }
 
-/** The client that sends commands to workers. */
+/** Sends commands to workers, over its share of the sockets. */
 export function createWorkerClient({ settings, platform }: ControllerContext): WorkerClient {
   const { sockets } = settings.settings.limits;
   return new WorkerClient(platform.network.shared(commandConnections(sockets)));
