--- a/src/controller/cluster-catalog.ts
+++ b/src/controller/cluster-catalog.ts
@@ -4,23 +4,28 @@
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import type { LeaderWriter } from '../store/leader-writer.ts';
-import type { ControllerContext } from './context.ts';
+import type { ErrorHandler } from './error-log.ts';
 
 const FIRST_RETRY_MS = 300;
 const MAX_RETRY_MS = 3000;
 
-/** Most bytes of a value in the store, for each kilobyte of the setting. */
-const BYTES_PER_KB = 1000;
+/** What reading and saving the catalog needs of the controller. */
+export interface ClusterCatalogDeps {
+  store: Pick<KeyValueStore, 'get'>;
+  cloud: Pick<CloudClient, 'catalog'>;
+  pause: (ms: number) => Promise<void>;
+  /** Ends the reading. */
+  signal: AbortSignal;
+  onError: ErrorHandler;
+  /** Most bytes of a value in the store. */
+  maxValueBytes: number;
+}
 
 /** Reads the catalog of machine types from whoever answers first, the cloud or the store. */
 export class ClusterCatalog {
   private known: Catalog | null = null;
 
-  constructor(
-    private readonly context: ControllerContext,
-    private readonly store: KeyValueStore,
-    private readonly cloud: CloudClient,
-  ) {}
+  constructor(private readonly deps: ClusterCatalogDeps) {}
 
   /** null until it has been read; it doesn't change afterwards. */
   get current(): Catalog | null {
@@ -29,12 +34,12 @@
 
   /** Asks until one of them has answered. */
   async load(): Promise<void> {
-    const { pause, signal } = this.context;
+    const { cloud, pause, signal } = this.deps;
     let retryMs = FIRST_RETRY_MS;
     while (!this.known && !signal.aborted) {
       // Both are asked at once: a controller that starts while the cloud is in trouble must still be able to lead.
       this.readFromStore();
-      const types = await this.cloud.catalog();
+      const types = await cloud.catalog();
       if (types) this.known ??= new Catalog(types);
       else await pause(retryMs);
       retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
@@ -42,19 +47,18 @@
   }
 
   /** Stores a catalog for controllers that start later, if it fits a value of the store. */
-  save(catalog: Catalog, writer: LeaderWriter): void {
+  save(catalog: Catalog, writer: Pick<LeaderWriter, 'enqueue'>): void {
     const value = catalogValue(catalog);
-    const maxBytes = this.context.settings.settings.state.value_kb * BYTES_PER_KB;
-    if (JSON.stringify(value).length > maxBytes) return;
+    if (JSON.stringify(value).length > this.deps.maxValueBytes) return;
     writer.enqueue({ changes: [{ put: KEYS.catalog, value }], done: () => undefined }, 'background');
   }
 
   private readFromStore(): void {
-    this.store
+    this.deps.store
       .get(KEYS.catalog, 'user')
       .then((stored) => {
         if (stored.kind === 'ok' && stored.value) this.known ??= readCatalogValue(stored.value.value);
       })
-      .catch(this.context.onError);
+      .catch(this.deps.onError);
   }
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -11,17 +11,19 @@
 import type { Election, Leadership } from '../leadership/election.ts';
 import type { Connectivity } from '../peers/connectivity.ts';
 import type { PeerReply, PeerRequest } from '../peers/messages.ts';
-import { ClusterCatalog } from './cluster-catalog.ts';
+import type { ClusterCatalog } from './cluster-catalog.ts';
 import type { ControllerContext } from './context.ts';
 import { errorLogger } from './error-log.ts';
 import type { HeartbeatHandler } from './heartbeat-handler.ts';
 import { LeadershipSession, type LeadershipParts } from './leadership-session.ts';
 import { LeadershipTransfer } from './leadership-transfer.ts';
 import {
+  createCatalog,
   createCloudClient,
   createConnectivity,
   createElection,
   createHeartbeatHandler,
+  createPeerCalls,
   createRoutes,
   createStore,
   createUserRequests,
@@ -29,7 +31,6 @@
   heartbeatGrace,
   teamQuotas,
 } from './parts.ts';
-import { PeerCalls } from './peer-calls.ts';
 import { PeerRequestDispatcher } from './peer-request-dispatcher.ts';
 import type { Platform } from './platform.ts';
 import type { Routes } from './routes.ts';
@@ -78,12 +79,12 @@
     const workers = createWorkerClient(context);
     const cloud = createCloudClient(context);
     this.clients = [store, cloud, workers];
-    this.catalog = new ClusterCatalog(context, store, cloud);
+    this.catalog = createCatalog(context, store, cloud);
     const terminalStates = new TerminalStateCache(options.users.final_cache);
     const teams = teamQuotas(context);
     const zones = new NameIndex(settings.settings.zones);
     const heartbeatGraceMs = heartbeatGrace(context);
-    const peerCalls = new PeerCalls(context, () => this.election.leader());
+    const peerCalls = createPeerCalls(context, () => this.election.leader());
     const leader = (): Leader | null => this.leader;
     this.connectivity = createConnectivity(context, store, peerCalls);
     this.election = createElection(context, store, peerCalls, {
--- a/src/controller/leadership-transfer.ts
+++ b/src/controller/leadership-transfer.ts
@@ -11,8 +11,8 @@
 /** What a transfer of the leadership needs of the controller. */
 export interface LeadershipTransferDeps {
   clock: Clock;
-  peerCalls: PeerCalls;
-  election: Election;
+  peerCalls: Pick<PeerCalls, 'findWorkerContact'>;
+  election: Pick<Election, 'stepDownFor'>;
 }
 
 /**
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -16,16 +16,19 @@
 import { KEYS } from '../store/keys.ts';
 import type { Item } from '../wire/state.ts';
 import { WorkerClient } from '../workers/worker-client.ts';
-import type { ClusterCatalog } from './cluster-catalog.ts';
+import { ClusterCatalog } from './cluster-catalog.ts';
 import type { ControllerContext } from './context.ts';
 import { HeartbeatHandler } from './heartbeat-handler.ts';
-import type { PeerCalls } from './peer-calls.ts';
+import { PeerCalls } from './peer-calls.ts';
 import { Routes, type RequestLimits } from './routes.ts';
 
 /** Share of the controller's sockets that commands to workers may use; the rest is for those who connect to it. */
 const COMMAND_CONNECTION_SHARE = 0.1;
 const MIN_COMMAND_CONNECTIONS = 8;
 
+/** Bytes of a value in the store for each kilobyte of its setting. */
+const BYTES_PER_KB = 1000;
+
 /** Requests of users that may be in progress before their limit has adapted. */
 const INITIAL_USER_REQUESTS = 64;
 /** Factor over the least round trip up to which a limit grows. */
@@ -63,6 +66,30 @@
   return new WorkerClient(platform.network.shared(commandConnections(sockets)));
 }
 
+/** Reads the machine types from the cloud or the store. */
+export function createCatalog(
+  { settings, pause, signal, onError }: ControllerContext,
+  store: KeyValueStore,
+  cloud: CloudClient,
+): ClusterCatalog {
+  const maxValueBytes = settings.settings.state.value_kb * BYTES_PER_KB;
+  return new ClusterCatalog({ store, cloud, pause, signal, onError, maxValueBytes });
+}
+
+/** Calls the leader and all other controllers. */
+export function createPeerCalls(
+  { settings, options, platform, clock }: ControllerContext,
+  knownLeader: () => string | null,
+): PeerCalls {
+  return new PeerCalls({
+    node: settings.host_name,
+    clock,
+    peers: platform.peers,
+    knownLeader,
+    pollTimeoutMs: options.users.forward_ms,
+  });
+}
+
 /** The quotas of the teams, in the service's own terms. */
 export function teamQuotas({ settings }: ControllerContext): TeamQuota[] {
   return settings.settings.teams.map((team) => ({
--- a/src/controller/peer-request-dispatcher.ts
+++ b/src/controller/peer-request-dispatcher.ts
@@ -8,8 +8,8 @@
 
 /** The parts of a controller that answer other controllers. */
 export interface PeerRequestDispatcherDeps {
-  heartbeats: HeartbeatHandler;
-  userRequests: UserRequests;
+  heartbeats: Pick<HeartbeatHandler, 'hasWorkerContact' | 'onRelayedHeartbeats'>;
+  userRequests: Pick<UserRequests, 'onPeerRequest'>;
   /** Grants a leader's request for a peer lease, or refuses it. */
   grantPeerLease: (request: PeerLeaseRequest) => Promise<boolean>;
   onError: ErrorHandler;
