--- /dev/null
+++ b/test/controller/peer-request-dispatcher.test.ts
@@ -0,0 +1,108 @@
+import assert from 'node:assert/strict';
+import test from 'node:test';
+import {
+  PeerRequestDispatcher,
+  type PeerRequestDispatcherDeps,
+} from '../../src/controller/peer-request-dispatcher.ts';
+import type { PeerReply, PeerRequest } from '../../src/peers/messages.ts';
+
+const RUNNING = { kind: 'status' as const, created: false, stage: 'running' as const, done: 1, running: 2 };
+
+/** The parts behind the dispatcher; each replies with something of its own. */
+class DispatcherHarness {
+  workerContact = false;
+  granted: Promise<boolean> = Promise.resolve(true);
+  readonly errors: unknown[] = [];
+  private readonly dispatcher: PeerRequestDispatcher;
+
+  constructor() {
+    const deps: PeerRequestDispatcherDeps = {
+      heartbeats: {
+        hasWorkerContact: () => this.workerContact,
+        onRelayedHeartbeats: (follower, bodies, reply) => {
+          const responses = bodies.map((body) => ({ status: 200, body: `${follower}: ${body}` }));
+          reply({ kind: 'heartbeatResponses', relay: true, responses });
+        },
+      },
+      userRequests: {
+        onPeerRequest: (request, reply) => {
+          if (request.kind === 'heartbeats') throw new Error('heartbeats are no request of a user');
+          // A lookup and a slow job take a while; all others are answered at once.
+          if (request.kind === 'lookup') setImmediate(reply, { kind: 'notFound' });
+          else if (request.jobId === 'known') reply(RUNNING);
+          else if (request.jobId === 'slow') setImmediate(reply, { kind: 'notFound' });
+          else reply({ kind: 'refused', status: 400, reason: `${request.kind} of ${request.jobId}` });
+        },
+      },
+      grantPeerLease: () => this.granted,
+      onError: (error) => this.errors.push(error),
+    };
+    this.dispatcher = new PeerRequestDispatcher(deps);
+  }
+
+  reply(request: PeerRequest): Promise<PeerReply> {
+    return new Promise((resolve) => {
+      this.dispatcher.dispatch(request, resolve);
+    });
+  }
+
+  dispatch(request: PeerRequest): void {
+    this.dispatcher.dispatch(request, () => undefined);
+  }
+}
+
+test('requests that need no other part are answered at once', async () => {
+  const harness = new DispatcherHarness();
+  assert.deepEqual(await harness.reply({ kind: 'ping' }), { kind: 'ack' });
+  assert.deepEqual(await harness.reply({ kind: 'workerContact' }), { kind: 'unavailable' });
+  harness.workerContact = true;
+  assert.deepEqual(await harness.reply({ kind: 'workerContact' }), { kind: 'ack' });
+});
+
+test('relayed heartbeats go to the handler of heartbeats, with the follower that relays them', async () => {
+  const harness = new DispatcherHarness();
+  assert.deepEqual(await harness.reply({ kind: 'heartbeats', node: 'a', heartbeats: ['x', 'y'] }), {
+    kind: 'heartbeatResponses',
+    relay: true,
+    responses: [
+      { status: 200, body: 'a: x' },
+      { status: 200, body: 'a: y' },
+    ],
+  });
+});
+
+test('requests for a single job go to the part that answers users', async () => {
+  const harness = new DispatcherHarness();
+  const requests: PeerRequest[] = [
+    { kind: 'poll', jobId: 'j' },
+    { kind: 'cancel', jobId: 'j' },
+    { kind: 'submit', jobId: 'j', body: '{}' },
+  ];
+  for (const request of requests) {
+    const reason = `${request.kind} of j`;
+    assert.deepEqual(await harness.reply(request), { kind: 'refused', status: 400, reason });
+  }
+  assert.deepEqual(await harness.reply({ kind: 'lookup', jobId: 'j' }), { kind: 'notFound' });
+});
+
+test('a peer lease is granted or refused, and an error on the way is handed to the owner', async () => {
+  const harness = new DispatcherHarness();
+  const request = { kind: 'grantPeerLease' as const, term: 1, ms: 5000, continuous: true };
+  assert.deepEqual(await harness.reply(request), { kind: 'granted' });
+  harness.granted = Promise.resolve(false);
+  assert.deepEqual(await harness.reply(request), { kind: 'unavailable' });
+  const error = new Error('store');
+  harness.granted = Promise.reject(error);
+  harness.dispatch(request);
+  await new Promise((resolve) => setImmediate(resolve));
+  assert.deepEqual(harness.errors, [error]);
+});
+
+test('a batch of polls is answered in order with what is known at once', async () => {
+  const harness = new DispatcherHarness();
+  // What is no answer to a poll, and what comes later, counts as no answer.
+  assert.deepEqual(await harness.reply({ kind: 'pollBatch', jobIds: ['j', 'known', 'slow'] }), {
+    kind: 'pollAnswers',
+    answers: [{ kind: 'unavailable' }, RUNNING, { kind: 'unavailable' }],
+  });
+});
