--- a/src/controller/cluster-catalog.ts
+++ b/src/controller/cluster-catalog.ts
@@ -50,7 +50,8 @@
   save(catalog: Catalog, writer: Pick<LeaderWriter, 'enqueue'>): void {
     const value = catalogValue(catalog);
     if (JSON.stringify(value).length > this.deps.maxValueBytes) return;
-    writer.enqueue({ changes: [{ put: KEYS.catalog, value }], done: () => undefined }, 'background');
+    const mutations = [{ put: KEYS.catalog, value }];
+    writer.enqueue({ kind: 'ready', mutations, done: () => undefined }, 'background');
   }
 
   private readFromStore(): void {
--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -136,27 +136,23 @@
       compareAndSwap: terminalWrites.tracking((conditions, changes, timeoutMs: number) =>
         store.compareAndSwap(conditions, changes, 'lease', timeoutMs),
       ),
-      readFence: async () => {
-        const read = await store.get(KEYS.fence, 'lease');
-        return read.kind === 'ok' ? (read.value?.version ?? 0) : null;
-      },
-      readLeader: async () => {
-        const read = await store.get(KEYS.leader, 'lease');
-        return read.kind === 'ok' ? (read.value?.version ?? 0) : null;
+      readVersion: async (key) => {
+        const read = await store.get(key, 'lease');
+        return read.kind === 'ok' ? { kind: 'ok', value: read.value?.version ?? 0 } : read;
       },
       lost: (reason) => {
         this.stepDown(reason);
       },
       pause,
     };
-    return new LeaderWriter(
+    return new LeaderWriter({
       host,
-      this.leadership.version,
+      leaderVersion: this.leadership.version,
       fenceVersion,
-      { txnOps: state.txn_ops, bytes: MAX_TRANSACTION_BYTES },
-      new RateBudget(state.write_rps * LEADER_WRITES, now),
+      limits: { maxMutations: state.txn_ops, maxBytes: MAX_TRANSACTION_BYTES },
+      budget: new RateBudget(state.write_rps * LEADER_WRITES, now),
       log,
-    );
+    });
   }
 
   private createHost(terminalWrites: TerminalWrites): LeaderHost {
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -12,7 +12,8 @@
 import { cancellationCanHold, heartbeatGraceMs } from '../leadership/heartbeat-grace.ts';
 import { Connectivity } from '../peers/connectivity.ts';
 import { submissionBudget } from '../store/budget.ts';
-import { KeyValueStore, moreUrgent, type StoreResult, type Urgency } from '../store/key-value-store.ts';
+import { moreUrgent, type Urgency } from '../store/call-budget.ts';
+import { KeyValueStore, type StoreResult } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Item } from '../wire/state.ts';
 import { WorkerClient } from '../workers/worker-client.ts';
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -65,7 +65,8 @@
     const together = chunks.length + 1 < settings.settings.state.txn_ops;
     writer.enqueue(
       {
-        changes: together ? [record, ...chunks] : [record],
+        kind: 'ready',
+        mutations: together ? [record, ...chunks] : [record],
         done: () => {
           host.enqueue(() => {
             this.onTerminalDurable(job, outcome, value);
@@ -76,7 +77,9 @@
       'ends',
     );
     if (together) return;
-    for (const chunk of chunks) writer.enqueue({ changes: [chunk], done: () => undefined }, 'background');
+    for (const chunk of chunks) {
+      writer.enqueue({ kind: 'ready', mutations: [chunk], done: () => undefined }, 'background');
+    }
   }
 
   private onTerminalDurable(job: Job, outcome: JobOutcome, value: unknown): void {
@@ -122,7 +125,8 @@
     job.storedChunks.add(chunk);
     this.deps.writer.enqueue(
       {
-        changes: [{ put: KEYS.completions(job.id, chunk), value: chunkValue(bits) }],
+        kind: 'ready',
+        mutations: [{ put: KEYS.completions(job.id, chunk), value: chunkValue(bits) }],
         done: () => {
           this.deps.host.enqueue(() => {
             job.markChunkDurable(chunk, bits);
--- a/test/leader/fakes.ts
+++ b/test/leader/fakes.ts
@@ -66,7 +66,7 @@
   backlog: 0,
   idle: false,
   enqueue: (write) => {
-    if ('build' in write) write.build();
+    if (write.kind === 'deferred') write.build();
     write.done();
   },
   stop: () => undefined,
