--- a/src/controller/heartbeat-handler.ts
+++ b/src/controller/heartbeat-handler.ts
@@ -20,6 +20,9 @@
 /** Heartbeat intervals that a new leader takes to learn of its machines. */
 const SETTLING_INTERVALS = 3;
 
+/** What the handler needs of the leader on its controller. */
+export type HeartbeatLeader = Pick<Leader, 'term' | 'machineCount' | 'onHeartbeat'>;
+
 /** What the handler needs of the controller it runs on. */
 export interface HeartbeatHandlerDeps {
   /** The name of this controller. */
@@ -31,7 +34,7 @@
   now: () => number;
   after: (ms: number, run: () => void) => void;
   /** The leadership of this controller, if it leads. */
-  leader: () => Leader | null;
+  leader: () => HeartbeatLeader | null;
   /** The controller that leads, as far as is known here. */
   knownLeader: () => string | null;
   /** Milliseconds since the lease was last valid; 0 while it is. */
@@ -53,9 +56,9 @@
   private readonly heartbeatIntervalMs: number;
   /** Workers that a leader can serve alone. */
   private readonly capacity: number;
-  private warnedFor: Leader | null = null;
+  private warnedFor: HeartbeatLeader | null = null;
   private lastDirectHeartbeatAt = -Infinity;
-  private settling: { leader: Leader; until: number } | null = null;
+  private settling: { leader: HeartbeatLeader; until: number } | null = null;
 
   constructor(private readonly deps: HeartbeatHandlerDeps) {
     const { settings, options, now } = deps;
@@ -120,7 +123,7 @@
   }
 
   /** Warns once per leadership if the fleet is larger than all controllers together can serve. */
-  private warnIfFleetExceedsCapacity(leader: Leader, machines: number): void {
+  private warnIfFleetExceedsCapacity(leader: HeartbeatLeader, machines: number): void {
     const capacity = this.capacity * this.deps.settings.nodes;
     if (this.warnedFor === leader || machines <= capacity) return;
     this.warnedFor = leader;
@@ -131,7 +134,7 @@
    * A new leader learns of its machines one by one. Followers that relay heartbeats go on with it meanwhile, or all
    * their workers would turn to the leader at once.
    */
-  private isSettling(leader: Leader): boolean {
+  private isSettling(leader: HeartbeatLeader): boolean {
     const now = this.deps.now();
     if (this.settling?.leader !== leader) {
       this.settling = { leader, until: now + this.heartbeatIntervalMs * SETTLING_INTERVALS };
@@ -159,7 +162,7 @@
   }
 
   /** The responses to a batch, as many as surely fit a frame; the other heartbeats are refused undecoded. */
-  private answerAll(leader: Leader, bodies: readonly string[]): HeartbeatResponse[] {
+  private answerAll(leader: HeartbeatLeader, bodies: readonly string[]): HeartbeatResponse[] {
     let bytes = 0;
     return bodies.map((heartbeat) => {
       if (bytes > MAX_RESPONSE_BYTES) return { status: 503, body: '{}' };
@@ -170,7 +173,7 @@
   }
 
   /** The leader's answer to a heartbeat, which holds for this moment only. */
-  private answer(leader: Leader, heartbeat: string): Answer {
+  private answer(leader: HeartbeatLeader, heartbeat: string): Answer {
     const decoded = this.decoder.decode(heartbeat);
     if (!decoded.ok) {
       this.logMalformed(decoded.reason);
