--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -13,7 +13,8 @@
   type JobRecordListener,
   type StoredState,
 } from '../leader/stored-state.ts';
-import type { Election, Leadership } from '../leadership/election.ts';
+import type { Election } from '../leadership/election.ts';
+import type { Leadership } from '../leadership/leadership-state.ts';
 import { LEADER_WRITES, RateBudget } from '../store/budget.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -8,8 +8,9 @@
 import type { TerminalStateCache } from '../jobs/terminal-state-cache.ts';
 import { UserRequests } from '../jobs/user-requests.ts';
 import type { Leader } from '../leader/leader.ts';
-import { Election, leaseMs, type ElectionEvents } from '../leadership/election.ts';
+import { Election, type ElectionEvents } from '../leadership/election.ts';
 import { cancellationCanHold, heartbeatGraceMs } from '../leadership/heartbeat-grace.ts';
+import { leaseMs } from '../leadership/lease.ts';
 import { Connectivity } from '../peers/connectivity.ts';
 import { submissionBudget } from '../store/budget.ts';
 import { moreUrgent, type Urgency } from '../store/call-budget.ts';
@@ -125,22 +126,23 @@
   peerCalls: PeerCalls,
   events: ElectionEvents,
 ): Election {
-  const { settings, options, platform, clock, log, pause } = context;
+  const { settings, options, platform, clock, log, pause, onError } = context;
   const { limits, nodes } = settings.settings;
   const { lease_ms, renew_ms } = options.leadership;
   const knowsAllPeers = platform.peers.names.length === nodes - 1;
-  return new Election(
-    settings.host_name,
-    platform.nonce,
+  return new Election({
+    node: settings.host_name,
+    nonce: platform.nonce,
     store,
     clock,
-    () => platform.random(),
-    { ttlMs: leaseMs(lease_ms, limits.cores), renewMs: renew_ms },
+    random: () => platform.random(),
+    options: { ttlMs: leaseMs(lease_ms, limits.cores), renewMs: renew_ms },
     events,
     log,
     pause,
-    knowsAllPeers ? (request) => peerCalls.requestPeerLeases(request) : null,
-  );
+    requestPeerLeases: knowsAllPeers ? (request) => peerCalls.requestPeerLeases(request) : null,
+    onFault: onError,
+  });
 }
 
 /** Tells whether this controller is isolated. */
--- a/src/jobs/user-request-deps.ts
+++ b/src/jobs/user-request-deps.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../base/clock.ts';
 import type { Options } from '../config/options.ts';
 import type { Catalog } from '../fleet/catalog.ts';
-import type { LeaderlessWrite } from '../leadership/election.ts';
+import type { LeaderlessWrite } from '../leadership/leaderless-write.ts';
 import type { PeerReply, PeerRequest } from '../peers/messages.ts';
 import type { RateBudget } from '../store/budget.ts';
 import type { Urgency } from '../store/call-budget.ts';
