--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -8,7 +8,9 @@
 import { TerminalWrites } from '../jobs/terminal-writes.ts';
 import { TerminalStateCache } from '../jobs/terminal-state-cache.ts';
 import type { TeamQuota } from '../jobs/admission.ts';
-import { Election, leaseMs, type Leadership } from '../leadership/election.ts';
+import { Election } from '../leadership/election.ts';
+import type { Leadership } from '../leadership/leadership-state.ts';
+import { leaseMs } from '../leadership/lease.ts';
 import { cancellationCanHold, heartbeatGraceMs } from '../leadership/heartbeat-grace.ts';
 import { answerBatch, PollBatcher } from '../jobs/poll-batches.ts';
 import { SharedReads } from '../jobs/shared-reads.ts';
@@ -16,7 +18,8 @@
 import { callAny } from '../peers/peers.ts';
 import { Connectivity } from '../peers/connectivity.ts';
 import { LEADER_WRITES, RateBudget, submissionBudget } from '../store/budget.ts';
-import { moreUrgent, KeyValueStore, type StoreResult, type Urgency } from '../store/key-value-store.ts';
+import { moreUrgent, type Urgency } from '../store/call-budget.ts';
+import { KeyValueStore, type StoreResult } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import { LeaderWriter } from '../store/leader-writer.ts';
 import type { Item } from '../wire/state.ts';
@@ -174,17 +177,17 @@
       probePeers: async () =>
         (await callAny(peers, { kind: 'ping' }, PEER_LEASE_TIMEOUT_MS, () => true)) !== null,
     });
-    this.election = new Election(
-      settings.host_name,
-      platform.nonce,
-      this.store,
-      this.clock,
-      () => platform.random(),
-      {
+    this.election = new Election({
+      node: settings.host_name,
+      nonce: platform.nonce,
+      store: this.store,
+      clock: this.clock,
+      random: () => platform.random(),
+      options: {
         ttlMs: leaseMs(options.leadership.lease_ms, settings.settings.limits.cores),
         renewMs: options.leadership.renew_ms,
       },
-      {
+      events: {
         acquired: (leadership) => {
           this.commands.enqueue(() => void this.lead(leadership));
         },
@@ -194,17 +197,24 @@
         },
       },
       log,
-      (ms) => platform.timers.pause(ms),
-      // Only the promises of all other controllers together say anything.
-      peers.names.length === settings.settings.nodes - 1
-        ? async (request) => {
-            const asked = peers.names.map((name) =>
-              peers.call(name, { kind: 'promise', ...request }, PEER_LEASE_TIMEOUT_MS),
-            );
-            return (await Promise.all(asked)).map((reply) => reply?.kind === 'promised');
-          }
-        : null,
-    );
+      pause: (ms) => platform.timers.pause(ms),
+      // Only the leases of all other controllers together say anything.
+      requestPeerLeases:
+        peers.names.length === settings.settings.nodes - 1
+          ? async (request) => {
+              const asked = peers.names.map((name) =>
+                peers.call(name, { kind: 'promise', ...request }, PEER_LEASE_TIMEOUT_MS),
+              );
+              return (await Promise.all(asked)).map((reply) => reply?.kind === 'promised');
+            }
+          : null,
+      onFault: (error) => {
+        log.error(
+          { error: error instanceof Error ? (error.stack ?? error.message) : String(error) },
+          'background task failed',
+        );
+      },
+    });
     this.heartbeats = new HeartbeatHandler({
       node: settings.host_name,
       settings: settings.settings,
@@ -323,7 +333,8 @@
   private keepCatalog(writer: LeaderWriter): void {
     const value = catalogValue(this.catalog!);
     if (JSON.stringify(value).length > this.settings.settings.state.value_kb * 1000) return;
-    writer.enqueue({ changes: [{ put: KEYS.catalog, value }], done: () => undefined }, 'background');
+    const mutations = [{ put: KEYS.catalog, value }];
+    writer.enqueue({ kind: 'ready', mutations, done: () => undefined }, 'background');
   }
 
   // ---- leadership ----
@@ -391,30 +402,26 @@
     if (!this.isCurrent(held) || fence.kind !== 'ok') return;
     const { state } = this.settings.settings;
     const endWrites = new TerminalWrites((id) => leader.isOutcomeUnconfirmed(id));
-    const writer = new LeaderWriter(
-      {
+    const writer = new LeaderWriter({
+      host: {
         compareAndSwap: endWrites.tracking((conditions, changes, timeoutMs: number) =>
           this.store.compareAndSwap(conditions, changes, 'lease', timeoutMs),
         ),
-        readFence: async () => {
-          const read = await this.store.get(KEYS.fence, 'lease');
-          return read.kind === 'ok' ? (read.value?.version ?? 0) : null;
-        },
-        readLeader: async () => {
-          const read = await this.store.get(KEYS.leader, 'lease');
-          return read.kind === 'ok' ? (read.value?.version ?? 0) : null;
+        readVersion: async (key) => {
+          const read = await this.store.get(key, 'lease');
+          return read.kind === 'ok' ? { kind: 'ok', value: read.value?.version ?? 0 } : read;
         },
         lost: (reason) => {
           this.endLeadership(held, reason);
         },
         pause,
       },
-      held.version,
-      fence.value?.version ?? 0,
-      { txnOps: state.txn_ops, bytes: 56 * 1024 },
-      new RateBudget(state.write_rps * LEADER_WRITES, () => this.clock.now()),
-      this.log,
-    );
+      leaderVersion: held.version,
+      fenceVersion: fence.value?.version ?? 0,
+      limits: { maxMutations: state.txn_ops, maxBytes: 56 * 1024 },
+      budget: new RateBudget(state.write_rps * LEADER_WRITES, () => this.clock.now()),
+      log: this.log,
+    });
     const hasValidLease = (): boolean => this.isCurrent(held) && this.election.hasValidLease();
     const leader: Leader = new Leader({
       host: {
--- a/test/sim/failures.test.ts
+++ b/test/sim/failures.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import { pino } from 'pino';
+import { required } from '../../src/base/required.ts';
 import { describe, play } from './days.ts';
 
 interface Entry {
@@ -8,6 +9,7 @@
   machine?: string;
   machines?: string[];
   job?: string;
+  reason?: string;
 }
 
 test('jobs that fail everywhere end with a cancellation; only the faulty machine is returned for it', async () => {
@@ -32,10 +34,12 @@
       told,
       jobs.map((j) => (j.mistaken ? 'aborted' : 'done')),
     );
-    const faulty = entries.filter((e) => e.msg === 'faulty machine, returned').map((e) => e.machine!);
+    const faulty = entries
+      .filter((e) => e.msg === 'machine terminated' && e.reason === 'faulty')
+      .map((e) => required(e.machine, 'machine of the log line'));
     for (const name of faulty) assert.ok(day.faultyMachines.has(name), `${name} is healthy`);
     returned += faulty.length;
-    const failures = entries.filter((e) => e.msg === 'a task failed' && e.job === 'req-000000').length;
+    const failures = entries.filter((e) => e.msg === 'task failed' && e.job === 'req-000000').length;
     assert.ok(failures >= 5 && failures <= 14, `${failures} attempts of an array that always fails`);
   }
   assert.ok(returned > 0);
