--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -172,7 +172,7 @@
       count,
     };
     option.asking = count;
-    log.info(rental, 'renting');
+    log.info(rental, 'provisioning machines');
     for (let attempt = 0; attempt < 5 && this.deps.hasValidLease(); attempt++) {
       const rentedAt = clock.now();
       const result = await cloud.rent(rental);
@@ -235,7 +235,7 @@
         reason,
         pause,
       },
-      'rental backed off',
+      'provisioning backed off',
     );
   }
 
@@ -273,7 +273,7 @@
       if (m.idleMs > Math.max(idle_s, bootS * idle_boot_share) * 1000) names.push(m.name);
     }
     if (names.length === 0) return;
-    this.deps.log.info({ machines: names }, 'idle machines, returned');
+    this.deps.log.info({ machines: names, reason: 'idle' }, 'machines terminated');
     this.terminate(names);
   }
 
@@ -305,7 +305,7 @@
       const bootS = this.deps.catalog.types[b.type]?.bootS ?? 60;
       const patience = (bootS * this.deps.options.fleet.boot_patience + 15) * 1000;
       if (now - b.rentedAt > patience && now > b.keepUntil && !this.terminating.has(b.name)) {
-        this.deps.log.info({ machine: b.name }, 'machine never came up, returned');
+        this.deps.log.info({ machine: b.name, reason: 'neverJoined' }, 'machine terminated');
         this.terminate([b.name]);
       }
     }
@@ -390,7 +390,7 @@
         }
         // In one line: a new leader finds hundreds.
         if (unexpected.length > 0)
-          this.deps.log.info({ machines: unexpected }, 'unexpected machines in the list');
+          this.deps.log.info({ machines: unexpected }, 'unknown machines listed by the cloud');
         for (const [name, when] of this.terminated)
           if (at - when > TERMINATED_KEPT_MS) this.terminated.delete(name);
       });
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -167,7 +167,7 @@
         headroom.cpus -= group.need.cpus;
         headroom.gpus -= group.need.gpus;
       }
-      this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: p.count }, 'placed');
+      this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: p.count }, 'tasks placed');
     }
     // Whoever was left out may need what is idle now: it was once returned, and rented anew a moment later.
     if (result.leftOut === 0) {
@@ -210,7 +210,7 @@
       const since = this.bestEffortOnlySince.get(m) ?? now;
       this.bestEffortOnlySince.set(m, since);
       if (now - since < this.deps.options.fleet.idle_s * 1000 || worthKeeping(view.price, tasks)) continue;
-      for (const a of m.live()) this.stopGracefully(a, 'machine too dear for it alone');
+      for (const a of m.live()) this.stopGracefully(a, 'consolidation for scale-in');
     }
   }
 
@@ -309,7 +309,7 @@
     if (!picked || !first) return false;
     let saveS = 0;
     for (const a of picked) {
-      this.stopGracefully(a, `warm room for ${job.id}`);
+      this.stopGracefully(a, `cached image needed by ${job.id}`);
       saveS = Math.max(saveS, a.job?.spec.checkpointDurationS ?? 0);
     }
     victims.clear();
@@ -322,10 +322,7 @@
     const job = required(a.job, 'job of the attempt');
     const graceS = job.spec.checkpointIntervalS > 0 ? job.spec.checkpointDurationS + 2 : 0;
     const gang = job.spec.gang ? this.cluster.gangs.get(job) : undefined;
-    this.deps.host.log.info(
-      { job: job.id, task: a.task, machine: a.machine.name, reason },
-      'task stopped to make room',
-    );
+    this.deps.host.log.info({ job: job.id, task: a.task, machine: a.machine.name, reason }, 'task preempted');
     if (!gang) {
       this.cluster.stop(a, graceS);
       return;
