--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -35,7 +35,7 @@
 
 /** A job as the leader knows it. Work on it goes by counts and short lists, never over all its tasks. */
 export class Job {
-  /** A `TaskState` for each task. */
+  /** For each task `PENDING`, `ASSIGNED`, `DONE` or `DURABLE`. */
   readonly taskStates: Uint8Array;
   /** The first task that was never assigned; tasks below it that were requeued are in `requeued`. */
   private nextTask = 0;
--- a/src/jobs/peer-messages.ts
+++ b/src/jobs/peer-messages.ts
@@ -6,7 +6,7 @@
 /** Requests of other controllers that concern a single job. */
 export type PeerJobRequest = Exclude<
   PeerRequest,
-  { kind: 'grantPeerLease' | 'ping' | 'workerContact' | 'pollBatch' }
+  { kind: 'grantPeerLease' | 'ping' | 'workerContact' | 'pollBatch' | 'heartbeats' }
 >;
 
 /** Asks another controller to read the job's records in the store. */
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -72,9 +72,6 @@
         return;
       case 'submit':
         this.onPeerSubmission(request.body, reply);
-        return;
-      default:
-        replyWith({ kind: 'unavailable' });
     }
   }
 
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -54,7 +54,7 @@
 
   /**
    * Writes the terminal record in the place of the open one: one mutation, and one key that tells what a job is. The
-   * completion bitmap goes with it if one transaction holds both, and else when there is nothing more urgent.
+   * deletion of the completion bitmap goes with it if one transaction holds both, and else when there is nothing more urgent.
    */
   private writeTerminalRecord(job: Job, outcome: JobOutcome): void {
     const { writer, host, settings } = this.deps;
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -68,7 +68,10 @@
   isolated: boolean;
 }
 
-/** Checks all machines at intervals. Decisions over state and time are made by pure functions in `workers/`. */
+/**
+ * Checks all machines at intervals. Decisions over state and time are made by functions in
+ * `workers/` that do no I/O; one of them notes on the attempt when it first saw it (`mustAwaitLeaseExpiry`).
+ */
 export class MachineMonitor {
   private lastCheckAt = -Infinity;
   /** Silence before this says nothing: this controller was not there to listen, or not the leader yet. */
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -100,7 +100,7 @@
     this.runInBackground(watch.run());
   }
 
-  /** Ends the background tasks; each goes on until its pause or request under way is over. */
+  /** Ends the background tasks. A candidacy under way goes on to its end, but gives up the lease that it wins. */
   stop(): void {
     this.stopping.abort();
   }
--- a/src/leadership/leader-record.ts
+++ b/src/leadership/leader-record.ts
@@ -14,7 +14,7 @@
 
 type StoreFailure = Exclude<StoreResult<unknown>, { kind: 'ok' }>;
 
-/** What a read of the leader key found. `unavailable`: the store refused the read or didn't answer it. */
+/** What a read of the leader key found. `unavailable`: the store refused the read, or gave no usable answer. */
 export type LeaderRead =
   | { kind: 'absent' }
   | { kind: 'held'; record: LeaderRecord; version: number; lease: number | null }
--- a/src/leadership/leader-watch.ts
+++ b/src/leadership/leader-watch.ts
@@ -63,7 +63,7 @@
 export class LeaderWatch {
   constructor(private readonly deps: LeaderWatchDependencies) {}
 
-  /** Ends once the signal is aborted and the pause or request under way is over. */
+  /** Ends once the signal is aborted and the step under way (a read, a watch, a pause or a candidacy) is over. */
   async run(): Promise<void> {
     const { node, store, state, records, log, pause, signal } = this.deps;
     let retryMs = MIN_RETRY_MS;
--- a/src/leadership/leadership-state.ts
+++ b/src/leadership/leadership-state.ts
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Peers answered a request for peer leases. Returns true if the leadership rests on these for the first time since
-   * its own lease expired.
+   * Peers answered a request for peer leases. Returns true if the own lease has expired and no peer leases outlasted
+   * it before: the leadership is valid from now on only by these, if at all.
    */
   peerLeasesAnswered(granted: readonly boolean[], validUntil: number, now: number): boolean {
     const validBefore = this.peerLeases.validUntil;
--- a/src/leadership/peer-lease-ledger.ts
+++ b/src/leadership/peer-lease-ledger.ts
@@ -10,8 +10,8 @@
 /**
  * The abstention leases that one controller granted to leaders, and the writes it made that need the absence of a
  * leader ("leaderless writes": candidacy, and cancelling a job without a leader). A write belongs to the term that the
- * store named when it began. Times are milliseconds on the steady clock of this process. docs/safety.md, "Promises in
- * an outage", has the rules.
+ * store named when it began. Times are milliseconds on the steady clock of this process. docs/safety.md, "Peer
+ * leases in an outage", has the rules.
  */
 export class PeerLeaseLedger {
   private grantedUntil = -Infinity;
--- a/src/relay/worker-balancer.ts
+++ b/src/relay/worker-balancer.ts
@@ -24,7 +24,7 @@
 const STOP_RELAY_SHARE = 0.8;
 /** The share of its capacity that a leader serves itself while followers relay: it also plans. */
 const LEADER_SHARE = 0.75;
-/** A follower that serves more than this share of what the leader serves is no relief. */
+/** A follower that serves this share or more of what the leader serves is no relief. */
 const RELIEF_SHARE = 0.8;
 /** A follower that has relayed nothing for so long may be gone. */
 const FOLLOWER_TIMEOUT_MS = 2000;
--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -35,7 +35,7 @@
 
 interface Part {
   view: MachineSnapshot;
-  /** Index into `leaving`; -1: the room of a machine that is yet to come up. */
+  /** Index into `releases`; -1: the room of a machine that is yet to come up. */
   step: number;
 }
 
--- a/src/store/budget.ts
+++ b/src/store/budget.ts
@@ -45,7 +45,7 @@
     return true;
   }
 
-  /** Permits that are there now; negative while the bucket is blocked. */
+  /** Permits that are there now; below 1 while the bucket is blocked, and negative early in a long block. */
   available(): number {
     this.refill();
     return this.permits;
--- a/src/store/call-budget.ts
+++ b/src/store/call-budget.ts
@@ -6,8 +6,8 @@
 
 /**
  * How urgent a call is. A call is admitted only while the budget still holds what is reserved for more urgent ones:
- * `lease` (leader leases and the leader's own transactions), `user` (submissions and cancellations), `background`
- * (probes and recovery reads), `poll` (reads for users who ask after a job).
+ * `lease` (leader leases, the leader's own transactions, its recovery and the watches of keys), `user` (submissions
+ * and cancellations), `background` (connectivity probes), `poll` (reads for users who ask after a job).
  */
 export type Urgency = 'lease' | 'user' | 'background' | 'poll';
 
--- a/src/store/fenced-transactions.ts
+++ b/src/store/fenced-transactions.ts
@@ -1,4 +1,4 @@
-/** Transactions that only the current leader can commit, each of them exactly once. */
+/** Transactions that only the current leader can commit, each of them at most once. */
 import type { Logger } from '../base/log.ts';
 import type { Condition, Mutation } from '../wire/state.ts';
 import type { CompareAndSwapResult, StoreResult } from './key-value-store.ts';
@@ -52,7 +52,7 @@
  */
 type Resolution = 'committed' | 'notCommitted' | 'superseded' | 'unresolved';
 
-/** Time-outs and pauses of one transaction: both double with each failure up to a limit. */
+/** Time-outs and pauses of one transaction: both grow with failures, by doubling, up to a limit. */
 class RetrySchedule {
   timeoutMs = MIN_TIMEOUT_MS;
   private backoffMs = MIN_BACKOFF_MS;
--- a/src/store/key-value-store.ts
+++ b/src/store/key-value-store.ts
@@ -14,7 +14,7 @@
  */
 interface Refused {
   kind: 'refused';
-  /** True if it was refused for its rate: by the service (429) or by this node's own budget. */
+  /** True if it was refused for its rate: by the service (429) or by this node's own budget. A watch doesn't say. */
   overLimit?: boolean;
 }
 
--- a/src/workers/attempt-deadlines.ts
+++ b/src/workers/attempt-deadlines.ts
@@ -9,7 +9,7 @@
 
 /** The settings that bound a cancellation, in milliseconds. */
 export interface CancellationTimes {
-  /** Within this time of the cancellation no task of the job may run. */
+  /** So long after the cancellation was confirmed every task of the job must be gone. */
   cancelMs: number;
   leaseMs: number;
 }
--- a/test/controller/peer-request-dispatcher.test.ts
+++ b/test/controller/peer-request-dispatcher.test.ts
@@ -26,7 +26,6 @@
       },
       userRequests: {
         onPeerRequest: (request, reply) => {
-          if (request.kind === 'heartbeats') throw new Error('heartbeats are no request of a user');
           // A lookup and a slow job take a while; all others are answered at once.
           if (request.kind === 'lookup') setImmediate(reply, { kind: 'notFound' });
           else if (request.jobId === 'known') reply(RUNNING);
--- a/test/controller/service.test.ts
+++ b/test/controller/service.test.ts
@@ -6,12 +6,13 @@
 import { CloudStandIn } from '../../standins/cloud.ts';
 import { StateStandIn } from '../../standins/state.ts';
 import { SETTINGS } from '../config/sample.ts';
-import { silent } from '../helpers.ts';
+import { defectRecorder } from '../defects.ts';
 import { JOB } from '../wire/sample.ts';
 
 /** One real controller on ports that the system chooses, against the stand-ins. */
 const state = new StateStandIn();
 const cloud = new CloudStandIn([], new Map());
+const { logger, defects } = defectRecorder();
 let service: Service;
 let base = '';
 
@@ -45,7 +46,7 @@
       endpoints: { state: await state.start(), cloud: await cloud.start() },
     }),
   );
-  service = new Service(settings, defaultOptions(), silent);
+  service = new Service(settings, defaultOptions(), logger);
   await service.start();
   base = `http://${service.address()}`;
   for (;;) {
@@ -61,6 +62,7 @@
 const ENDED_MS = 30_000;
 
 after(() => {
+  assert.deepEqual(defects, []);
   service.stop();
   state.stop();
   cloud.stop();
--- a/test/digest/traffic-digest.ts
+++ b/test/digest/traffic-digest.ts
@@ -3,7 +3,7 @@
 import type { PeerReply, PeerRequest } from '../../src/peers/messages.ts';
 import { Emulator } from '../../src/sim/emulator.ts';
 import type { SentMessage } from '../../src/sim/network.ts';
-import { silent } from '../helpers.ts';
+import { defectRecorder } from '../defects.ts';
 import { scenario, type DaySketch } from '../sim/days.ts';
 
 /** The method under which the emulator carries what controllers send each other. */
@@ -31,7 +31,9 @@
   const observe = (message: SentMessage): void => {
     onLine(messageLine(message));
   };
-  await new Emulator(scenario(sketch), silent, undefined, observe).run();
+  const { logger, defects } = defectRecorder();
+  await new Emulator(scenario(sketch), logger, undefined, observe).run();
+  if (defects.length > 0) throw new Error(`a controller logged a defect: ${defects.join('\n')}`);
 }
 
 export interface TrafficDigest {
--- a/test/jobs/support/peer-network.ts
+++ b/test/jobs/support/peer-network.ts
@@ -10,6 +10,10 @@
   request: PeerRequest,
   reply: (reply: PeerReply) => void,
 ): void {
+  if (request.kind === 'heartbeats') {
+    reply({ kind: 'unavailable' });
+    return;
+  }
   if (request.kind === 'grantPeerLease' || request.kind === 'ping' || request.kind === 'workerContact')
     return;
   if (request.kind !== 'pollBatch') {
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -291,6 +291,7 @@
     case 'workerContact':
       return Promise.resolve({ kind: 'ack' });
     case 'pollBatch':
+    case 'heartbeats':
       return Promise.resolve({ kind: 'unavailable' });
     default:
       return new Promise((resolve) => {
--- a/test/sim/days.ts
+++ b/test/sim/days.ts
@@ -1,6 +1,5 @@
 import { required } from '../../src/base/required.ts';
 import assert from 'node:assert/strict';
-import { pino } from 'pino';
 import type { Logger } from '../../src/base/log.ts';
 import { defaultOptions, type Options } from '../../src/config/options.ts';
 import { check, trail, type Violation } from '../../src/sim/checker.ts';
@@ -10,6 +9,7 @@
 import type { JobBody, MachineType } from '../../src/sim/protocol.ts';
 import type { PlannedJob } from '../../src/sim/users.ts';
 import { SETTINGS } from '../config/sample.ts';
+import { defectRecorder } from '../defects.ts';
 import { JOB } from '../wire/sample.ts';
 
 /** The machine types of all tests: a large one with accelerators and a small one. */
@@ -160,19 +160,6 @@
   firstStartS: Map<string, number>;
 }
 
-/** Messages of a controller about errors that only a defect of its own can bring about. */
-const DEFECT_MESSAGES = new Set(['internal error', 'direct request failed']);
-
-/** A logger that keeps only what controllers say of defects of their own. */
-function defectRecorder(): { logger: Logger; defects: string[] } {
-  const defects: string[] = [];
-  const write = (line: string): void => {
-    const { msg } = JSON.parse(line) as { msg?: string };
-    if (msg !== undefined && DEFECT_MESSAGES.has(msg)) defects.push(line);
-  };
-  return { logger: pino({ level: 'error' }, { write }), defects };
-}
-
 /** Plays a day and judges it. Fails if a controller logs a defect of its own. */
 export async function play(sketch: DaySketch, tamper?: Tamper, logger?: Logger): Promise<Played> {
   const planned = scenario(sketch);
--- a/test/sim/failures.test.ts
+++ b/test/sim/failures.test.ts
@@ -2,6 +2,7 @@
 import test from 'node:test';
 import { pino } from 'pino';
 import { required } from '../../src/base/required.ts';
+import { tellsOfDefect } from '../defects.ts';
 import { describe, play } from './days.ts';
 
 interface Entry {
@@ -29,6 +30,7 @@
     }));
     const day = await play({ seed: seed * 31, faults: [], faulty: [1], jobs, endS: 200 }, undefined, log);
     assert.equal(describe(day), '');
+    assert.deepEqual(entries.filter(tellsOfDefect), []);
     const told = [...day.told].sort(([a], [b]) => a.localeCompare(b)).map(([, stage]) => stage);
     assert.deepEqual(
       told,
