--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -130,7 +130,7 @@
   }
 
   private createWriter(terminalWrites: TerminalWrites, fenceVersion: number): LeaderWriter {
-    const { settings, now, pause, log } = this.context;
+    const { settings, now, pause, log, onError } = this.context;
     const { store } = this.parts;
     const { state } = settings.settings;
     const host: WriterHost = {
@@ -153,6 +153,7 @@
       limits: { maxMutations: state.txn_ops, maxBytes: MAX_TRANSACTION_BYTES },
       budget: new RateBudget(state.write_rps * LEADER_WRITES, now),
       log,
+      onError,
     });
   }
 
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -176,7 +176,12 @@
   const { settings, options, clock, now, after } = context;
   const { store, election, peerCalls, terminalStates, teams, catalog, leader } = parts;
   const { state, nodes } = settings.settings;
-  const polls = new PollBatcher({ now, after, send: (jobIds) => peerCalls.pollLeader(jobIds) });
+  const polls = new PollBatcher({
+    now,
+    after,
+    send: (jobIds) => peerCalls.pollLeader(jobIds),
+    onError: context.onError,
+  });
   const reads = new SharedReads<StoreResult<Item | null>, Urgency>({
     now,
     after,
@@ -200,6 +205,7 @@
     callLeader: (request, timeoutMs) =>
       request.kind === 'poll' ? polls.poll(request.jobId) : peerCalls.callLeader(request, timeoutMs),
     callOthers: (request, timeoutMs) => peerCalls.callOthers(request, timeoutMs),
+    onError: context.onError,
   });
 }
 
--- a/src/jobs/job-cancellation.ts
+++ b/src/jobs/job-cancellation.ts
@@ -14,7 +14,7 @@
 
 type JobCancellationDeps = Pick<
   UserRequestDeps,
-  'beginLeaderlessWrite' | 'callLeader' | 'callOthers' | 'leader' | 'store' | 'terminalStates'
+  'beginLeaderlessWrite' | 'callLeader' | 'callOthers' | 'leader' | 'onError' | 'store' | 'terminalStates'
 >;
 
 /**
@@ -38,16 +38,18 @@
       reply(this.answers.status(id, terminalState));
       return;
     }
-    void this.cancelAnywhere(id).then((lookup) => {
-      // Only a terminal state answers a cancellation: a job can be created while it is being looked up.
-      if (lookup.kind === 'found' && isTerminal(lookup.status)) {
-        reply(this.answers.status(id, lookup.status));
-      } else if (lookup.kind === 'notFound') {
-        reply(this.answers.notFound());
-      } else {
-        reply(this.answers.unavailable('can not be cancelled now'));
-      }
-    });
+    this.cancelAnywhere(id)
+      .then((lookup) => {
+        // Only a terminal state answers a cancellation: a job can be created while it is being looked up.
+        if (lookup.kind === 'found' && isTerminal(lookup.status)) {
+          reply(this.answers.status(id, lookup.status));
+        } else if (lookup.kind === 'notFound') {
+          reply(this.answers.notFound());
+        } else {
+          reply(this.answers.unavailable('can not be cancelled now'));
+        }
+      })
+      .catch(this.deps.onError);
   }
 
   private async cancelAnywhere(id: string): Promise<JobLookup> {
--- a/src/jobs/job-query.ts
+++ b/src/jobs/job-query.ts
@@ -10,7 +10,7 @@
 /** Answers polls: from memory where that is certain, else from the leader, else from the store. */
 export class JobQuery {
   constructor(
-    private readonly deps: Pick<UserRequestDeps, 'callLeader' | 'options'>,
+    private readonly deps: Pick<UserRequestDeps, 'callLeader' | 'onError' | 'options'>,
     private readonly reader: JobStateReader,
     private readonly answers: UserAnswers,
   ) {}
@@ -28,9 +28,11 @@
       reply(known);
       return;
     }
-    void this.lookupElsewhere(id).then((lookup) => {
-      reply(this.answerTo(id, lookup));
-    });
+    this.lookupElsewhere(id)
+      .then((lookup) => {
+        reply(this.answerTo(id, lookup));
+      })
+      .catch(this.deps.onError);
   }
 
   private answerTo(id: string, lookup: JobLookup): Answer {
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -28,7 +28,7 @@
 
 type JobSubmissionDeps = Pick<
   UserRequestDeps,
-  'callOthers' | 'catalog' | 'clock' | 'options' | 'store' | 'submissions' | 'teams'
+  'callOthers' | 'catalog' | 'clock' | 'onError' | 'options' | 'store' | 'submissions' | 'teams'
 >;
 
 /**
@@ -43,7 +43,7 @@
   ) {}
 
   submit(body: string, reply: Reply): void {
-    void this.answerTo(body).then(reply);
+    this.answerTo(body).then(reply).catch(this.deps.onError);
   }
 
   private async answerTo(body: string): Promise<Answer> {
--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -17,6 +17,8 @@
    * time. Never rejected.
    */
   send(jobIds: string[]): Promise<readonly PollAnswer[] | null>;
+  /** A batch failed by a defect; its polls get no answer. */
+  onError: (error: unknown) => void;
 }
 
 /**
@@ -56,14 +58,17 @@
     const batch = this.waiting;
     this.waiting = new Map();
     this.pacer.noteSent();
-    void this.deps.send([...batch.keys()]).then((answers) => {
-      let index = 0;
-      for (const waiters of batch.values()) {
-        const answer = answers?.[index] ?? null;
-        index += 1;
-        for (const waiter of waiters) waiter(answer);
-      }
-    });
+    this.deps
+      .send([...batch.keys()])
+      .then((answers) => {
+        let index = 0;
+        for (const waiters of batch.values()) {
+          const answer = answers?.[index] ?? null;
+          index += 1;
+          for (const waiter of waiters) waiter(answer);
+        }
+      })
+      .catch(this.deps.onError);
   }
 }
 
--- a/src/jobs/user-request-deps.ts
+++ b/src/jobs/user-request-deps.ts
@@ -27,7 +27,7 @@
 
 /**
  * Interfaces and settings that user requests work with. None of the promises is ever rejected: every failure is a
- * result. So a rejection is a defect, which the process logs as an unhandled one.
+ * result. So a rejection is a defect, which goes to `onError`.
  */
 export interface UserRequestDeps {
   clock: Clock;
@@ -47,4 +47,6 @@
   callLeader(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
   /** Asks all other nodes, for when this one alone can't help; null when none of them can. */
   callOthers(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
+  /** Answering a request failed by a defect; the request gets no answer. */
+  onError: (error: unknown) => void;
 }
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -63,12 +63,12 @@
       case 'lookup': {
         const known = this.certainLookup(request.jobId);
         if (known) replyWith(known);
-        else void this.reader.lookupInStore(request.jobId, 'poll').then(replyWith);
+        else this.reader.lookupInStore(request.jobId, 'poll').then(replyWith).catch(this.deps.onError);
         return;
       }
       case 'cancel':
-        if (this.deps.leader()) void this.cancellation.cancelAsLeader(request.jobId).then(replyWith);
-        else replyWith({ kind: 'unavailable' });
+        if (!this.deps.leader()) replyWith({ kind: 'unavailable' });
+        else this.cancellation.cancelAsLeader(request.jobId).then(replyWith).catch(this.deps.onError);
         return;
       case 'submit':
         this.onPeerSubmission(request.body, reply);
@@ -87,9 +87,12 @@
       reply(replyToMalformed(decoded.reason));
       return;
     }
-    void this.submission.create(decoded.value).then((creation) => {
-      if (creation.kind === 'created') reply(replyToCreated(PENDING_STATUS));
-      else reply(replyFromLookup(creation.kind === 'rateLimited' ? { kind: 'unavailable' } : creation));
-    });
+    this.submission
+      .create(decoded.value)
+      .then((creation) => {
+        if (creation.kind === 'created') reply(replyToCreated(PENDING_STATUS));
+        else reply(replyFromLookup(creation.kind === 'rateLimited' ? { kind: 'unavailable' } : creation));
+      })
+      .catch(this.deps.onError);
   }
 }
--- a/src/store/leader-writer.ts
+++ b/src/store/leader-writer.ts
@@ -33,6 +33,8 @@
   /** Mutations that the leader may write per second. */
   budget: RateBudget;
   log: Logger;
+  /** Writing failed by a defect; nothing more is written in this leadership. */
+  onError: (error: unknown) => void;
 }
 
 /**
@@ -43,6 +45,7 @@
  */
 export class LeaderWriter {
   private readonly host: WriterHost;
+  private readonly onError: (error: unknown) => void;
   private readonly limits: TransactionLimits;
   private readonly queues = new WriteQueues();
   private readonly pacer: TransactionPacer;
@@ -50,8 +53,9 @@
   private readonly stopping = new AbortController();
   private running = false;
 
-  constructor({ host, leaderVersion, fenceVersion, limits, budget, log }: LeaderWriterDeps) {
+  constructor({ host, leaderVersion, fenceVersion, limits, budget, log, onError }: LeaderWriterDeps) {
     this.host = host;
+    this.onError = onError;
     this.limits = limits;
     this.pacer = new TransactionPacer(budget);
     this.transactions = new FencedTransactions({
@@ -72,7 +76,7 @@
   enqueue(write: QueuedWrite, priority: WritePriority): void {
     this.queues.enqueue(write, priority);
     // It ends by itself once nothing is queued, and failures are results: only a defect can make it reject.
-    if (!this.running) void this.run();
+    if (!this.running) this.run().catch(this.onError);
   }
 
   /** Ends all writing. A transaction in flight is not sent again, yet may still be committed. */
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -30,7 +30,7 @@
 import { encodeTransaction, type Mutation, type Item } from '../../src/wire/state.ts';
 import { decodeJob } from '../../src/wire/user.ts';
 import { MachineRegistry } from '../../src/workers/machine-registry.ts';
-import { FakeClock, silent } from '../helpers.ts';
+import { failTest, FakeClock, silent } from '../helpers.ts';
 import { ScriptedStateService } from './state-service.ts';
 
 /** Changes as they go to the state service. */
@@ -664,6 +664,7 @@
   ]);
   const client = service.client(now);
   const writer = new LeaderWriter({
+    onError: failTest,
     host: {
       compareAndSwap: (conditions, mutations, timeoutMs) =>
         client.compareAndSwap(conditions, mutations, 'lease', timeoutMs),
@@ -731,6 +732,7 @@
   assert.ok(types.ok);
   const catalog = new Catalog(types.value);
   const requests = new UserRequests({
+    onError: failTest,
     clock,
     options: defaultOptions(),
     store: client,
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -6,6 +6,11 @@
 export const SEED = 20261201;
 export const silent = pino({ level: 'silent' });
 
+/** Handles errors that only a defect can bring about: as an unhandled rejection it fails the test. */
+export function failTest(error: unknown): never {
+  throw error;
+}
+
 /** A machine type. */
 export const BIG: MachineTypeInfo = {
   name: 'big',
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -11,7 +11,7 @@
 import { MIN_READ_INTERVAL_MS, SharedReads } from '../../src/jobs/shared-reads.ts';
 import type { PollAnswer } from '../../src/peers/messages.ts';
 import { moreUrgent, type Urgency } from '../../src/store/call-budget.ts';
-import { SEED } from '../helpers.ts';
+import { failTest, SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
 
 /** A read that was started, at a simulated time in ms. */
@@ -107,6 +107,7 @@
   answer: (batch: SentBatch) => Promise<PollAnswer[] | null>,
 ): PollBatcher {
   return new PollBatcher({
+    onError: failTest,
     now: () => sim.at,
     after: (ms, run) => {
       sim.after(ms, run);
--- a/test/jobs/support/controllers.ts
+++ b/test/jobs/support/controllers.ts
@@ -22,6 +22,7 @@
 import { startLeader } from './simulated-leader.ts';
 import { UnreliableStateService } from './unreliable-state-service.ts';
 import { createUserRequests, jobId, sampleSubmission, type StoreFake } from './user-requests.ts';
+import { failTest } from '../../helpers.ts';
 
 export const CONTROLLER_COUNT = 3;
 /** Without renewal the leader key is gone after this time; the leader counts the margin less. */
@@ -113,6 +114,7 @@
       controller.deliver(ms, run);
     };
     const polls = new PollBatcher({
+      onError: failTest,
       now,
       after,
       send: async (jobIds) => {
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -10,7 +10,7 @@
 import { LeaderWriter } from '../../../src/store/leader-writer.ts';
 import type { WatchEvent } from '../../../src/wire/state.ts';
 import { SETTINGS } from '../../config/sample.ts';
-import { BIG, silent } from '../../helpers.ts';
+import { failTest, BIG, silent } from '../../helpers.ts';
 import type { Sim } from '../../model/sim.ts';
 import type { StateModel } from '../../model/state.ts';
 import type { HeldLeadership, SimulatedController } from './simulated-controller.ts';
@@ -100,6 +100,7 @@
   { terminalWrites, isCurrent }: { terminalWrites: TerminalWrites; isCurrent: () => boolean },
 ): LeaderWriter {
   return new LeaderWriter({
+    onError: failTest,
     host: {
       compareAndSwap: terminalWrites.tracking((conditions, mutations, timeoutMs: number) =>
         store.compareAndSwap(controller, conditions, mutations, timeoutMs),
--- a/test/jobs/support/user-requests.ts
+++ b/test/jobs/support/user-requests.ts
@@ -9,7 +9,7 @@
 import { RateBudget } from '../../../src/store/budget.ts';
 import type { StoreResult } from '../../../src/store/key-value-store.ts';
 import type { Item } from '../../../src/wire/state.ts';
-import { BIG, FakeClock } from '../../helpers.ts';
+import { failTest, BIG, FakeClock } from '../../helpers.ts';
 import { JOB } from '../../wire/sample.ts';
 
 export type StoreFake = UserRequestDeps['store'];
@@ -35,6 +35,7 @@
   overrides: Partial<Omit<UserRequestDeps, 'store'>> = {},
 ): UserRequests {
   return new UserRequests({
+    onError: failTest,
     clock: new FakeClock(),
     options: defaultOptions(),
     store,
--- a/test/leader/standstill.test.ts
+++ b/test/leader/standstill.test.ts
@@ -21,7 +21,7 @@
 import { decodeJob, type JobRequest } from '../../src/wire/user.ts';
 import type { Command } from '../../src/wire/worker.ts';
 import { SETTINGS } from '../config/sample.ts';
-import { BIG, FakeClock, silent } from '../helpers.ts';
+import { failTest, BIG, FakeClock, silent } from '../helpers.ts';
 import { JOB } from '../wire/sample.ts';
 import { fakeCloud, fakeHost, heartbeatOf, NO_RESPONSE, settle, TERM } from './fakes.ts';
 
@@ -115,6 +115,7 @@
 
   private createWriter(): LeaderWriter {
     return new LeaderWriter({
+      onError: failTest,
       host: {
         compareAndSwap: () => Promise.resolve({ kind: 'ok', revision: 1 }),
         readVersion: () => Promise.resolve({ kind: 'ok', value: 1 }),
@@ -131,6 +132,7 @@
 
   private createUserRequests(catalog: Catalog): UserRequests {
     return new UserRequests({
+      onError: failTest,
       clock: this.clock,
       options: defaultOptions(),
       store: {
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -15,6 +15,7 @@
 import { LeaseModel, type StoreAccess } from './lease-model.ts';
 import { electionOnModel } from './election-fixture.ts';
 import { RateBudget } from '../../src/store/budget.ts';
+import { failTest } from '../helpers.ts';
 
 /** One controller, whose process may end and start again. */
 export interface Controller extends StoreAccess {
@@ -164,6 +165,7 @@
     });
     node.election = election;
     node.userRequests = new UserRequests({
+      onError: failTest,
       clock,
       options: defaultOptions(),
       store,
--- a/test/leadership/election-fixture.ts
+++ b/test/leadership/election-fixture.ts
@@ -1,10 +1,9 @@
 /** Elections in simulated time, as the tests of this directory make them. */
-import assert from 'node:assert/strict';
 import type { Clock } from '../../src/base/clock.ts';
 import { defaultOptions } from '../../src/config/options.ts';
 import { Election, type ElectionEvents, type LeaseStore } from '../../src/leadership/election.ts';
 import type { RequestPeerLeases } from '../../src/leadership/peer-leases.ts';
-import { silent } from '../helpers.ts';
+import { failTest, silent } from '../helpers.ts';
 import type { Sim } from '../model/sim.ts';
 
 /** What a test gives an election; the rest has defaults. */
@@ -20,10 +19,6 @@
 }
 
 /** Thrown where nobody waits, an error becomes an unhandled rejection, which fails the test. */
-function failTest(error: unknown): void {
-  assert.ifError(error);
-}
-
 /** An election with the default options. Unless the test handles it, a failed background task fails the test. */
 export function electionOnModel(sim: Sim, setup: ElectionSetup): Election {
   const { leadership } = defaultOptions();
--- a/test/store/leader-writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -5,7 +5,7 @@
 import { KEYS } from '../../src/store/keys.ts';
 import { LeaderWriter } from '../../src/store/leader-writer.ts';
 import type { Write, WritePriority } from '../../src/store/write-queues.ts';
-import { FakeClock, SEED, silent } from '../helpers.ts';
+import { failTest, FakeClock, SEED, silent } from '../helpers.ts';
 import { FlakyStore, type Fate } from './flaky-store.ts';
 
 interface Setup {
@@ -22,6 +22,7 @@
   { lost = [], clock = new FakeClock(), maxMutations = 4, mutationsPerSecond = 1000 }: Setup = {},
 ): LeaderWriter {
   return new LeaderWriter({
+    onError: failTest,
     host: {
       compareAndSwap: (conditions, mutations) => store.compareAndSwap(conditions, mutations),
       readVersion: (key) => Promise.resolve({ kind: 'ok', value: store.version(key) }),
