--- a/test/jobs/support/peer-network.ts
+++ b/test/jobs/support/peer-network.ts
@@ -74,8 +74,7 @@
       .filter((controller) => controller !== from)
       .map(async (controller) => {
         const reply = await this.call(from, controller, request, timeoutMs);
-        if (!reply || reply.kind === 'unavailable')
-          if (!reply || reply.kind === 'unavailable') throw new Error('no usable reply of this controller');
+        if (!reply || reply.kind === 'unavailable') throw new Error('no usable reply of this controller');
         return reply;
       });
     return Promise.any(calls).catch(() => null);
