--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,6 +1,7 @@
 import { Command, CommanderError } from 'commander';
 import { ConfigError, loadSettings } from '../config/settings.ts';
 import { loadOptions, TUNABLES } from '../config/options.ts';
+import { errorText } from '../base/error-text.ts';
 import { makeLogger } from '../base/log.ts';
 import { Service } from '../controller/service.ts';
 
@@ -14,13 +15,10 @@
   const log = makeLogger(process.env.LOG_LEVEL, settings.host_name);
   // The owner catches faults of its commands; whatever else slips through is logged rather than ending all work.
   process.on('uncaughtException', (error) => {
-    log.error({ error: error.stack ?? error.message }, 'uncaught');
+    log.error({ error: errorText(error) }, 'uncaught');
   });
   process.on('unhandledRejection', (reason) => {
-    log.error(
-      { error: reason instanceof Error ? (reason.stack ?? reason.message) : String(reason) },
-      'unhandled',
-    );
+    log.error({ error: errorText(reason) }, 'unhandled');
   });
   await new Service(settings, options, log).start();
 }
--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -20,17 +20,19 @@
 /** Pause of a job whose description a worker couldn't fetch yet. */
 const UNKNOWN_JOB_PAUSE_MS = 2000;
 
+/** The parts of the leader that attempts work on, beside what the leader itself works with. */
+export interface AttemptsDeps extends LeaderDeps {
+  cluster: Cluster;
+  gangs: Gangs;
+  completion: Completion;
+  startWatermarks: StartWatermarks;
+}
+
 /** Creates the attempts of one leadership, and applies what workers report of them to their jobs. */
 export class Attempts {
   private count = 0;
 
-  constructor(
-    private readonly cluster: Cluster,
-    private readonly gangs: Gangs,
-    private readonly completion: Completion,
-    private readonly startWatermarks: StartWatermarks,
-    private readonly deps: LeaderDeps,
-  ) {}
+  constructor(private readonly deps: AttemptsDeps) {}
 
   private now(): number {
     return this.deps.host.clock.now();
@@ -44,17 +46,17 @@
 
   /** Assigns the job's next pending task to the machine; null if none may start now. */
   start(job: Job, machine: Machine, number: number): Attempt | null {
-    const task = job.takePending(!this.cluster.allReconciled());
+    const task = job.takePending(!this.deps.cluster.allReconciled());
     if (task < 0) return null;
     this.requestStartWatermark(job, task);
     const attempt = new Attempt({ machine, job, jobId: job.id, task, number, assignedAt: this.now() });
     machine.attempts.set(attemptKey(job.id, task, number), attempt);
     machine.expediteCommand();
-    this.cluster.commandsDue.add(machine);
+    this.deps.cluster.commandsDue.add(machine);
     this.expectFetch(machine, job);
-    this.cluster.track(attempt);
+    this.deps.cluster.track(attempt);
     job.waitingSince = this.now();
-    if (job.spec.gang) this.gangs.join(job, attempt);
+    if (job.spec.gang) this.deps.gangs.join(job, attempt);
     return attempt;
   }
 
@@ -75,10 +77,10 @@
     const step = Math.max(START_WATERMARK_STEP, Math.ceil(job.spec.tasks / START_WATERMARK_STEPS_PER_JOB));
     const watermark = job.spec.gang ? job.spec.tasks : Math.min(job.spec.tasks, task + step);
     job.requestedStartWatermark = watermark;
-    this.startWatermarks.raise(job.id, watermark, () => {
+    this.deps.startWatermarks.raise(job.id, watermark, () => {
       job.durableStartWatermark = watermark;
-      for (const attempt of this.cluster.liveAttempts.get(job) ?? [])
-        this.cluster.commandsDue.add(attempt.machine);
+      for (const attempt of this.deps.cluster.liveAttempts.get(job) ?? [])
+        this.deps.cluster.commandsDue.add(attempt.machine);
     });
   }
 
@@ -105,16 +107,16 @@
       attempt.decideStop(0);
       return;
     }
-    if (this.cluster.liveAttempts.get(job)?.has(attempt)) {
+    if (this.deps.cluster.liveAttempts.get(job)?.has(attempt)) {
       // Our own start has arrived, whichever way.
       attempt.machine.connectivity.acknowledged(this.now());
       return;
     }
     // A task that an earlier leader started.
-    this.cluster.track(attempt);
+    this.deps.cluster.track(attempt);
     if (!job.adopt(attempt.task)) this.stopOlder(job, attempt);
     if (job.pendingOutcome !== null) attempt.decideStop(0);
-    if (job.spec.gang) this.gangs.adopt(job, attempt);
+    if (job.spec.gang) this.deps.gangs.adopt(job, attempt);
   }
 
   /**
@@ -123,12 +125,12 @@
    */
   private stopOlder(job: Job, attempt: Attempt): void {
     if (job.isDone(attempt.task)) {
-      this.cluster.stop(attempt, 0);
+      this.deps.cluster.stop(attempt, 0);
       return;
     }
-    for (const other of this.cluster.liveAttempts.get(job) ?? []) {
+    for (const other of this.deps.cluster.liveAttempts.get(job) ?? []) {
       if (other === attempt || other.task !== attempt.task) continue;
-      this.cluster.stop(other.number < attempt.number ? other : attempt, 0);
+      this.deps.cluster.stop(other.number < attempt.number ? other : attempt, 0);
     }
   }
 
@@ -147,12 +149,12 @@
   }
 
   private onReleased(attempt: Attempt, checkpointed: boolean): void {
-    this.cluster.dirty = true;
+    this.deps.cluster.dirty = true;
     const { job, machine } = attempt;
     if (!job) return;
-    const otherHolders = this.cluster.release(attempt);
+    const otherHolders = this.deps.cluster.release(attempt);
     if (otherHolders < 0) {
-      if (attempt.exitReason === 'done') this.completion.taskDone(job, attempt.task);
+      if (attempt.exitReason === 'done') this.deps.completion.taskDone(job, attempt.task);
       return;
     }
     if (attempt.runningSince !== null) job.running = Math.max(0, job.running - 1);
@@ -161,8 +163,8 @@
     this.abandonFetch(machine, job);
     if (attempt.exitReason === 'done') this.onDone(job, attempt);
     else if (job.taskStates[attempt.task] === ASSIGNED && otherHolders === 0) this.requeue(job, attempt);
-    if (job.spec.gang) this.gangs.leave(job, attempt);
-    if (job.terminalState) this.cluster.removeIfCompleted(job);
+    if (job.spec.gang) this.deps.gangs.leave(job, attempt);
+    if (job.terminalState) this.deps.cluster.removeIfCompleted(job);
   }
 
   private logEnd(attempt: Attempt, checkpointed: boolean): void {
@@ -182,8 +184,9 @@
   /** A gang is done with the first of its tasks, as they end together. */
   private onDone(job: Job, attempt: Attempt): void {
     recordSuccess(job.failures, attempt.machine.index);
-    if (this.cluster.gangs.has(job)) for (let task = 0; task < job.spec.tasks; task++) job.markDone(task);
-    this.completion.taskDone(job, attempt.task);
+    if (this.deps.cluster.gangs.has(job))
+      for (let task = 0; task < job.spec.tasks; task++) job.markDone(task);
+    this.deps.completion.taskDone(job, attempt.task);
   }
 
   /** The task ended without being done and nobody else holds it: it is to be started anew. */
--- a/src/leader/command-dispatcher.ts
+++ b/src/leader/command-dispatcher.ts
@@ -1,4 +1,5 @@
 /** Direct requests to workers: commands that can't wait for the next heartbeat, and probes of silent machines. */
+import { errorText } from '../base/error-text.ts';
 import { BUSY_MS } from '../base/event-loop-lag.ts';
 import type { Command, Heartbeat } from '../wire/worker.ts';
 import { attemptKey, type Attempt } from '../workers/attempt.ts';
@@ -155,13 +156,8 @@
 
   /** A request that fails other than by its result is a defect; its machine counts as unanswered. */
   private logFailure(machine: Machine, error: unknown): void {
-    this.deps.host.log.error(
-      {
-        machine: machine.name,
-        error: error instanceof Error ? (error.stack ?? error.message) : String(error),
-      },
-      'direct request failed',
-    );
+    const fields = { machine: machine.name, error: errorText(error) };
+    this.deps.host.log.error(fields, 'direct request failed');
   }
 }
 
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -75,7 +75,13 @@
     this.startWatermarks = this.createStartWatermarks();
     this.archive = this.createArchive();
     this.completion = new Completion(this.cluster, this.startWatermarks, this.archive, deps);
-    this.attempts = new Attempts(this.cluster, this.gangs, this.completion, this.startWatermarks, deps);
+    this.attempts = new Attempts({
+      ...deps,
+      cluster: this.cluster,
+      gangs: this.gangs,
+      completion: this.completion,
+      startWatermarks: this.startWatermarks,
+    });
     this.dispatcher = new CommandDispatcher(this.cluster, deps, (heartbeat) => {
       // Answers still arrive after the end of this leadership.
       if (!this.stopped) this.heartbeats.onDirectResponse(heartbeat);
