--- a/eslint.config.js
+++ b/eslint.config.js
@@ -13,7 +13,6 @@
   'src/jobs/**',
   'src/leader/**',
   'src/leadership/**',
-  'src/sim/**',
   'src/store/**',
   'src/workers/**',
   'standins/**',
@@ -99,7 +98,12 @@
   {
     // Inner loops over dense arrays, whose indices are right by construction: a check at each access would cost a
     // round, or an emulated day, more time than it is worth.
-    files: ['src/scheduling/round.ts', 'src/scheduling/solver.ts', 'src/scheduling/targets.ts'],
+    files: [
+      'src/scheduling/round.ts',
+      'src/scheduling/solver.ts',
+      'src/scheduling/targets.ts',
+      'src/sim/queue.ts',
+    ],
     rules: { '@typescript-eslint/no-non-null-assertion': 'off' },
   },
   {
--- a/src/sim/check-answers.ts
+++ b/src/sim/check-answers.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { Violation } from './checker.ts';
 import type { Expected, SimEvent } from './events.ts';
 import type { JobBody, Stage } from './protocol.ts';
@@ -68,7 +69,7 @@
   }
 
   private seeAnswer(event: Event<'answered'>): void {
-    const request = this.asked.get(event.request)!;
+    const request = required(this.asked.get(event.request), 'request of the answer');
     const job = this.job(request.job);
     const report = (rule: Violation['rule'], text: string): void => {
       const where = `${request.job}: ${request.about} of ${request.node}`;
@@ -84,7 +85,7 @@
     event: Event<'answered'>,
     report: (rule: Violation['rule'], text: string) => void,
   ): void {
-    const stage = event.stage!;
+    const stage = required(event.stage, 'stage of the answer');
     if (job.submittedAt === null) report('invented', `nobody submitted it, answered ${stage}`);
     else if (job.expected !== 'accepted') report('wrongly_accepted', `${job.expected} expected`);
     if (stage === 'aborted' && !job.cancelAsked) report('went_back', 'cancelled though nobody asked for it');
@@ -97,7 +98,7 @@
     this.checkAge(job, age, request, stage, report);
     if (age === 2) job.final ??= stage;
     for (let older = 0; older <= age; older++) {
-      job.toldAt[older] = Math.min(job.toldAt[older]!, event.at);
+      job.toldAt[older] = Math.min(required(job.toldAt[older], 'time of the age'), event.at);
     }
   }
 
@@ -110,13 +111,13 @@
     report: (rule: Violation['rule'], text: string) => void,
   ): void {
     for (let newer = age + 1; newer <= 2; newer++) {
-      const at = job.toldAt[newer]!;
+      const at = required(job.toldAt[newer], 'time of the age');
       if (request.at <= at) continue;
       const sinceMs = (request.at - at).toFixed(0);
       const rule = age === 0 ? 'forgotten' : 'went_back';
       report(
         rule,
-        `${AGE_NAMES[newer]} (${job.final ?? 'accepted'}), then ${told}, asked ${sinceMs} ms later`,
+        `${required(AGE_NAMES[newer], 'name of the age')} (${job.final ?? 'accepted'}), then ${told}, asked ${sinceMs} ms later`,
       );
       return;
     }
@@ -139,6 +140,7 @@
   }
 }
 
+/** Judges the answers that users got; the events are in the order of time. */
 export function checkAnswers(events: readonly SimEvent[]): Violation[] {
   const checking = new AnswerCheck();
   for (const event of events) checking.see(event);
--- a/src/sim/check-placements.ts
+++ b/src/sim/check-placements.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { RuleContext, Violation } from './checker.ts';
 import type { Placement, SimEvent } from './events.ts';
 import type { JobBody } from './protocol.ts';
@@ -54,7 +55,7 @@
   }
 
   private seeAnswer(event: Event<'answered'>): void {
-    const job = this.asked.get(event.request)!;
+    const job = required(this.asked.get(event.request), 'request of the answer');
     if (event.stage === 'aborted' && !this.cancelledAt.has(job)) this.cancelledAt.set(job, event.at);
   }
 
@@ -68,11 +69,11 @@
     const others = [...this.on.values()];
     this.on.set(key(event), event);
     const job = this.jobs.get(event.job);
-    const machine = this.machines.get(event.machine)!;
     if (!job) {
       this.report('invented', event.at, event, 'runs although nobody submitted it');
       return;
     }
+    const machine = required(this.machines.get(event.machine), 'machine of the task');
     const twin = others.find((o) => o.job === event.job && o.task === event.task);
     if (twin) this.report('ran_twice', event.at, event, `is on ${twin.machine} (attempt ${twin.attempt})`);
     this.checkQuota(event, job, others);
@@ -86,9 +87,12 @@
   private checkQuota(event: Event<'task_on'>, job: JobBody, others: readonly Event<'task_on'>[]): void {
     const team = this.context.teams.find((t) => t.name === job.crew);
     if (!team) return;
-    const of = others.map((o) => this.jobs.get(o.job)).filter((j) => j?.crew === job.crew);
-    const cores = of.reduce((sum, j) => sum + j!.cores, job.cores);
-    const accelerators = of.reduce((sum, j) => sum + j!.accelerators, job.accelerators);
+    const of = others
+      .map((o) => this.jobs.get(o.job))
+      .filter((j) => j !== undefined)
+      .filter((j) => j.crew === job.crew);
+    const cores = of.reduce((sum, j) => sum + j.cores, job.cores);
+    const accelerators = of.reduce((sum, j) => sum + j.accelerators, job.accelerators);
     const over =
       (team.cpus_max > 0 && cores > team.cpus_max + ROUNDING) ||
       (team.gpus_max > 0 && accelerators > team.gpus_max + ROUNDING);
@@ -109,7 +113,9 @@
     if (job.yard !== null && job.yard !== machine.zone) wrong(`zone ${machine.zone}`);
     if (job.ovens && !job.ovens.includes(machine.type)) wrong(`type ${machine.type}`);
     const own = others.filter((o) => o.job === event.job);
-    const here = own.filter((o) => this.machines.get(o.machine)!.zone === machine.zone);
+    const zoneOf = (o: Placement): string =>
+      required(this.machines.get(o.machine), 'machine of the task').zone;
+    const here = own.filter((o) => zoneOf(o) === machine.zone);
     if (job.samePlace && here.length < own.length) wrong('another zone than the other tasks');
     if (job.apart && here.length + 1 > Math.ceil(job.loaves / 2)) wrong('too many tasks in one zone');
   }
@@ -134,6 +140,7 @@
   }
 }
 
+/** Judges where and when tasks ran; the events are in the order of time. */
 export function checkPlacements(events: readonly SimEvent[], context: RuleContext): Violation[] {
   const checking = new PlacementCheck(context);
   for (const event of events) checking.see(event);
--- a/src/sim/check-service.ts
+++ b/src/sim/check-service.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { RuleContext, Violation } from './checker.ts';
 import type { Placement, SimEvent } from './events.ts';
 import type { JobBody } from './protocol.ts';
@@ -74,7 +75,7 @@
         });
         break;
       case 'machine_notice':
-        this.machines.get(event.machine)!.leaving = true;
+        required(this.machines.get(event.machine), 'machine with a notice').leaving = true;
         break;
       case 'machine_gone':
         this.machines.delete(event.machine);
@@ -114,7 +115,8 @@
   }
 
   private seeAnswer(event: Event<'answered'>): void {
-    const job = this.jobs.get(this.asked.get(event.request)!.job);
+    const request = required(this.asked.get(event.request), 'request of the answer');
+    const job = this.jobs.get(request.job);
     if (!job || event.stage === null) return;
     job.acceptedAt ??= event.at;
     job.lastAnswerAt = event.at;
@@ -285,6 +287,7 @@
   return groups;
 }
 
+/** Judges whether jobs were served in time; the events are in the order of time. */
 export function checkService(events: readonly SimEvent[], context: RuleContext): Violation[] {
   const checking = new ServiceCheck(context);
   let next = 0;
--- a/src/sim/checker.ts
+++ b/src/sim/checker.ts
@@ -23,6 +23,7 @@
   /** Less than half of a class, a team or a class's largest jobs is served. */
   | 'unserved';
 
+/** A rule that was broken: when, by the clock of the day, and for which job; null: none in particular. */
 export interface Violation {
   rule: Rule;
   atMs: number;
@@ -30,7 +31,7 @@
   text: string;
 }
 
-export interface TeamLimit {
+interface TeamLimit {
   name: string;
   /** 0: no limit. */
   cpus_max: number;
--- a/src/sim/cloud.ts
+++ b/src/sim/cloud.ts
@@ -6,6 +6,7 @@
 import type { Random } from './random.ts';
 import type { MachineIdentity } from './worker.ts';
 
+/** Settings of the cloud: requests a second, and seconds by which its machine list lags. */
 export interface CloudLimits {
   rps: number;
   list_lag_s: number;
@@ -19,6 +20,7 @@
   upAt: number;
 }
 
+/** What the cloud has to rent, and how it fails; shares are parts of 1. */
 export interface CloudOptions {
   types: readonly MachineType[];
   /** Machines there can be at once. */
@@ -129,7 +131,7 @@
   }
 
   private rent(text: string, reply: (answer: Answer) => void): void {
-    const body = parse<RentBody>(text);
+    const body = parse(text) as RentBody | null;
     const type = this.options.types.find((t) => t.name === body?.oven);
     if (
       !body ||
@@ -157,7 +159,7 @@
   }
 
   private giveBack(text: string): Answer {
-    const names = parse<{ hearths?: string[] }>(text)?.hearths;
+    const names = (parse(text) as { hearths?: string[] } | null)?.hearths;
     if (!names || names.length > MOST_RETURNED) return answer(400, { error: 'malformed' });
     for (const name of names) {
       const machine = this.machines.get(name);
--- a/src/sim/events.ts
+++ b/src/sim/events.ts
@@ -12,6 +12,7 @@
 /** What a correct service answers to a submission: takes it, or refuses it for good with this status. */
 export type Expected = 'accepted' | 400 | 422;
 
+/** What a user asks for. */
 export type RequestKind = 'submit' | 'poll' | 'cancel';
 
 /** What users and workers see of a day, and the troubles that were brought about. Times are in milliseconds. */
@@ -51,6 +52,7 @@
   /** A controller took the lease that leaders hold. */
   | { kind: 'leader'; node: string };
 
+/** An event and when it happened, in milliseconds since the day's beginning. */
 export type SimEvent = EventBody & { at: number };
 
 /** All events of a day in the order in which they happened. */
--- a/src/sim/faults.ts
+++ b/src/sim/faults.ts
@@ -7,7 +7,7 @@
 /** A trouble. `atS` and `forS` are seconds of the day; `share` is a part of 1. */
 export type Fault = { atS: number; forS: number } & FaultKind;
 
-export type FaultKind =
+type FaultKind =
   /** The process ends and starts again after `forS`. */
   | { kind: 'crash'; node: NodeChoice }
   | { kind: 'crash_all' }
--- a/src/sim/network.ts
+++ b/src/sim/network.ts
@@ -3,7 +3,7 @@
 import type { EventQueue } from './queue.ts';
 import type { Random } from './random.ts';
 
-export type HostKind = 'controller' | 'worker' | 'state' | 'cloud' | 'users';
+type HostKind = 'controller' | 'worker' | 'state' | 'cloud' | 'users';
 
 /** Whoever sends and receives messages. */
 export interface Host {
@@ -18,6 +18,7 @@
   serve(exchange: Exchange): void;
 }
 
+/** A request as its receiver sees it; `sentAt` in milliseconds of the day. */
 export interface Exchange {
   from: Host;
   request: HttpRequest;
@@ -26,6 +27,7 @@
   reply: (answer: Answer) => void;
 }
 
+/** Which way a message goes. */
 export type Phase = 'request' | 'answer';
 
 /** Messages that don't get through for a while. */
--- a/src/sim/protocol.ts
+++ b/src/sim/protocol.ts
@@ -27,10 +27,14 @@
   dueS: number | null;
 }
 
+/** Stage of a job in an answer to its user. */
 export type Stage = 'pending' | 'running' | 'done' | 'aborted';
+/** Where a task stands in its worker's report. */
 export type TaskStage = 'fetching' | 'waiting' | 'running' | 'saving' | 'ended';
+/** Why a task ended. */
 export type Cause = 'done' | 'stopped' | 'peers' | 'incomplete' | 'error' | 'full' | 'busy' | 'no_such';
 
+/** A machine type of the catalog: sizes in GB, prices an hour, `startupS` in seconds. */
 export interface MachineType {
   name: string;
   cores: number;
@@ -44,6 +48,7 @@
   yards: string[];
 }
 
+/** A command to a worker about one attempt of a task; `windDownS`: seconds of grace. */
 export interface Order {
   verb: 'launch' | 'stop' | 'clear';
   loaf: string;
@@ -51,6 +56,7 @@
   windDownS?: number;
 }
 
+/** The body of `POST /checkin`. */
 export interface ReportBody {
   hearth: string;
   address: string;
@@ -64,22 +70,26 @@
   loaves: { loaf: string; try: number; stage: TaskStage; cause?: Cause; saved?: boolean }[];
 }
 
+/** The answer to `POST /checkin`, as far as a worker may rely on it. */
 export interface ReportAnswer {
   baton?: number;
   orders?: Order[];
 }
 
+/** The body of `POST /orders`, as far as a worker may rely on it. */
 export interface OrdersBody {
   baton?: number;
   shift?: number;
   orders?: Order[];
 }
 
+/** The body of `POST /multi`. */
 export interface TransactionBody {
   if?: { k: string; stamp: number }[];
   then?: ({ set: string; data: unknown; permit?: number } | { drop: string })[];
 }
 
+/** The body of `POST /rentals`. */
 export interface RentBody {
   booking: string;
   oven: string;
@@ -88,14 +98,15 @@
   count: number;
 }
 
-/** `/work/…` paths of one job. */
+/** Path at which a job's state is asked for. */
 export const jobPath = (uid: string): string => `/work/${uid}`;
+/** Path at which a job is cancelled. */
 export const cancelPath = (uid: string): string => `/work/${uid}/cancel`;
 
 /** The parsed body of a message, or null if it isn't JSON. */
-export function parse<T>(text: string): T | null {
+export function parse(text: string): unknown {
   try {
-    return JSON.parse(text) as T;
+    return JSON.parse(text);
   } catch {
     return null;
   }
--- a/src/sim/worker.ts
+++ b/src/sim/worker.ts
@@ -1,3 +1,4 @@
+import { required } from '../base/required.ts';
 import type { HttpResult } from '../http/client.ts';
 import type { EventLog } from './events.ts';
 import type { Exchange, Host, SimNetwork } from './network.ts';
@@ -16,7 +17,7 @@
 import type { Random } from './random.ts';
 
 /** Settings of the workers, as the platform gives them. */
-export interface WorkerLimits {
+interface WorkerLimits {
   report_s: number;
   lease_s: number;
   gang_wait_s: number;
@@ -62,6 +63,7 @@
   worker: Worker;
 }
 
+/** What a machine is for as long as it exists. */
 export interface MachineIdentity {
   name: string;
   type: MachineType;
@@ -222,7 +224,7 @@
     const report = this.report();
     this.world.onReport(report);
     const request = { method: 'POST', path: '/checkin', body: JSON.stringify(report) };
-    const node = controllers[this.node]!;
+    const node = required(controllers[this.node], 'controller to report to');
     void network.exchange(this, node, request, ANSWER_WAIT_MS).then((result) => {
       if (this.gone) return;
       this.inFlight = false;
@@ -234,13 +236,13 @@
   private takeAnswer(result: HttpResult, sent: { at: number; session: number }): void {
     const { queue, random, controllers } = this.world;
     if (result.kind === 'answer' && result.status === 200) {
-      const body = parse<ReportAnswer>(result.body);
+      const body = parse(result.body) as ReportAnswer | null;
       if (body) this.takeCommands(body, sent);
       return;
     }
     const foreman =
       result.kind === 'answer' && result.status === 421
-        ? parse<{ foreman?: string }>(result.body)?.foreman
+        ? (parse(result.body) as { foreman?: string } | null)?.foreman
         : undefined;
     const named = controllers.findIndex((c) => c.name === foreman);
     if (named >= 0 && named !== this.node) {
@@ -300,7 +302,7 @@
       reply({ status: 200, body: JSON.stringify(this.report()) });
       return;
     }
-    const body = parse<OrdersBody>(request.body);
+    const body = parse(request.body) as OrdersBody | null;
     if (body?.baton === undefined || body.shift === undefined) {
       reply({ status: 400, body: '{}' });
       return;
