--- a/eslint.config.js
+++ b/eslint.config.js
@@ -15,7 +15,6 @@
   'src/leadership/**',
   'src/store/**',
   'src/workers/**',
-  'standins/**',
   'test/**',
 ];
 
--- a/standins/demo.ts
+++ b/standins/demo.ts
@@ -8,6 +8,7 @@
 import { createServer } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
+import { required } from '../src/base/required.ts';
 import { CloudStandIn } from './cloud.ts';
 import { StateStandIn } from './state.ts';
 import type { Recipes } from './worker.ts';
@@ -119,7 +120,7 @@
     recipes.set(j.uid, j);
     let status = 0;
     while (status !== 200 && status !== 201) {
-      const url = `http://${nodes[i % 3]!.serve}/work`;
+      const url = `http://${required(nodes[i % 3], 'node').serve}/work`;
       status = await fetch(url, { method: 'POST', body: JSON.stringify(j) }).then(
         (r) => r.status,
         () => 0,
@@ -132,7 +133,9 @@
   while (open.size > 0) {
     await pause(2000);
     for (const id of [...open]) {
-      const answer = await fetch(`http://${nodes[2]!.serve}/work/${id}`).then((r) => r.text());
+      const answer = await fetch(`http://${required(nodes[2], 'node').serve}/work/${id}`).then((r) =>
+        r.text(),
+      );
       process.stdout.write(`${answer}\n`);
       if (answer.includes('"done",')) open.delete(id);
     }
--- a/standins/http.ts
+++ b/standins/http.ts
@@ -1,10 +1,12 @@
 import { createServer, type Server } from 'node:http';
 
+/** The answer to a request; the body is sent as JSON. */
 export interface Answer {
   status: number;
   body: unknown;
 }
 
+/** Answers a request. The body is an empty object if the request had none. */
 export type Route = (method: string, url: URL, body: Record<string, unknown>) => Answer | Promise<Answer>;
 
 /** A small JSON server on a port that the system chooses. */
