--- a/src/controller/platform.ts
+++ b/src/controller/platform.ts
@@ -1,8 +1,9 @@
+/** What a controller needs of its surroundings. */
 import type { HttpSender } from '../http/client.ts';
 import type { Peers } from '../peers/peers.ts';
 import type { Clock } from '../base/clock.ts';
 
-/** Pauses and turns of the process. */
+/** Timers of the process. */
 export interface Timers {
   pause(ms: number): Promise<void>;
   /** Runs a step regularly until the result is called. */
@@ -13,9 +14,9 @@
 
 /** How a controller reaches other hosts. */
 export interface Network {
-  /** A client of one host, with kept-alive connections. */
+  /** A client of one host, with at most so many connections that are kept open. */
   connect(address: string, sockets: number): HttpSender;
-  /** Clients of many hosts that share so many connections in all; `close` ends all of them. */
+  /** Clients of many hosts that share so many connections in all; `close` closes all of them. */
   shared(sockets: number): { connect(address: string): HttpSender; close(): void };
 }
 
--- a/src/controller/service.ts
+++ b/src/controller/service.ts
@@ -1,3 +1,4 @@
+/** A controller as a process of its own. */
 import { randomUUID } from 'node:crypto';
 import type { Options } from '../config/options.ts';
 import type { Settings } from '../config/settings.ts';
@@ -7,20 +8,22 @@
 import { PeerRpc } from '../peers/peer-rpc.ts';
 import { systemClock } from '../base/clock.ts';
 import { Controller } from './controller.ts';
+import { errorLogger } from './error-log.ts';
 import { commandConnections } from './parts.ts';
 import type { Logger } from '../base/log.ts';
 import type { Network, Timers } from './platform.ts';
 import { peerOf, HEARTBEAT_PATH } from './routes.ts';
 import { WarmUp } from './warm-up.ts';
 
-/** Practice while following: short pieces with long pauses, so that users and health checks don't notice. */
-const WARM_UP_TURNS = 60;
-const WARM_UP_REST = 4;
+/** Practice while following: short steps with long pauses, so that users and health checks don't notice. */
+const WARM_UP_STEPS = 60;
+/** The pause after a step grows by its duration times this factor. */
+const WARM_UP_PAUSE_FACTOR = 4;
 const WARM_UP_PAUSE_MS = 100;
-/** Reports that a worker leaves out before its connection is taken for dead. */
-const WORKER_IDLE = 4;
+/** Heartbeats that a worker may miss before its connection is closed as dead. */
+const WORKER_IDLE_HEARTBEATS = 4;
 const USER_IDLE_MS = 90_000;
-/** A connection without any request. */
+/** A connection that has sent no request yet. */
 const UNKNOWN_IDLE_MS = 10_000;
 
 const processTimers: Timers = {
@@ -54,7 +57,7 @@
   private readonly peers: PeerRpc;
   private readonly server: HttpServer;
   private readonly controller: Controller;
-  private running = false;
+  private readonly stopping = new AbortController();
 
   constructor(
     private readonly settings: Settings,
@@ -62,7 +65,7 @@
     private readonly log: Logger,
   ) {
     const { limits, workers } = settings.settings;
-    const peers = settings.seeds.map((s) => ({ name: s.host_name, address: s.peer_addr }));
+    const peers = settings.seeds.map((seed) => ({ name: seed.host_name, address: seed.peer_addr }));
     this.peers = new PeerRpc(
       peers,
       (request, reply) => {
@@ -79,7 +82,7 @@
         idleMs: {
           unknown: UNKNOWN_IDLE_MS,
           user: USER_IDLE_MS,
-          worker: workers.report_s * 1000 * WORKER_IDLE,
+          worker: workers.report_s * 1000 * WORKER_IDLE_HEARTBEATS,
         },
         peerOf,
         heartbeatPath: HEARTBEAT_PATH,
@@ -96,36 +99,36 @@
     });
   }
 
+  /** Listens for other controllers, users and workers, and begins to stand for leader. */
   async start(): Promise<void> {
     await this.peers.listen(this.settings.mesh_addr);
     await this.server.listen(this.settings.serve_on);
     this.log.info({ on: this.settings.serve_on }, 'serving');
-    this.running = true;
     this.controller.start();
-    void this.warmUp();
+    this.warmUp().catch(errorLogger(this.log));
   }
 
-  /** Where users and workers reach this node; tests let the system choose the port. */
+  /** Where users and workers reach this controller; tests let the system choose the port. */
   address(): string {
     return this.server.address;
   }
 
-  /** Ends all work of this node, for use inside another program; a controller just runs until killed. */
+  /** Ends all work and closes all sockets, for use inside another program; a controller just runs until killed. */
   stop(): void {
-    this.running = false;
+    this.stopping.abort();
     this.controller.stop();
     this.server.close();
     this.peers.close();
   }
 
   private async warmUp(): Promise<void> {
-    const warmUp = new WarmUp(WARM_UP_TURNS);
-    while (!warmUp.over && this.running) {
-      const from = systemClock.now();
-      // Whoever leads learns by doing.
-      if (this.controller.following()) warmUp.step();
-      const tookMs = systemClock.now() - from;
-      await processTimers.pause(WARM_UP_PAUSE_MS + tookMs * WARM_UP_REST);
+    const warmUp = new WarmUp(WARM_UP_STEPS);
+    while (!warmUp.isDone && !this.stopping.signal.aborted) {
+      const startedAt = systemClock.now();
+      // A leader needs no practice.
+      if (this.controller.following()) warmUp.practise();
+      const tookMs = systemClock.now() - startedAt;
+      await processTimers.pause(WARM_UP_PAUSE_MS + tookMs * WARM_UP_PAUSE_FACTOR);
     }
   }
 }
--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -1,3 +1,4 @@
+/** Practises a leader's work on a controller that follows. */
 import { Job } from '../jobs/job.ts';
 import { runRound, type RoundOptions } from '../scheduling/round.ts';
 import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../scheduling/snapshot.ts';
@@ -5,12 +6,15 @@
 import { decodeHeartbeat, encodeCommands, encodeHeartbeatResponse } from '../wire/worker.ts';
 import { Machine } from '../workers/machine.ts';
 import { applyHeartbeat, commandsFor, isNewer } from '../workers/reconcile.ts';
+import { PRACTICE_MACHINE, practiceHeartbeat, practiceJobRecord } from './practice-messages.ts';
 
 const MACHINES = 40;
 const GROUPS = 10;
-const SIZE = { cpus: 8, gpus: 2, memory: 64 };
-const NEED = { cpus: 2, gpus: 0, memory: 8 };
-const OPTIONS: RoundOptions = {
+const HEARTBEATS_PER_STEP = 8;
+const MACHINE_SIZE = { cpus: 8, gpus: 2, memory: 64 };
+const TASK_SIZE = { cpus: 2, gpus: 0, memory: 8 };
+const TEAM_ROOM = [{ cpus: 100, gpus: 100 }];
+const ROUND_OPTIONS: RoundOptions = {
   reserveAfterMs: 1000,
   maxGroups: GROUPS,
   turn: 0,
@@ -21,16 +25,15 @@
   rentSteps: 1,
   priceSteps: 1,
 };
-const UID = 'req-000000';
 
-function groups(turn: number): TaskGroup[] {
+function practiceGroups(step: number): TaskGroup[] {
   return Array.from({ length: GROUPS }, (_, job) => ({
     job,
     team: 0,
-    pending: 1 + ((job + turn) % 7),
+    pending: 1 + ((job + step) % 7),
     gang: job % 3 === 0,
     priority: job % 2,
-    need: { ...NEED, cpus: 1 + (job % 4) },
+    need: { ...TASK_SIZE, cpus: 1 + (job % 4) },
     types: null,
     zone: -1,
     spot: true,
@@ -57,18 +60,22 @@
   }));
 }
 
-function machines(turn: number): MachineSnapshot[] {
+function practiceMachines(step: number): MachineSnapshot[] {
   return Array.from({ length: MACHINES }, (_, machine) => {
-    const taken = (machine * 3 + turn) % 5;
+    const tasks = (machine * 3 + step) % 5;
     return {
       machine,
       type: 0,
       zone: machine % 2,
       spot: machine % 3 === 0,
-      free: { cpus: SIZE.cpus - 2 * taken, gpus: 2, memory: SIZE.memory - 8 * taken },
-      perAccelerator: NEED,
-      releases: Array.from({ length: taken }, (_x, i) => ({ inS: 10 * (i + 1), room: NEED })),
-      load: taken,
+      free: {
+        cpus: MACHINE_SIZE.cpus - TASK_SIZE.cpus * tasks,
+        gpus: MACHINE_SIZE.gpus,
+        memory: MACHINE_SIZE.memory - TASK_SIZE.memory * tasks,
+      },
+      perAccelerator: TASK_SIZE,
+      releases: Array.from({ length: tasks }, (_task, index) => ({ inS: 10 * (index + 1), room: TASK_SIZE })),
+      load: tasks,
       bootsInS: machine % 11 === 0 ? 20 : 0,
       fetchS: (image: string, gb: number) => (image === `i${machine % 3}` ? 0 : gb),
       warm: 0,
@@ -79,12 +86,12 @@
   });
 }
 
-const RENTABLE: ProvisioningOption[] = [0, 1].map((zone) => ({
+const PROVISIONING_OPTIONS: ProvisioningOption[] = [0, 1].map((zone) => ({
   option: zone,
   type: 0,
   zone,
   spot: zone === 0,
-  size: SIZE,
+  size: MACHINE_SIZE,
   max: 10,
   price: 1,
   bootS: 30,
@@ -92,15 +99,15 @@
 }));
 
 /**
- * A node that has just started and is to lead a thousand workers would do so with code that is not compiled yet:
- * reports and rounds then take several times as long, and a lease was lost over it. While it follows, it
- * practises on made-up reports and rounds, whose results go nowhere.
+ * A controller that has just started and is to lead a thousand workers would do so with code that is not compiled yet:
+ * heartbeats and rounds then take several times as long, and a lease was lost over it. While it follows, it practises
+ * on made-up heartbeats and rounds, whose results go nowhere.
  */
 export class WarmUp {
-  private turn = 0;
+  private step = 0;
   private readonly machine = new Machine(
     0,
-    { name: 'n-000000', address: 'x:1', machineType: 'x', zone: 'x', spot: false },
+    { name: PRACTICE_MACHINE, address: 'x:1', machineType: 'x', zone: 'x', spot: false },
     0,
     0,
     0,
@@ -108,49 +115,34 @@
   );
   private readonly job: Job | null;
 
-  constructor(private readonly turns: number) {
-    const decoded = decodeStoredJob({
-      ...{ uid: UID, batch: 'x', crew: 'x', shape: 'array', rank: 'standard', loaves: 8, cores: 1 },
-      ...{ accelerators: 0, memGb: 1, recipe: 'x', imageGb: 1, ovens: null, yard: null, samePlace: false },
-      ...{ apart: false, borrowed: false, bakeS: 1, proofS: 0, coolS: 0, dueS: null },
-    });
+  constructor(private readonly steps: number) {
+    const decoded = decodeStoredJob(practiceJobRecord());
     this.job = decoded.ok ? new Job(decoded.value, 0, 0, 0) : null;
   }
 
-  get over(): boolean {
-    return this.turn >= this.turns;
+  /** True after the last step. */
+  get isDone(): boolean {
+    return this.step >= this.steps;
   }
 
   /** One short piece of practice. */
-  step(): void {
-    this.turn += 1;
+  practise(): void {
+    this.step += 1;
     runRound(
-      groups(this.turn),
-      machines(this.turn),
-      RENTABLE,
-      [{ cpus: 100, gpus: 100 }],
-      () => SIZE,
-      OPTIONS,
+      practiceGroups(this.step),
+      practiceMachines(this.step),
+      PROVISIONING_OPTIONS,
+      TEAM_ROOM,
+      () => MACHINE_SIZE,
+      ROUND_OPTIONS,
     );
-    for (let i = 0; i < 8; i++) this.heartbeat(this.turn * 8 + i);
+    for (let i = 0; i < HEARTBEATS_PER_STEP; i++) this.heartbeat(this.step * HEARTBEATS_PER_STEP + i);
   }
 
-  private heartbeat(seq: number): void {
-    const stages = ['fetching', 'running', 'saving', 'ended'];
-    const loaves = Array.from({ length: 4 }, (_, i) => ({
-      loaf: `${UID}/${i}`,
-      try: Math.floor(seq / 4),
-      stage: stages[seq % 4],
-      cause: seq % 4 === 3 ? 'done' : undefined,
-    }));
-    const decoded = decodeHeartbeat(
-      JSON.stringify({
-        ...{ hearth: 'n-000000', address: 'x:1', oven: 'x', yard: 'x', borrowed: false, shift: 1, tick: seq },
-        ...{ baton: 1, warningS: null, loaves },
-      }),
-    );
+  private heartbeat(sequence: number): void {
+    const decoded = decodeHeartbeat(practiceHeartbeat(sequence));
     if (!decoded.ok || !isNewer(this.machine, decoded.value)) return;
-    applyHeartbeat(this.machine, decoded.value, false, { now: seq, jobOf: () => this.job });
+    applyHeartbeat(this.machine, decoded.value, false, { now: sequence, jobOf: () => this.job });
     const commands = commandsFor(this.machine, true);
     encodeHeartbeatResponse(1, commands);
     encodeCommands(1, 1, commands);
