--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -15,7 +15,7 @@
 /** Attempt numbers of one term: the term is their upper part. */
 const ATTEMPTS_PER_TERM = 2 ** 24;
 /** Fewest tasks by which a job's start watermark is raised at once, and the share of its tasks. */
-const START_WATERMARK_STEP = 16;
+const MIN_START_WATERMARK_STEP = 16;
 const START_WATERMARK_STEPS_PER_JOB = 8;
 /** Pause of a job whose description a worker couldn't fetch yet. */
 const UNKNOWN_JOB_PAUSE_MS = 2000;
@@ -74,7 +74,10 @@
    */
   private requestStartWatermark(job: Job, task: number): void {
     if (task < job.requestedStartWatermark) return;
-    const step = Math.max(START_WATERMARK_STEP, Math.ceil(job.spec.tasks / START_WATERMARK_STEPS_PER_JOB));
+    const step = Math.max(
+      MIN_START_WATERMARK_STEP,
+      Math.ceil(job.spec.tasks / START_WATERMARK_STEPS_PER_JOB),
+    );
     const watermark = job.spec.gang ? job.spec.tasks : Math.min(job.spec.tasks, task + step);
     job.requestedStartWatermark = watermark;
     this.deps.startWatermarks.raise(job.id, watermark, () => {
--- a/src/leader/command-dispatcher.ts
+++ b/src/leader/command-dispatcher.ts
@@ -14,12 +14,12 @@
  * are as many to probe as there are machines. They stay within the sockets for direct requests.
  */
 const MIN_CONCURRENT_PROBES = 16;
-const CONCURRENT_PROBES_SHARE = 0.01;
+const CONCURRENT_PROBES_RATIO = 0.01;
 const MAX_CONCURRENT_PROBES_BUSY = 4;
 /** Least time between the answer to a probe of a machine and its next probe. */
 const PROBE_PAUSE_MS = 800;
 /** Pause before the next commands to a machine that gave no answer. */
-const FAILED_PAUSE_MS = 1000;
+const UNANSWERED_PAUSE_MS = 1000;
 /** Pause after commands that the worker refused. */
 const REFUSED_PAUSE_MS = 50;
 /** Pause after commands that the worker executed. */
@@ -44,7 +44,7 @@
   }
 
   /** The number of machines that left a direct request unanswered since any machine last answered one. */
-  get unreachedCount(): number {
+  get unansweredCount(): number {
     return this.unanswered.size;
   }
 
@@ -99,7 +99,7 @@
     const now = this.deps.host.clock.now();
     for (const attempt of started) attempt.noteStartSettled(result.kind === 'unanswered');
     if (result.kind !== 'answered') {
-      machine.endCommand(now + FAILED_PAUSE_MS);
+      machine.endCommand(now + UNANSWERED_PAUSE_MS);
       machine.connectivity.noteMissedAcknowledgement();
       this.unanswered.add(machine);
       return;
@@ -130,7 +130,7 @@
 
   private maxConcurrentProbes(): number {
     if (this.deps.host.lagMs() > BUSY_MS) return MAX_CONCURRENT_PROBES_BUSY;
-    const share = Math.floor(this.cluster.machines.size * CONCURRENT_PROBES_SHARE);
+    const share = Math.floor(this.cluster.machines.size * CONCURRENT_PROBES_RATIO);
     return Math.max(MIN_CONCURRENT_PROBES, share);
   }
 
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -62,11 +62,11 @@
     const record = { put: KEYS.open(job.id), value };
     const chunks = [...job.storedChunks].map((chunk) => ({ delete: KEYS.completions(job.id, chunk) }));
     // The transaction holds the mutation of the fence key besides.
-    const together = chunks.length + 1 < settings.settings.state.txn_ops;
+    const fitsOneTransaction = chunks.length + 1 < settings.settings.state.txn_ops;
     writer.enqueue(
       {
         kind: 'ready',
-        mutations: together ? [record, ...chunks] : [record],
+        mutations: fitsOneTransaction ? [record, ...chunks] : [record],
         done: () => {
           host.enqueue(() => {
             this.onTerminalDurable(job, outcome, value);
@@ -76,7 +76,7 @@
       // Users wait for both outcomes, and the completed tasks of other jobs can wait.
       'ends',
     );
-    if (together) return;
+    if (fitsOneTransaction) return;
     for (const chunk of chunks) {
       writer.enqueue({ kind: 'ready', mutations: [chunk], done: () => undefined }, 'background');
     }
--- a/src/leader/gangs.ts
+++ b/src/leader/gangs.ts
@@ -64,7 +64,7 @@
   }
 
   /** Ends the runs that lack members once all machines are reconciled: no more of their members will be found. */
-  checkOnce(): void {
+  endIncompleteRuns(): void {
     if (this.completenessChecked || !this.cluster.allReconciled()) return;
     this.completenessChecked = true;
     for (const [job, gang] of this.cluster.gangs) {
--- a/src/leader/job-slack.ts
+++ b/src/leader/job-slack.ts
@@ -15,32 +15,37 @@
  * Seconds that a job can still wait without missing the next thing expected of its class, or -1 if it has
  * missed them all. Estimates are often too low, so a part is added.
  */
-export function slackOf(job: Job, guaranteed: boolean, deps: SnapshotDeps): JobSlack {
+export function computeJobSlack(job: Job, guaranteed: boolean, deps: SnapshotDeps): JobSlack {
   const { spec } = job;
   const ageS = (deps.host.clock.wall() - job.createdWall) / 1000;
-  const runS = spec.estimateS * deps.options.scheduling.estimate_margin;
+  const estimatedRunS = spec.estimateS * deps.options.scheduling.estimate_margin;
   let slackS = Infinity;
   // A guarantee decides who goes first; whether to rent is for what is expected of the class.
-  let ownS = Infinity;
-  let watched = false;
+  let classSlackS = Infinity;
+  let hasObjective = false;
   let perTask = false;
-  for (const o of deps.settings.settings.objectives) {
-    if (o.kind === 'guarantee' ? !guaranteed : o.class !== spec.className) continue;
-    let left: number;
-    if ((o.kind === 'wait' || o.kind === 'guarantee') && o.within_s) left = o.within_s - ageS;
-    else if (o.kind === 'finished' && o.within_s) left = o.within_s - ageS - runS;
-    else if (o.kind === 'deadline' && spec.deadlineS) left = spec.deadlineS * (o.times ?? 1) - ageS - runS;
+  for (const objective of deps.settings.settings.objectives) {
+    if (objective.kind === 'guarantee' ? !guaranteed : objective.class !== spec.className) continue;
+    let remainingS: number;
+    if ((objective.kind === 'wait' || objective.kind === 'guarantee') && objective.within_s)
+      remainingS = objective.within_s - ageS;
+    else if (objective.kind === 'finished' && objective.within_s)
+      remainingS = objective.within_s - ageS - estimatedRunS;
+    else if (objective.kind === 'deadline' && spec.deadlineS)
+      remainingS = spec.deadlineS * (objective.times ?? 1) - ageS - estimatedRunS;
     else continue;
-    watched = true;
-    if (left > 0 && left < slackS) {
-      slackS = left;
-      perTask = o.kind === 'wait' || o.kind === 'guarantee';
+    hasObjective = true;
+    if (remainingS > 0 && remainingS < slackS) {
+      slackS = remainingS;
+      perTask = objective.kind === 'wait' || objective.kind === 'guarantee';
     }
-    if (left > 0 && o.kind !== 'guarantee') ownS = Math.min(ownS, left);
+    if (remainingS > 0 && objective.kind !== 'guarantee') classSlackS = Math.min(classSlackS, remainingS);
   }
   const { patience_share, patience_max_s } = deps.options.fleet;
   // Once late, money decides.
   const maxQueueingDelayS =
-    watched && ownS === Infinity ? patience_max_s / 2 : Math.min(patience_max_s, ownS * patience_share);
-  return { slackS: watched && slackS === Infinity ? -1 : slackS, maxQueueingDelayS, perTask };
+    hasObjective && classSlackS === Infinity
+      ? patience_max_s / 2
+      : Math.min(patience_max_s, classSlackS * patience_share);
+  return { slackS: hasObjective && slackS === Infinity ? -1 : slackS, maxQueueingDelayS, perTask };
 }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -265,7 +265,7 @@
     this.completion.flush();
     this.monitor.tick();
     if (this.mayPlace()) {
-      this.gangs.checkOnce();
+      this.gangs.endIncompleteRuns();
       this.rounds.run(true);
     } else if (this.mayProvision()) {
       this.rounds.run(false);
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -34,7 +34,7 @@
 /** Between two checks this long passes only on a controller whose process was paused. */
 const PROCESS_PAUSED_MS = 5000;
 /** Workers find a new leader by themselves within about a heartbeat interval; only then are the others probed. */
-const DISCOVERY_MS = 4000;
+const LEADER_DISCOVERY_MS = 4000;
 /**
  * Heartbeat intervals after which a heartbeat is overdue. A worker that was answered shows our token with its next
  * heartbeat. Probed before that one is due, hundreds of them cost a new leader seconds of its time, in which it left
@@ -128,7 +128,7 @@
     const { host, dispatcher } = this.deps;
     const noHeartbeats =
       host.directHeartbeatAgeMs() > this.heartbeatIntervalMs * NO_DIRECT_HEARTBEAT_INTERVALS;
-    return noHeartbeats && dispatcher.unreachedCount >= MIN_MISSING_MACHINES;
+    return noHeartbeats && dispatcher.unansweredCount >= MIN_MISSING_MACHINES;
   }
 
   /**
@@ -217,7 +217,7 @@
   /** A registered machine is reconciled once it has seen our token: an empty command makes sure of that. */
   private probeUnreconciled(now: number): void {
     const { cluster, dispatcher, startedAt } = this.deps;
-    if (now - startedAt < DISCOVERY_MS) return;
+    if (now - startedAt < LEADER_DISCOVERY_MS) return;
     for (const machine of cluster.machines.values()) {
       if (machine.reconciled || machine.commandInFlight) continue;
       const overdue = now - machine.connectivity.lastMessageAt > this.heartbeatIntervalMs * OVERDUE_INTERVALS;
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -9,17 +9,17 @@
 } from '../scheduling/snapshot.ts';
 import { isFailing, machineHealth } from '../workers/failure-attribution.ts';
 import type { Machine } from '../workers/machine.ts';
-import { OUTLIVED_SHARE, type SnapshotDeps, type SnapshotSources } from './snapshot-sources.ts';
+import { OVERRUN_REMAINING_RATIO, type SnapshotDeps, type SnapshotSources } from './snapshot-sources.ts';
 
 /** Reports that a machine may leave out and still be given work; one may have been overtaken by a direct answer. */
-const MOST_REPORTS_MISSED = 2.5;
+const MAX_HEARTBEAT_AGE_INTERVALS = 2.5;
 /** The same, with direct answers counted. */
-const MOST_SILENT_REPORTS = 1.6;
+const MAX_MESSAGE_AGE_INTERVALS = 1.6;
 /** Cost steps of a machine for each job that has failed on it. */
-const PENALTY_STEPS = 5;
+const FAILURE_PENALTY_STEPS = 5;
 
 /** The share of a machine that belongs to each of its accelerators. */
-function perAccelerator(size: Resources): Resources | null {
+function computeSharePerAccelerator(size: Resources): Resources | null {
   if (size.gpus === 0) return null;
   return { cpus: size.cpus / size.gpus, gpus: 1, memory: size.memory / size.gpus };
 }
@@ -32,115 +32,123 @@
   ) {}
 
   /** All machines that a round may use. */
-  all(): MachineSnapshot[] {
-    return [...this.present(), ...this.booting()];
+  createAll(): MachineSnapshot[] {
+    return [...this.createAvailable(), ...this.createBooting()];
   }
 
-  private freeOf(m: Machine): Resources {
-    const type = this.deps.catalog.types[m.type];
-    if (!type || m.hasUnknownTasks) return { cpus: 0, gpus: 0, memory: 0 };
+  private computeFreeResources(machine: Machine): Resources {
+    const type = this.deps.catalog.types[machine.type];
+    if (!type || machine.hasUnknownTasks) return { cpus: 0, gpus: 0, memory: 0 };
     const free = resourcesOf(type);
-    for (const a of m.attempts.values()) if (!a.released && a.job) allocate(free, a.job.spec);
+    for (const attempt of machine.attempts.values())
+      if (!attempt.released && attempt.job) allocate(free, attempt.job.spec);
     return free;
   }
 
   /** When the running tasks of a machine are expected to leave, by their owners' estimates. */
-  private leavingOf(m: Machine, now: number): MachineSnapshot['releases'] {
-    const leaving: MachineSnapshot['releases'] = [];
-    for (const a of m.attempts.values()) {
-      if (a.released || !a.job) continue;
-      const { spec } = a.job;
+  private estimateReleases(machine: Machine, now: number): MachineSnapshot['releases'] {
+    const releases: MachineSnapshot['releases'] = [];
+    for (const attempt of machine.attempts.values()) {
+      if (attempt.released || !attempt.job) continue;
+      const { spec } = attempt.job;
       const room = resourcesOf(spec);
       let inS: number;
-      if (a.stopGraceS !== null) inS = a.stopGraceS;
+      if (attempt.stopGraceS !== null) inS = attempt.stopGraceS;
       else {
-        const ranS = a.runningSince === null ? 0 : (now - a.runningSince) / 1000;
+        const ranS = attempt.runningSince === null ? 0 : (now - attempt.runningSince) / 1000;
         // A task past its estimate has outlived it: it is given a good part of what it has run.
-        inS = Math.max(spec.estimateS - ranS, ranS * OUTLIVED_SHARE, 3);
+        inS = Math.max(spec.estimateS - ranS, ranS * OVERRUN_REMAINING_RATIO, 3);
       }
-      leaving.push({ inS, room });
+      releases.push({ inS, room });
     }
-    return mergeReleases(leaving.sort((x, y) => x.inS - y.inS));
+    return mergeReleases(releases.sort((x, y) => x.inS - y.inS));
   }
 
   /** Cost steps of a machine that failed tasks of jobs which are not known to fail everywhere. */
-  private failurePenalty(m: Machine): number {
-    let jobs = 0;
-    for (const job of m.failures.jobs) if (!isFailing(job)) jobs += 1;
-    return jobs * PENALTY_STEPS;
+  private computeFailurePenalty(machine: Machine): number {
+    let jobCount = 0;
+    for (const job of machine.failures.jobs) if (!isFailing(job)) jobCount += 1;
+    return jobCount * FAILURE_PENALTY_STEPS;
   }
 
-  private warmth(m: Machine): number {
-    let warm = 0;
-    for (const image of m.images.keys()) if (this.sources.latencySensitiveImages.has(image)) warm += 1;
-    return warm;
+  private countLatencySensitiveImages(machine: Machine): number {
+    let imageCount = 0;
+    for (const image of machine.images.keys())
+      if (this.sources.latencySensitiveImages.has(image)) imageCount += 1;
+    return imageCount;
   }
 
-  private present(): MachineSnapshot[] {
-    const views: MachineSnapshot[] = [];
+  private createAvailable(): MachineSnapshot[] {
+    const snapshots: MachineSnapshot[] = [];
     const now = this.deps.host.clock.now();
-    for (const m of this.sources.cluster.machines.values()) {
-      const type = this.deps.catalog.types[m.type];
-      if (!type || m.terminating || m.reclaimedAt !== null) continue;
-      if (m.incarnation === 0 || m.leaseExpired) continue;
-      const reportMs = this.deps.settings.settings.workers.report_s * 1000;
-      if (now - m.connectivity.lastMessageAt > reportMs * MOST_SILENT_REPORTS) continue;
+    for (const machine of this.sources.cluster.machines.values()) {
+      const type = this.deps.catalog.types[machine.type];
+      if (!type || machine.terminating || machine.reclaimedAt !== null) continue;
+      if (machine.incarnation === 0 || machine.leaseExpired) continue;
+      const heartbeatIntervalMs = this.deps.settings.settings.workers.report_s * 1000;
+      if (now - machine.connectivity.lastMessageAt > heartbeatIntervalMs * MAX_MESSAGE_AGE_INTERVALS)
+        continue;
       // Answers to orders and questions renew no lease: what is started on a machine that reaches nobody dies with it.
-      if (now - m.connectivity.lastHeartbeatAt > reportMs * MOST_REPORTS_MISSED) continue;
+      if (now - machine.connectivity.lastHeartbeatAt > heartbeatIntervalMs * MAX_HEARTBEAT_AGE_INTERVALS)
+        continue;
       // Work must not wait on a machine that may be no more than a late copy of a report, or that hears nothing.
-      if (m.fencingToken !== this.deps.term || m.connectivity.missedAcknowledgements > 0) continue;
-      if (machineHealth(m.failures, m.index, now) !== 'healthy') continue;
-      const { fetchingUntil } = m.images;
+      if (machine.fencingToken !== this.deps.term || machine.connectivity.missedAcknowledgements > 0)
+        continue;
+      if (machineHealth(machine.failures, machine.index, now) !== 'healthy') continue;
+      const { fetchingUntil } = machine.images;
       const fetchingS = fetchingUntil > now ? (fetchingUntil - now) / 1000 : 0;
-      views.push({
-        machine: m.index,
-        type: m.type,
-        zone: m.zone,
-        spot: m.id.spot,
-        free: this.freeOf(m),
-        perAccelerator: perAccelerator(type),
-        releases: this.leavingOf(m, now),
-        load: m.liveCount,
+      snapshots.push({
+        machine: machine.index,
+        type: machine.type,
+        zone: machine.zone,
+        spot: machine.id.spot,
+        free: this.computeFreeResources(machine),
+        perAccelerator: computeSharePerAccelerator(type),
+        releases: this.estimateReleases(machine, now),
+        load: machine.liveCount,
         // Up, but not yet written to the roster: that takes a moment, no new machine.
-        bootsInS: m.registered ? 0 : 1,
+        bootsInS: machine.registered ? 0 : 1,
         fetchS: (image, gb) => {
-          const readyAt = m.images.get(image);
+          const readyAt = machine.images.get(image);
           // Several images share the rate.
           if (readyAt === undefined) return fetchTime(gb, type.fetchGbPerS) + fetchingS;
           return Math.max(0, readyAt - now) / 1000;
         },
-        warm: this.warmth(m),
+        warm: this.countLatencySensitiveImages(machine),
         surplus: false,
-        penalty: this.failurePenalty(m),
-        price: m.id.spot ? type.spotPrice : type.price,
+        penalty: this.computeFailurePenalty(machine),
+        price: machine.id.spot ? type.spotPrice : type.price,
       });
     }
-    return views;
+    return snapshots;
   }
 
-  private booting(): MachineSnapshot[] {
-    const views: MachineSnapshot[] = [];
+  private createBooting(): MachineSnapshot[] {
+    const snapshots: MachineSnapshot[] = [];
     const now = this.deps.host.clock.now();
-    for (const b of this.sources.provisioner.booting()) {
-      if (this.sources.cluster.unreachableZones.has(b.zone)) continue;
-      const type = required(this.deps.catalog.types[b.type], 'machine type of a booting machine');
-      views.push({
-        machine: -1 - b.index,
-        type: b.type,
-        zone: b.zone,
-        spot: b.spot,
+    for (const bootingMachine of this.sources.provisioner.booting()) {
+      if (this.sources.cluster.unreachableZones.has(bootingMachine.zone)) continue;
+      const type = required(
+        this.deps.catalog.types[bootingMachine.type],
+        'machine type of a booting machine',
+      );
+      snapshots.push({
+        machine: -1 - bootingMachine.index,
+        type: bootingMachine.type,
+        zone: bootingMachine.zone,
+        spot: bootingMachine.spot,
         free: resourcesOf(type),
-        perAccelerator: perAccelerator(type),
+        perAccelerator: computeSharePerAccelerator(type),
         releases: [],
         load: 0,
-        bootsInS: Math.max(1, type.bootS - (now - b.rentedAt) / 1000),
+        bootsInS: Math.max(1, type.bootS - (now - bootingMachine.rentedAt) / 1000),
         fetchS: (_image, gb) => fetchTime(gb, type.fetchGbPerS),
         warm: 0,
         surplus: false,
         penalty: 0,
-        price: b.spot ? type.spotPrice : type.price,
+        price: bootingMachine.spot ? type.spotPrice : type.price,
       });
     }
-    return views;
+    return snapshots;
   }
 }
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -23,26 +23,26 @@
 
 const MAX_PREEMPTING_GROUPS = 8;
 /** Time for orders and reports around a stop or a start. */
-const SETTLE_S = 2;
+const COMMAND_LATENCY_S = 2;
 /** How long the room that is made for a gang is kept, besides the time that the stopped tasks save. */
-const RESERVATION_S = 6;
+const RESERVATION_MARGIN_S = 6;
 /** Rounds take at most about this share of the time, however slow the processor is. */
-const MOST_SHARE = 0.3;
-const BUSY_SHARE = 0.1;
-const MOST_GAP_MS = 4000;
+const MAX_ROUND_TIME_RATIO = 0.3;
+const MAX_ROUND_TIME_RATIO_BUSY = 0.1;
+const MAX_THROTTLED_INTERVAL_MS = 4000;
 /**
  * A round this long keeps reports and new connections waiting: the first ones of a new leader, whose code is cold,
  * once took two seconds each, while workers gave up one after the other. It begins with few groups.
  */
-const LONG_MS = 800;
-const FIRST_GROUPS = 16;
+const LONG_ROUND_MS = 800;
+const MIN_GROUP_LIMIT = 16;
 
 /** Runs the flow rounds and carries out what they find. */
 export class SchedulingRounds {
-  private lastStart = -Infinity;
-  private tookMs = 0;
-  private count = 0;
-  private mostGroups = FIRST_GROUPS;
+  private lastStartAt = -Infinity;
+  private lastDurationMs = 0;
+  private roundCount = 0;
+  private groupLimit = MIN_GROUP_LIMIT;
   private placingSince = Infinity;
   /** Machines on which nothing but guests' work runs, and since when. */
   private readonly bestEffortOnlySince = new WeakMap<Machine, number>();
@@ -60,31 +60,36 @@
   }
 
   /** A round, if one is due. Without `place` it only rents. */
-  run(place: boolean): void {
+  run(mayPlace: boolean): void {
     const start = this.now();
     const { scheduling } = this.deps.options;
     const busy = this.deps.host.lagMs() > BUSY_MS;
-    const restMs = Math.min(MOST_GAP_MS, this.tookMs / (busy ? BUSY_SHARE : MOST_SHARE));
-    const due = this.cluster.dirty ? Math.max(scheduling.round_gap_ms, restMs) : 1000 + restMs;
-    if (start - this.lastStart < due) return;
-    this.lastStart = start;
-    this.count += 1;
+    const throttledIntervalMs = Math.min(
+      MAX_THROTTLED_INTERVAL_MS,
+      this.lastDurationMs / (busy ? MAX_ROUND_TIME_RATIO_BUSY : MAX_ROUND_TIME_RATIO),
+    );
+    const intervalMs = this.cluster.dirty
+      ? Math.max(scheduling.round_gap_ms, throttledIntervalMs)
+      : 1000 + throttledIntervalMs;
+    if (start - this.lastStartAt < intervalMs) return;
+    this.lastStartAt = start;
+    this.roundCount += 1;
     this.cluster.dirty = false;
-    const groups = this.snapshots.groups();
-    const machines = this.snapshots.machineSnapshots();
+    const groups = this.snapshots.createTaskGroups();
+    const machines = this.snapshots.createMachineSnapshots();
     this.snapshots.markSurplus(machines, groups);
-    this.snapshots.addNextWave(machines, groups);
-    const teamRoom = this.snapshots.quotaHeadroom();
-    const result = this.solve(groups, machines, teamRoom, start + scheduling.round_limit_ms);
+    this.snapshots.addProjectedReleases(machines, groups);
+    const quotaHeadroom = this.snapshots.computeQuotaHeadroom();
+    const result = this.solve(groups, machines, quotaHeadroom, start + scheduling.round_limit_ms);
     this.provisioner.setDemand(result.demand);
     for (const [index, zone] of result.zones) {
       const job = this.cluster.jobsByIndex.get(index);
       if (job) job.zoneHint = zone;
     }
-    if (place) this.placingSince = Math.min(this.placingSince, start);
-    if (place) this.carryOut(groups, machines, teamRoom, result);
-    this.tookMs = this.now() - start;
-    this.learn(groups.length, result.leftOut);
+    if (mayPlace) this.placingSince = Math.min(this.placingSince, start);
+    if (mayPlace) this.applyResult(groups, machines, quotaHeadroom, result);
+    this.lastDurationMs = this.now() - start;
+    this.adaptGroupLimit(groups.length, result.leftOut);
     this.deps.host.log.debug(
       {
         groups: groups.length,
@@ -92,17 +97,18 @@
         placed: result.placements.length,
         unplaced: result.unplaced.size,
         awaiting: result.awaiting.size,
-        ms: Math.round(this.tookMs),
+        ms: Math.round(this.lastDurationMs),
       },
       'round',
     );
   }
 
   /** Fits the number of groups to the time that rounds take. */
-  private learn(groups: number, leftOut: number): void {
-    if (this.tookMs > LONG_MS) this.mostGroups = Math.max(FIRST_GROUPS, Math.floor(groups * 0.6));
+  private adaptGroupLimit(groupCount: number, leftOut: number): void {
+    if (this.lastDurationMs > LONG_ROUND_MS)
+      this.groupLimit = Math.max(MIN_GROUP_LIMIT, Math.floor(groupCount * 0.6));
     else
-      this.mostGroups = Math.min(this.deps.options.scheduling.max_groups, Math.ceil(this.mostGroups * 1.5));
+      this.groupLimit = Math.min(this.deps.options.scheduling.max_groups, Math.ceil(this.groupLimit * 1.5));
     // Who was left out waits for the next round, whether anything changes or not.
     if (leftOut > 0) this.cluster.dirty = true;
   }
@@ -110,25 +116,25 @@
   private solve(
     groups: TaskGroup[],
     machines: MachineSnapshot[],
-    teamRoom: readonly QuotaHeadroom[],
+    quotaHeadroom: readonly QuotaHeadroom[],
     deadline: number,
   ): RoundResult {
     const { scheduling } = this.deps.options;
     const { types } = this.deps.catalog;
     return runRound(
-      [...groups, ...this.snapshots.expectedGroups()],
+      [...groups, ...this.snapshots.createExpectedGroups()],
       machines,
       this.provisioner.rentable(this.cluster.unreachableZones),
       // Expected tasks have no team yet.
-      [...teamRoom, { cpus: Infinity, gpus: Infinity }],
+      [...quotaHeadroom, { cpus: Infinity, gpus: Infinity }],
       (type) => {
-        const t = types[type];
-        return t ? resourcesOf(t) : null;
+        const machineType = types[type];
+        return machineType ? resourcesOf(machineType) : null;
       },
       {
         reserveAfterMs: scheduling.reserve_after_s * 1000,
-        turn: this.count,
-        maxGroups: Math.min(scheduling.max_groups, this.mostGroups),
+        turn: this.roundCount,
+        maxGroups: Math.min(scheduling.max_groups, this.groupLimit),
         fetchSteps: scheduling.fetch_steps,
         priceSteps: scheduling.price_steps,
         rentSteps: scheduling.rent_steps,
@@ -140,77 +146,92 @@
     );
   }
 
-  private carryOut(
+  private applyResult(
     groups: readonly TaskGroup[],
     machines: readonly MachineSnapshot[],
-    teamRoom: QuotaHeadroom[],
+    quotaHeadroom: QuotaHeadroom[],
     result: RoundResult,
   ): void {
-    const byJob = new Map(groups.map((g) => [g.job, g]));
-    const viewOf = new Map(machines.map((m) => [m.machine, m]));
-    const victims = new PreemptionCandidates(this.snapshots);
-    const gangNumbers = new Map<number, number>();
-    for (const p of result.placements) {
-      const job = required(this.cluster.jobsByIndex.get(p.job), 'placed job');
-      const machine = required(this.cluster.machinesByIndex[p.machine], 'machine of a placement');
-      const view = required(viewOf.get(p.machine), 'snapshot of the machine');
-      const group = required(byJob.get(p.job), 'task group of the job');
-      if (this.preemptForCachedImage(job, group, view, machines, teamRoom, victims)) continue;
-      const headroom = required(teamRoom[group.team], 'quota headroom of the team');
-      for (let i = 0; i < p.count; i++) {
-        const number = (job.spec.gang ? gangNumbers.get(p.job) : undefined) ?? this.attempts.nextNumber();
-        gangNumbers.set(p.job, number);
-        if (!this.attempts.start(job, machine, number)) break;
+    const groupByJob = new Map(groups.map((g) => [g.job, g]));
+    const snapshotByMachine = new Map(machines.map((m) => [m.machine, m]));
+    const candidates = new PreemptionCandidates(this.snapshots);
+    const attemptNumberByGang = new Map<number, number>();
+    for (const placement of result.placements) {
+      const job = required(this.cluster.jobsByIndex.get(placement.job), 'placed job');
+      const machine = required(this.cluster.machinesByIndex[placement.machine], 'machine of a placement');
+      const snapshot = required(snapshotByMachine.get(placement.machine), 'snapshot of the machine');
+      const group = required(groupByJob.get(placement.job), 'task group of the job');
+      if (this.preemptForCachedImage(job, group, snapshot, machines, quotaHeadroom, candidates)) continue;
+      const headroom = required(quotaHeadroom[group.team], 'quota headroom of the team');
+      for (let i = 0; i < placement.count; i++) {
+        const attemptNumber =
+          (job.spec.gang ? attemptNumberByGang.get(placement.job) : undefined) ?? this.attempts.nextNumber();
+        attemptNumberByGang.set(placement.job, attemptNumber);
+        if (!this.attempts.start(job, machine, attemptNumber)) break;
         // What is placed takes room in what the rest of this round sees.
-        allocate(view.free, group.need);
-        view.load += 1;
+        allocate(snapshot.free, group.need);
+        snapshot.load += 1;
         headroom.cpus -= group.need.cpus;
         headroom.gpus -= group.need.gpus;
       }
-      this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: p.count }, 'tasks placed');
+      this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: placement.count }, 'tasks placed');
     }
     // Whoever was left out may need what is idle now: it was once returned, and rented anew a moment later.
     if (result.leftOut === 0) {
-      this.provisioner.offerIdle(this.idleMachines(result.held));
+      this.provisioner.offerIdle(this.findIdleMachines(result.held));
       this.consolidate(machines, result);
     }
     if (result.unplaced.size + result.awaiting.size > 0) {
-      this.preempt(groups, result, machines, teamRoom, victims);
+      this.preempt(groups, result, machines, quotaHeadroom, candidates);
     }
   }
 
-  private idleMachines(held: ReadonlySet<number>): IdleMachine[] {
+  private findIdleMachines(heldMachines: ReadonlySet<number>): IdleMachine[] {
     const now = this.now();
-    const idle: IdleMachine[] = [];
+    const idleMachines: IdleMachine[] = [];
     // While a new leader may not place, machines are idle for no reason of theirs.
-    const from = this.placingSince;
-    for (const m of this.cluster.machines.values()) {
-      if (m.terminating || m.liveCount > 0 || !m.reconciled || held.has(m.index)) continue;
+    const placingSince = this.placingSince;
+    for (const machine of this.cluster.machines.values()) {
+      if (
+        machine.terminating ||
+        machine.liveCount > 0 ||
+        !machine.reconciled ||
+        heldMachines.has(machine.index)
+      )
+        continue;
       // Not given back on mere suspicion: it is idle only because nothing is placed on it.
-      if (machineHealth(m.failures, m.index, now) === 'quarantined') continue;
-      idle.push({ name: m.name, type: m.type, idleMs: now - Math.max(m.idleSince, from) });
+      if (machineHealth(machine.failures, machine.index, now) === 'quarantined') continue;
+      idleMachines.push({
+        name: machine.name,
+        type: machine.type,
+        idleMs: now - Math.max(machine.idleSince, placingSince),
+      });
     }
-    return idle;
+    return idleMachines;
   }
 
   /** Stops guests' work on machines beyond the present need that are too dear to be kept up for it. */
   private consolidate(machines: readonly MachineSnapshot[], result: RoundResult): void {
     const now = this.now();
-    const used = new Set(result.placements.map((p) => p.machine));
-    for (const view of machines) {
-      const m = this.cluster.machinesByIndex[view.machine];
-      if (!m) continue;
+    const machinesWithPlacements = new Set(result.placements.map((p) => p.machine));
+    for (const snapshot of machines) {
+      const machine = this.cluster.machinesByIndex[snapshot.machine];
+      if (!machine) continue;
       const needed =
-        !view.surplus || used.has(m.index) || result.held.has(m.index) || result.reserved.has(m.index);
-      const tasks = needed || !m.reconciled ? null : this.snapshots.idleTasks(m);
-      if (!tasks) {
-        this.bestEffortOnlySince.delete(m);
+        !snapshot.surplus ||
+        machinesWithPlacements.has(machine.index) ||
+        result.held.has(machine.index) ||
+        result.reserved.has(machine.index);
+      const idleTasks = needed || !machine.reconciled ? null : this.snapshots.findIdleTasks(machine);
+      if (!idleTasks) {
+        this.bestEffortOnlySince.delete(machine);
         continue;
       }
-      const since = this.bestEffortOnlySince.get(m) ?? now;
-      this.bestEffortOnlySince.set(m, since);
-      if (now - since < this.deps.options.fleet.idle_s * 1000 || worthKeeping(view.price, tasks)) continue;
-      for (const a of m.live()) this.stopGracefully(a, 'consolidation for scale-in');
+      const since = this.bestEffortOnlySince.get(machine) ?? now;
+      this.bestEffortOnlySince.set(machine, since);
+      if (now - since < this.deps.options.fleet.idle_s * 1000 || worthKeeping(snapshot.price, idleTasks))
+        continue;
+      for (const attempt of machine.live()) this.stopGracefully(attempt, 'consolidation for scale-in');
     }
   }
 
@@ -218,50 +239,50 @@
     groups: readonly TaskGroup[],
     result: RoundResult,
     machines: readonly MachineSnapshot[],
-    teamRoom: readonly QuotaHeadroom[],
-    victims: PreemptionCandidates,
+    quotaHeadroom: readonly QuotaHeadroom[],
+    candidates: PreemptionCandidates,
   ): void {
     if (!this.deps.options.scheduling.preempt) return;
-    const guaranteed = this.snapshots.guaranteedJobs();
-    const waitingOf = (g: TaskGroup): number =>
+    const guaranteed = this.snapshots.findGuaranteedJobs();
+    const countWaiting = (g: TaskGroup): number =>
       g.nominatedMachine >= 0 || g.probe
         ? 0
         : (result.unplaced.get(g.job) ?? 0) + (result.awaiting.get(g.job) ?? 0);
-    const pressing = groups.filter((g) => waitingOf(g) > 0).sort((a, b) => b.priority - a.priority);
+    const waitingGroups = groups.filter((g) => countWaiting(g) > 0).sort((a, b) => b.priority - a.priority);
     // A swarm of waiting jobs must not make a round long: the others get their turn in the next.
-    for (const group of pressing.slice(0, MAX_PREEMPTING_GROUPS)) {
+    for (const group of waitingGroups.slice(0, MAX_PREEMPTING_GROUPS)) {
       // With room on its way, a guarantee alone is no reason to stop others.
       const guaranteeAfterMs = result.unplaced.has(group.job)
         ? this.deps.options.scheduling.guarantee_after_s * 1000
         : Infinity;
-      let counted = new Set<number>();
-      const pick = (zone: number): Attempt[] | null => {
-        counted = new Set();
+      let targetMachines = new Set<number>();
+      const selectVictimsInZone = (zone: number): Attempt[] | null => {
+        targetMachines = new Set();
         return selectVictims(
           { ...group, zone },
-          waitingOf(group),
+          countWaiting(group),
           machines,
-          (index) => victims.on(index, guaranteed),
-          teamRoom,
+          (index) => candidates.onMachine(index, guaranteed),
+          quotaHeadroom,
           guaranteeAfterMs,
           result.reserved,
-          counted,
+          targetMachines,
         );
       };
       // Room is made in the zone that the round has chosen: made elsewhere it came to nothing, and was made twice.
-      let chosen = pick(result.zones.get(group.job) ?? group.zone);
-      if (chosen?.length === 0 && result.zones.has(group.job)) {
-        chosen = pick(group.zone);
+      let victims = selectVictimsInZone(result.zones.get(group.job) ?? group.zone);
+      if (victims?.length === 0 && result.zones.has(group.job)) {
+        victims = selectVictimsInZone(group.zone);
         const job = this.cluster.jobsByIndex.get(group.job);
-        if (job && chosen?.[0]) job.zoneHint = chosen[0].machine.zone;
+        if (job && victims?.[0]) job.zoneHint = victims[0].machine.zone;
       }
       const job = this.cluster.jobsByIndex.get(group.job);
-      if (job && group.gang && (chosen === null || chosen.length > 0))
-        this.reserve(job, counted, chosen ?? []);
-      if (!chosen) continue;
-      const id = this.cluster.jobsByIndex.get(group.job)?.id ?? '?';
-      for (const a of chosen) this.stopGracefully(a, `preempted for ${id}`);
-      if (chosen.length > 0) victims.clear();
+      if (job && group.gang && (victims === null || victims.length > 0))
+        this.reserve(job, targetMachines, victims ?? []);
+      if (!victims) continue;
+      const jobId = this.cluster.jobsByIndex.get(group.job)?.id ?? '?';
+      for (const attempt of victims) this.stopGracefully(attempt, `preempted for ${jobId}`);
+      if (victims.length > 0) candidates.clear();
     }
   }
 
@@ -269,11 +290,11 @@
    * What was stopped for a gang must not make room for others: small tasks took it before the last of its machines
    * was free, and were stopped again in turn.
    */
-  private reserve(job: Job, machines: ReadonlySet<number>, stopped: readonly Attempt[]): void {
-    const saveS = Math.max(0, ...stopped.map((a) => a.job?.spec.checkpointDurationS ?? 0));
-    const until = this.now() + (saveS + RESERVATION_S) * 1000;
-    const first = stopped[0];
-    if (first) job.reservation = { machines, zone: first.machine.zone, until };
+  private reserve(job: Job, machines: ReadonlySet<number>, victims: readonly Attempt[]): void {
+    const checkpointS = Math.max(0, ...victims.map((a) => a.job?.spec.checkpointDurationS ?? 0));
+    const until = this.now() + (checkpointS + RESERVATION_MARGIN_S) * 1000;
+    const firstVictim = victims[0];
+    if (firstVictim) job.reservation = { machines, zone: firstVictim.machine.zone, until };
     else if (job.reservation) job.reservation = { ...job.reservation, machines };
   }
 
@@ -284,47 +305,61 @@
   private preemptForCachedImage(
     job: Job,
     group: TaskGroup,
-    chosen: MachineSnapshot,
+    chosenMachine: MachineSnapshot,
     machines: readonly MachineSnapshot[],
-    teamRoom: readonly QuotaHeadroom[],
-    victims: PreemptionCandidates,
+    quotaHeadroom: readonly QuotaHeadroom[],
+    candidates: PreemptionCandidates,
   ): boolean {
     if (!group.latencySensitive || group.probe || job.spec.tasks !== 1 || group.nominatedMachine >= 0)
       return false;
     if (!this.deps.options.scheduling.preempt) return false;
     const fetchS = (m: MachineSnapshot): number => m.fetchS(group.image, group.imageGb);
-    const slackS = group.slackS - SETTLE_S;
-    if (fetchS(chosen) <= slackS) return false;
-    const warm = machines.filter((m) => m.bootsInS === 0 && m.load > 0 && fetchS(m) === 0);
-    const savable = (index: number): PreemptionCandidate<Attempt>[] =>
-      victims.on(index, NOBODY).filter((v) => {
-        const spec = v.item.job?.spec;
+    const slackS = group.slackS - COMMAND_LATENCY_S;
+    if (fetchS(chosenMachine) <= slackS) return false;
+    const machinesWithImage = machines.filter((m) => m.bootsInS === 0 && m.load > 0 && fetchS(m) === 0);
+    const findCheckpointable = (index: number): PreemptionCandidate<Attempt>[] =>
+      candidates.onMachine(index, NO_JOBS).filter((candidate) => {
+        const spec = candidate.item.job?.spec;
         return (
-          v.stopping ||
+          candidate.stopping ||
           (spec !== undefined && spec.checkpointIntervalS > 0 && spec.checkpointDurationS < slackS)
         );
       });
-    const picked = selectVictims(group, 1, warm, savable, teamRoom, Infinity, new Map());
-    const first = picked?.[0];
-    if (!picked || !first) return false;
-    let saveS = 0;
-    for (const a of picked) {
-      this.stopGracefully(a, `cached image needed by ${job.id}`);
-      saveS = Math.max(saveS, a.job?.spec.checkpointDurationS ?? 0);
+    const victims = selectVictims(
+      group,
+      1,
+      machinesWithImage,
+      findCheckpointable,
+      quotaHeadroom,
+      Infinity,
+      new Map(),
+    );
+    const firstVictim = victims?.[0];
+    if (!victims || !firstVictim) return false;
+    let checkpointS = 0;
+    for (const attempt of victims) {
+      this.stopGracefully(attempt, `cached image needed by ${job.id}`);
+      checkpointS = Math.max(checkpointS, attempt.job?.spec.checkpointDurationS ?? 0);
     }
-    victims.clear();
-    job.nominatedMachine = { machine: first.machine.index, until: this.now() + (saveS + SETTLE_S) * 1000 };
+    candidates.clear();
+    job.nominatedMachine = {
+      machine: firstVictim.machine.index,
+      until: this.now() + (checkpointS + COMMAND_LATENCY_S) * 1000,
+    };
     return true;
   }
 
   /** Stops a task so that it can save; of a gang all tasks at the same time. */
-  stopGracefully(a: Attempt, reason: string): void {
-    const job = required(a.job, 'job of the attempt');
+  stopGracefully(attempt: Attempt, reason: string): void {
+    const job = required(attempt.job, 'job of the attempt');
     const graceS = job.spec.checkpointIntervalS > 0 ? job.spec.checkpointDurationS + 2 : 0;
     const gang = job.spec.gang ? this.cluster.gangs.get(job) : undefined;
-    this.deps.host.log.info({ job: job.id, task: a.task, machine: a.machine.name, reason }, 'task preempted');
+    this.deps.host.log.info(
+      { job: job.id, task: attempt.task, machine: attempt.machine.name, reason },
+      'task preempted',
+    );
     if (!gang) {
-      this.cluster.stop(a, graceS);
+      this.cluster.stop(attempt, graceS);
       return;
     }
     gang.ending = true;
@@ -332,30 +367,30 @@
   }
 }
 
-const NOBODY: ReadonlySet<Job> = new Set();
+const NO_JOBS: ReadonlySet<Job> = new Set();
 
 /** The tasks on machines as candidates to be stopped, looked up once a round and machine. */
 class PreemptionCandidates {
-  private readonly found = new Map<number, PreemptionCandidate<Attempt>[]>();
+  private readonly byMachine = new Map<number, PreemptionCandidate<Attempt>[]>();
   private guaranteed: ReadonlySet<Job> | null = null;
 
-  constructor(private readonly views: SchedulingSnapshots) {}
+  constructor(private readonly snapshots: SchedulingSnapshots) {}
 
-  on(machine: number, guaranteed: ReadonlySet<Job>): PreemptionCandidate<Attempt>[] {
+  onMachine(machine: number, guaranteed: ReadonlySet<Job>): PreemptionCandidate<Attempt>[] {
     if (this.guaranteed !== guaranteed) {
-      this.found.clear();
+      this.byMachine.clear();
       this.guaranteed = guaranteed;
     }
-    let list = this.found.get(machine);
-    if (!list) {
-      list = this.views.preemptionCandidates(machine, guaranteed);
-      this.found.set(machine, list);
+    let candidates = this.byMachine.get(machine);
+    if (!candidates) {
+      candidates = this.snapshots.findPreemptionCandidates(machine, guaranteed);
+      this.byMachine.set(machine, candidates);
     }
-    return list;
+    return candidates;
   }
 
   /** Tasks have been stopped since. */
   clear(): void {
-    this.found.clear();
+    this.byMachine.clear();
   }
 }
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -19,15 +19,15 @@
 import type { SnapshotDeps, SnapshotSources } from './snapshot-sources.ts';
 
 /** A start that is undone at once was for nothing: others are stopped rather. */
-const JUST_STARTED_MS = 30_000;
-const JUST_STARTED_S = 5;
+const RECENT_START_MS = 30_000;
+const RECENT_START_LOSS_S = 5;
 
 /** Turns what the leader knows into what a round sees. It changes nothing but the views it makes. */
 export class SchedulingSnapshots {
   private readonly cluster: Cluster;
   private readonly bestEffort: BestEffortWork;
-  private readonly jobs: TaskGroups;
-  private readonly machines: MachineSnapshots;
+  private readonly taskGroups: TaskGroups;
+  private readonly machineSnapshots: MachineSnapshots;
 
   constructor(
     sources: SnapshotSources,
@@ -35,46 +35,46 @@
   ) {
     this.cluster = sources.cluster;
     this.bestEffort = new BestEffortWork(deps);
-    this.jobs = new TaskGroups(sources, deps, this.bestEffort);
-    this.machines = new MachineSnapshots(sources, deps);
+    this.taskGroups = new TaskGroups(sources, deps, this.bestEffort);
+    this.machineSnapshots = new MachineSnapshots(sources, deps);
   }
 
-  machineSnapshots(): MachineSnapshot[] {
-    return this.machines.all();
+  createMachineSnapshots(): MachineSnapshot[] {
+    return this.machineSnapshots.createAll();
   }
 
-  groups(): TaskGroup[] {
-    return this.jobs.groups();
+  createTaskGroups(): TaskGroup[] {
+    return this.taskGroups.createGroups();
   }
 
-  expectedGroups(): TaskGroup[] {
-    return this.jobs.expectedGroups();
+  createExpectedGroups(): TaskGroup[] {
+    return this.taskGroups.createExpectedGroups();
   }
 
-  guaranteedJobs(): Set<Job> {
-    return this.jobs.guaranteedJobs();
+  findGuaranteedJobs(): Set<Job> {
+    return this.taskGroups.findGuaranteedJobs();
   }
 
-  idleTasks(machine: Machine): IdleTask[] | null {
-    return this.bestEffort.idleTasks(machine);
+  findIdleTasks(machine: Machine): IdleTask[] | null {
+    return this.bestEffort.findIdleTasks(machine);
   }
 
   /** What each team may still use, by its limit. */
-  quotaHeadroom(): QuotaHeadroom[] {
+  computeQuotaHeadroom(): QuotaHeadroom[] {
     // Machines not accounted for may run anything of any team that they can hold.
-    let hiddenCpus = 0;
-    let hiddenGpus = 0;
-    for (const m of this.cluster.machines.values()) {
-      if (m.reconciled && !m.hasUnknownTasks) continue;
-      const type = this.deps.catalog.types[m.type];
-      hiddenCpus += type?.cpus ?? Infinity;
-      hiddenGpus += type?.gpus ?? Infinity;
+    let unaccountedCpus = 0;
+    let unaccountedGpus = 0;
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.reconciled && !machine.hasUnknownTasks) continue;
+      const type = this.deps.catalog.types[machine.type];
+      unaccountedCpus += type?.cpus ?? Infinity;
+      unaccountedGpus += type?.gpus ?? Infinity;
     }
     return this.deps.teams.map((team, index) => {
       const usage = required(this.cluster.usage[index], 'usage of the team');
       return {
-        cpus: team.cpusMax > 0 ? team.cpusMax - usage.cpus - hiddenCpus : Infinity,
-        gpus: team.gpusMax > 0 ? team.gpusMax - usage.gpus - hiddenGpus : Infinity,
+        cpus: team.cpusMax > 0 ? team.cpusMax - usage.cpus - unaccountedCpus : Infinity,
+        gpus: team.gpusMax > 0 ? team.gpusMax - usage.gpus - unaccountedGpus : Infinity,
       };
     });
   }
@@ -85,7 +85,7 @@
    */
   markSurplus(machines: readonly MachineSnapshot[], groups: readonly TaskGroup[]): void {
     const { park_headroom } = this.deps.options.scheduling;
-    const shareOf = (need: Resources, size: Resources): number =>
+    const computeMachineShare = (need: Resources, size: Resources): number =>
       Math.max(
         need.cpus / size.cpus,
         size.gpus > 0 ? need.gpus / size.gpus : 0,
@@ -93,25 +93,26 @@
       );
     this.deps.catalog.types.forEach((size, type) => {
       const present = machines.filter((m) => m.type === type && m.bootsInS === 0);
-      let need = 0;
-      for (const m of present) {
+      let neededMachines = 0;
+      for (const snapshot of present) {
         const used = {
-          cpus: size.cpus - m.free.cpus,
-          gpus: size.gpus - m.free.gpus,
-          memory: size.memory - m.free.memory,
+          cpus: size.cpus - snapshot.free.cpus,
+          gpus: size.gpus - snapshot.free.gpus,
+          memory: size.memory - snapshot.free.memory,
         };
-        this.bestEffort.takeFrom(used, this.cluster.machinesByIndex[m.machine]);
-        need += shareOf(used, size);
+        this.bestEffort.subtractUsage(used, this.cluster.machinesByIndex[snapshot.machine]);
+        neededMachines += computeMachineShare(used, size);
       }
-      for (const g of groups) {
-        if (g.bestEffort || (g.types && !g.types.has(type)) || fits(g.need, size) === 0) continue;
-        need += g.pending / fits(g.need, size);
+      for (const group of groups) {
+        if (group.bestEffort || (group.types && !group.types.has(type)) || fits(group.need, size) === 0)
+          continue;
+        neededMachines += group.pending / fits(group.need, size);
       }
-      const active = Math.ceil(need + park_headroom);
+      const neededCount = Math.ceil(neededMachines + park_headroom);
       present.sort(
         (a, b) => a.price - b.price || b.load - a.load || a.warm - b.warm || a.machine - b.machine,
       );
-      for (const m of present.slice(active)) m.surplus = true;
+      for (const snapshot of present.slice(neededCount)) snapshot.surplus = true;
     });
   }
 
@@ -119,42 +120,43 @@
    * Once more the whole room of each machine, for when the tasks that it runs or is about to take have ended:
    * a queue that can wait that long needs no machines of its own.
    */
-  addNextWave(machines: readonly MachineSnapshot[], groups: readonly TaskGroup[]): void {
-    let tasks = 0;
-    let seconds = 0;
-    for (const g of groups) {
-      tasks += g.pending;
-      seconds += g.pending * (this.cluster.jobsByIndex.get(g.job)?.spec.estimateS ?? 0);
+  addProjectedReleases(machines: readonly MachineSnapshot[], groups: readonly TaskGroup[]): void {
+    let taskCount = 0;
+    let totalEstimateS = 0;
+    for (const group of groups) {
+      taskCount += group.pending;
+      totalEstimateS += group.pending * (this.cluster.jobsByIndex.get(group.job)?.spec.estimateS ?? 0);
     }
-    if (tasks === 0) return;
-    for (const m of machines) {
-      const size = required(this.deps.catalog.types[m.type], 'machine type of a snapshot');
-      const last = m.releases.at(-1)?.inS ?? m.bootsInS;
-      m.releases.push({
-        inS: last + seconds / tasks,
+    if (taskCount === 0) return;
+    for (const snapshot of machines) {
+      const size = required(this.deps.catalog.types[snapshot.type], 'machine type of a snapshot');
+      const lastReleaseS = snapshot.releases.at(-1)?.inS ?? snapshot.bootsInS;
+      snapshot.releases.push({
+        inS: lastReleaseS + totalEstimateS / taskCount,
         room: resourcesOf(size),
       });
     }
   }
 
   /** The tasks of a machine that could be stopped to make room, with what stopping them would lose. */
-  preemptionCandidates(index: number, guaranteed: ReadonlySet<Job>): PreemptionCandidate<Attempt>[] {
-    const m = this.cluster.machinesByIndex[index];
-    if (!m) return [];
+  findPreemptionCandidates(index: number, guaranteed: ReadonlySet<Job>): PreemptionCandidate<Attempt>[] {
+    const machine = this.cluster.machinesByIndex[index];
+    if (!machine) return [];
     const now = this.deps.host.clock.now();
-    return m.live().map((a) => ({
-      item: a,
-      priority: a.job?.spec.priority ?? 99,
-      team: a.job?.team ?? -1,
-      beyondGuarantee: a.job !== null && !guaranteed.has(a.job),
-      stopping: a.stopGraceS !== null,
-      need: a.job ? resourcesOf(a.job.spec) : { cpus: 0, gpus: 0, memory: 0 },
+    return machine.live().map((attempt) => ({
+      item: attempt,
+      priority: attempt.job?.spec.priority ?? 99,
+      team: attempt.job?.team ?? -1,
+      beyondGuarantee: attempt.job !== null && !guaranteed.has(attempt.job),
+      stopping: attempt.stopGraceS !== null,
+      need: attempt.job ? resourcesOf(attempt.job.spec) : { cpus: 0, gpus: 0, memory: 0 },
       lossS:
-        a.runningSince === null
+        attempt.runningSince === null
           ? 0
-          : a.job && a.job.spec.checkpointIntervalS > 0
-            ? a.job.spec.checkpointDurationS + (now - a.runningSince < JUST_STARTED_MS ? JUST_STARTED_S : 0)
-            : (now - a.runningSince) / 1000,
+          : attempt.job && attempt.job.spec.checkpointIntervalS > 0
+            ? attempt.job.spec.checkpointDurationS +
+              (now - attempt.runningSince < RECENT_START_MS ? RECENT_START_LOSS_S : 0)
+            : (now - attempt.runningSince) / 1000,
     }));
   }
 }
--- a/src/leader/snapshot-sources.ts
+++ b/src/leader/snapshot-sources.ts
@@ -28,4 +28,4 @@
 }
 
 /** A task past its estimate is given this part of what it has run. */
-export const OUTLIVED_SHARE = 0.3;
+export const OVERRUN_REMAINING_RATIO = 0.3;
--- a/src/leader/stored-state.ts
+++ b/src/leader/stored-state.ts
@@ -35,9 +35,9 @@
 type Pause = (ms: number) => Promise<void>;
 
 /** Longest time that one call of the watch stays open. */
-const WATCH_MS = 20_000;
+const MAX_WATCH_MS = 20_000;
 /** Pause after a call of the watch that failed. */
-const RETRY_MS = 200;
+const WATCH_RETRY_PAUSE_MS = 200;
 
 /**
  * Reads everything that a new leader has to know; null if any part of it could not be read. All parts at once: until
@@ -70,7 +70,7 @@
 ): Promise<void> {
   let revision = afterRevision;
   while (listener.active()) {
-    const watched = await store.watch(KEYS.openPrefix, revision, WATCH_MS);
+    const watched = await store.watch(KEYS.openPrefix, revision, MAX_WATCH_MS);
     if (!listener.active()) return;
     if (watched.kind === 'ok') {
       revision = watched.value.revision;
@@ -78,7 +78,7 @@
       if (events.length > 0) listener.changed(events);
       continue;
     }
-    await pause(RETRY_MS);
+    await pause(WATCH_RETRY_PAUSE_MS);
     // `gone`: the store has dropped events after our revision, so only a new listing tells what changed.
     if (watched.kind !== 'gone') continue;
     const listed = await store.list(KEYS.openPrefix, 'lease');
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -7,20 +7,20 @@
 import { isFailing } from '../workers/failure-attribution.ts';
 import type { Cluster } from './cluster.ts';
 import type { BestEffortWork } from './best-effort-work.ts';
-import { slackOf } from './job-slack.ts';
+import { computeJobSlack } from './job-slack.ts';
 import type { SnapshotDeps, SnapshotSources } from './snapshot-sources.ts';
 
 /** With so many tasks a job that has waited long begins. */
-const FIRST_TASKS = 4;
+const MAX_STARVING_TASKS = 4;
 /** Longer than any job waits. */
-const LONGEST_MS = 1e9;
+const STARVING_WAIT_OFFSET_MS = 1e9;
 const NO_MACHINES: ReadonlySet<number> = new Set();
 /**
  * So long after its last failure a job takes the machines that it failed on again: they may be the only ones that fit.
  */
-const AVOID_MS = 30_000;
+const MACHINE_EXCLUSION_MS = 30_000;
 /** A failing job that has found no room on a present machine for so long may have one rented. */
-const PROBE_RENTS_AFTER_MS = 60_000;
+const PROBE_PROVISION_DELAY_MS = 60_000;
 
 /** The jobs that wait, as a round sees them: a group of equal tasks for each. */
 export class TaskGroups {
@@ -35,26 +35,26 @@
   }
 
   /** Jobs that fit their team's guarantee together with the team's earlier unfinished ones. */
-  guaranteedJobs(): Set<Job> {
-    const found = new Set<Job>();
-    const used = this.deps.teams.map(() => ({ cpus: 0, gpus: 0 }));
+  findGuaranteedJobs(): Set<Job> {
+    const guaranteed = new Set<Job>();
+    const usageByTeam = this.deps.teams.map(() => ({ cpus: 0, gpus: 0 }));
     const ordered = [...this.cluster.jobs.values()].filter((j) => j.pendingOutcome === null);
     ordered.sort((a, b) => a.createdWall - b.createdWall);
     for (const job of ordered) {
       const team = required(this.deps.teams[job.team], 'team of the job');
-      const sum = required(used[job.team], 'usage of the team');
-      const left = job.spec.tasks - job.doneCount;
-      sum.cpus += job.spec.cpus * left;
-      sum.gpus += job.spec.gpus * left;
-      const gpus = job.spec.gpus === 0 || sum.gpus <= team.gpus + 1e-9;
-      const cpus = team.cpus === 0 ? job.spec.gpus > 0 : sum.cpus <= team.cpus + 1e-9;
-      if (gpus && cpus) found.add(job);
+      const usage = required(usageByTeam[job.team], 'usage of the team');
+      const remainingTasks = job.spec.tasks - job.doneCount;
+      usage.cpus += job.spec.cpus * remainingTasks;
+      usage.gpus += job.spec.gpus * remainingTasks;
+      const gpusFit = job.spec.gpus === 0 || usage.gpus <= team.gpus + 1e-9;
+      const cpusFit = team.cpus === 0 ? job.spec.gpus > 0 : usage.cpus <= team.cpus + 1e-9;
+      if (gpusFit && cpusFit) guaranteed.add(job);
     }
-    return found;
+    return guaranteed;
   }
 
   /** The only zone in which a job may be, or -1: its own, or the one in which room is being made for it. */
-  private zoneOf(job: Job, now: number): number {
+  private findRequiredZone(job: Job, now: number): number {
     const { spec, reservation } = job;
     if (spec.zone !== null) return this.deps.zones.index(spec.zone);
     // Choosing another zone meanwhile, a gang stopped others in both, again and again.
@@ -62,37 +62,37 @@
   }
 
   /** The groups of all jobs that wait. */
-  groups(): TaskGroup[] {
+  createGroups(): TaskGroup[] {
     const now = this.deps.host.clock.now();
     const reconciled = this.cluster.allReconciled();
-    const guaranteed = this.guaranteedJobs();
+    const guaranteed = this.findGuaranteedJobs();
     const groups: TaskGroup[] = [];
     const { scheduling } = this.deps.options;
-    const work = new MeanWork();
+    const meanWork = new MeanWork();
     for (const [index, job] of this.cluster.jobsByIndex) {
       if (job.pendingOutcome !== null || job.pendingCount === 0 || now < job.notBefore) continue;
-      const able = reconciled ? job.pendingCount : job.startableCount();
-      if (able === 0) continue;
-      const live = this.cluster.liveAttempts.get(job)?.size ?? 0;
-      if (job.spec.gang && (this.cluster.gangs.has(job) || live > 0)) continue;
+      const startableCount = reconciled ? job.pendingCount : job.startableCount();
+      if (startableCount === 0) continue;
+      const liveCount = this.cluster.liveAttempts.get(job)?.size ?? 0;
+      if (job.spec.gang && (this.cluster.gangs.has(job) || liveCount > 0)) continue;
       const probe = isFailing(job.failures);
-      if (probe && live > 0) continue;
+      if (probe && liveCount > 0) continue;
       const spec = job.spec;
       const waitedMs = now - job.waitingSince;
       // Under a backlog who is late soonest goes first, whoever comes: nothing bounds the wait for a first task. A few
       // first tasks go before everything else of their rank; the rest takes its turn.
       const starving = !spec.gang && job.neverStarted && waitedMs > scheduling.begin_after_s * 1000;
-      let pending = starving ? Math.min(able, FIRST_TASKS) : able;
+      let pending = starving ? Math.min(startableCount, MAX_STARVING_TASKS) : startableCount;
       // One task shows whether the job still fails; of a gang all are needed for that.
       if (probe && !spec.gang) pending = 1;
-      const { slackS, maxQueueingDelayS, perTask } = slackOf(job, guaranteed.has(job), this.deps);
+      const { slackS, maxQueueingDelayS, perTask } = computeJobSlack(job, guaranteed.has(job), this.deps);
       const bestEffort = this.bestEffort.isBestEffort(job);
       // Nothing is expected of its class at any time.
-      const idle = bestEffort && slackS === Infinity;
+      const hasPriceLimit = bestEffort && slackS === Infinity;
       const liveByZone = new Map<number, number>();
       if (spec.oneZone || spec.spread) {
-        for (const a of this.cluster.liveAttempts.get(job) ?? []) {
-          liveByZone.set(a.machine.zone, (liveByZone.get(a.machine.zone) ?? 0) + 1);
+        for (const attempt of this.cluster.liveAttempts.get(job) ?? []) {
+          liveByZone.set(attempt.machine.zone, (liveByZone.get(attempt.machine.zone) ?? 0) + 1);
         }
       }
       groups.push({
@@ -103,7 +103,7 @@
         priority: spec.priority,
         need: resourcesOf(spec),
         types: spec.types ? new Set(spec.types.map((t) => this.deps.catalog.typeIndex(t))) : null,
-        zone: this.zoneOf(job, now),
+        zone: this.findRequiredZone(job, now),
         spot: spec.spot,
         // A single task is in one zone whatever its job says, so the flow may choose among all.
         oneZone: spec.oneZone && spec.tasks > 1,
@@ -112,14 +112,15 @@
         liveByZone,
         latencySensitive: this.sources.forecast.watches(spec.className),
         expected: false,
-        waitedMs: probe ? 0 : starving ? LONGEST_MS + waitedMs : waitedMs,
+        waitedMs: probe ? 0 : starving ? STARVING_WAIT_OFFSET_MS + waitedMs : waitedMs,
         probe,
         bestEffort: bestEffort && !starving,
-        maxProvisionPrice: idle ? this.bestEffort.worthOf(job) : Infinity,
-        mayProvision: !probe || now - job.notBefore > PROBE_RENTS_AFTER_MS,
+        maxProvisionPrice: hasPriceLimit ? this.bestEffort.computeMaxProvisionPrice(job) : Infinity,
+        mayProvision: !probe || now - job.notBefore > PROBE_PROVISION_DELAY_MS,
         image: spec.image,
         imageGb: spec.imageGb,
-        excludedMachines: now - job.failures.lastFailureAt > AVOID_MS ? NO_MACHINES : job.excludedMachines,
+        excludedMachines:
+          now - job.failures.lastFailureAt > MACHINE_EXCLUSION_MS ? NO_MACHINES : job.excludedMachines,
         nominatedMachine:
           job.nominatedMachine && now <= job.nominatedMachine.until ? job.nominatedMachine.machine : -1,
         reservedMachines:
@@ -129,19 +130,19 @@
         guaranteed: false,
         size: 0,
       });
-      work.note(
+      meanWork.note(
         required(groups.at(-1), 'newest group'),
         spec.className,
         job.pendingCount * spec.estimateS,
         perTask || spec.gang,
       );
     }
-    work.giveSizes();
-    shareGuarantees(groups, this.guaranteesLeft(), scheduling.reserve_after_s * 1000);
+    meanWork.giveSizes();
+    shareGuarantees(groups, this.computeGuaranteesLeft(), scheduling.reserve_after_s * 1000);
     return groups;
   }
 
-  private guaranteesLeft(): GuaranteeLeft[] {
+  private computeGuaranteesLeft(): GuaranteeLeft[] {
     return this.deps.teams.map((team, index) => {
       const usage = required(this.cluster.usage[index], 'usage of the team');
       return { cpus: team.cpus > 0 ? team.cpus - usage.cpus : null, gpus: team.gpus - usage.gpus };
@@ -149,32 +150,34 @@
   }
 
   /** Room to keep at hand for classes that must start soon: groups like any other, but nothing is placed. */
-  expectedGroups(): TaskGroup[] {
+  createExpectedGroups(): TaskGroup[] {
     const { scheduling } = this.deps.options;
-    const bootOf = (job: JobRequest): number => {
-      let best: { price: number; bootS: number } | null = null;
+    const estimateBootS = (job: JobRequest): number => {
+      let cheapest: { price: number; bootS: number } | null = null;
       for (const type of this.deps.catalog.types) {
         if (job.types && !job.types.includes(type.name)) continue;
         if (fits(job, type) === 0) continue;
-        if (!best || type.price < best.price) best = type;
+        if (!cheapest || type.price < cheapest.price) cheapest = type;
       }
-      return best?.bootS ?? 0;
+      return cheapest?.bootS ?? 0;
     };
     const expected = this.sources.forecast.expected(
       this.deps.host.clock.wall(),
-      bootOf,
+      estimateBootS,
       scheduling.spare_swing,
     );
-    return expected.map((e, i) => ({
-      job: -1 - i,
+    return expected.map((expectedTasks, index) => ({
+      job: -1 - index,
       team: this.deps.teams.length,
-      pending: e.tasks,
+      pending: expectedTasks.tasks,
       gang: false,
       priority: 0,
-      need: resourcesOf(e.like),
-      types: e.like.types ? new Set(e.like.types.map((t) => this.deps.catalog.typeIndex(t))) : null,
+      need: resourcesOf(expectedTasks.like),
+      types: expectedTasks.like.types
+        ? new Set(expectedTasks.like.types.map((t) => this.deps.catalog.typeIndex(t)))
+        : null,
       zone: -1,
-      spot: e.like.spot,
+      spot: expectedTasks.like.spot,
       oneZone: false,
       zoneHint: -1,
       zoneCap: Infinity,
@@ -186,7 +189,7 @@
       mayProvision: true,
       bestEffort: false,
       maxProvisionPrice: Infinity,
-      image: e.like.image,
+      image: expectedTasks.like.image,
       imageGb: 0,
       excludedMachines: new Set(),
       nominatedMachine: -1,
--- a/test/leader/command-dispatcher.test.ts
+++ b/test/leader/command-dispatcher.test.ts
@@ -32,7 +32,7 @@
     await settle();
     assert.deepEqual([attempt.inFlight, attempt.inDoubt, machine.commandInFlight], [0, true, false]);
     assert.equal(machine.connectivity.missedAcknowledgements, 1);
-    assert.equal(dispatcher.unreachedCount, 1);
+    assert.equal(dispatcher.unansweredCount, 1);
     assert.deepEqual(responses, []);
   }
 });
@@ -70,7 +70,7 @@
     dispatcher.probe(machine);
     await settle();
     assert.equal(machine.connectivity.probesFailed, 1);
-    assert.equal(dispatcher.unreachedCount, 1);
+    assert.equal(dispatcher.unansweredCount, 1);
     // The pause after a probe never ends here, so a second one is not sent.
     dispatcher.probe(machine);
     await settle();
