--- a/test/leader/command-dispatcher.test.ts
+++ b/test/leader/command-dispatcher.test.ts
@@ -21,7 +21,7 @@
   return { dispatcher, responses };
 }
 
-test('a start is in doubt without an answer, or if its request fails in a way that nobody foresaw', async () => {
+test('a start is in doubt if its request is not answered or fails with an unexpected error', async () => {
   const unanswered = () => Promise.resolve({ kind: 'unanswered' } as const);
   for (const sendCommands of [unanswered, () => Promise.reject(new Error('defect'))]) {
     const { machine, assign } = setup();
@@ -62,7 +62,7 @@
   assert.deepEqual(responses, [answer]);
 });
 
-test('a probe fails without an answer and if its request fails in a way that nobody foresaw', async () => {
+test('a probe fails if its request is not answered or fails with an unexpected error', async () => {
   const unanswered = () => Promise.resolve({ kind: 'unanswered' } as const);
   for (const inspect of [unanswered, () => Promise.reject(new Error('defect'))]) {
     const machine = newMachine();
--- a/test/leader/fakes.ts
+++ b/test/leader/fakes.ts
@@ -78,7 +78,7 @@
   incarnation = 1;
   sequence = 0;
   fencingToken = TERM;
-  /** Its heartbeats reach nobody, while commands and probes reach it. */
+  /** Its heartbeats reach no controller, while commands and probes reach it. */
   heartbeatsLost = false;
 
   constructor(
@@ -119,7 +119,7 @@
   }
 }
 
-/** What a test says of a job besides its id. */
+/** Fields of a job that a test may set besides its id. */
 type JobOverrides = Partial<Pick<JobRequest, 'tasks' | 'gang' | 'oneZone'>>;
 
 /**
--- a/test/leader/harness.ts
+++ b/test/leader/harness.ts
@@ -1,4 +1,4 @@
-/** A leader among fakes, driven by the test's clock. */
+/** A leader with fakes of all that it reaches, on a clock that the test moves. */
 import { NameIndex } from '../../src/base/name-index.ts';
 import { defaultOptions } from '../../src/config/options.ts';
 import type { Settings } from '../../src/config/settings.ts';
--- a/test/leader/leader.test.ts
+++ b/test/leader/leader.test.ts
@@ -14,7 +14,7 @@
   return required(harness.probes[0], 'probe of a worker');
 }
 
-test('a copy of an old heartbeat of a machine whose lease expired ties no job to its zone', async () => {
+test('a late copy of a heartbeat from a machine whose lease has expired ties no job to its zone', async () => {
   const harness = new LeaderHarness();
   harness.cloudAvailable = false;
   const job = jobOf('req-000001', { tasks: 12, oneZone: true });
@@ -52,7 +52,8 @@
 });
 
 test('a higher fencing token in a response to commands ends the leadership, unless it has ended before', async () => {
-  // A node that led again within a second once lost its new lead to what it learned about its old one.
+  // A node that leads again within a second must not lose its new leadership to a response that belongs to its
+  // previous one.
   const position = { incarnation: 1, sequence: 2, fencingToken: TERM + 1 };
   const refusal = responseOf(heartbeatOf('n-1', 'a', position), false);
   const harnessWithSentCommands = async (): Promise<LeaderHarness> => {
@@ -75,7 +76,7 @@
   assert.equal(ended.supersededCount, 0);
 });
 
-test('the answer to a probe by a worker of a newer leader is not applied', async () => {
+test('a probe response with a higher fencing token is not applied', async () => {
   const harness = new LeaderHarness();
   const job = jobOf('req-000001');
   harness.recover([job], [['n-1', 'a']]);
@@ -89,8 +90,9 @@
   assert.equal(lookup.status.running, 0);
 });
 
-test('a leader without a valid lease takes no silent machine for lost and terminates none', async () => {
-  // Held back by the same network partition, its requests once could end machines on which the next leader ran tasks.
+test('a leader without a valid lease terminates no silent machine', async () => {
+  // A network partition can delay its requests, which would then terminate machines on which the next leader runs
+  // tasks.
   const harness = new LeaderHarness();
   harness.recover([], [['n-1', 'a']]);
   const position = { incarnation: 1, sequence: 1, fencingToken: TERM };
@@ -109,8 +111,9 @@
   assert.deepEqual(harness.terminated, ['n-1']);
 });
 
-test('before recovery a leader renews the lease of no task, since the task may be cancelled', () => {
-  // With a key-value store that answered slowly, or not at all after the failover, tasks once went on past cancel_s.
+test('before recovery a leader renews no lease of a worker, since its tasks may be cancelled', () => {
+  // If the key-value store answers slowly, or not at all, after a failover, answers to heartbeats would let cancelled
+  // tasks run on past cancel_s.
   const harness = new LeaderHarness();
   const running = [taskStatus('req-000001', 0, 1)];
   const heartbeat = (sequence: number) =>
@@ -123,8 +126,8 @@
   assert.deepEqual(harness.leader.onHeartbeat(heartbeat(2)), [stop], 'the job is not open any more');
 });
 
-test('what is left of an older attempt does not end the work of a newer one', async () => {
-  // An exited member of an earlier run, not cleared yet, once ended the whole run that a new leader found.
+test('an older attempt that a worker still reports does not stop a newer one', async () => {
+  // An exited member of an earlier gang run, which its worker still remembers, must not end the newer run.
   const harness = new LeaderHarness();
   const gang = jobOf('req-000001', { gang: true, tasks: 2 });
   const array = jobOf('req-000002', { tasks: 1 });
@@ -169,8 +172,8 @@
   assert.ok(wasStopped);
 });
 
-test('a machine whose heartbeats are lost is given no work, though it responds to commands', async () => {
-  // Its lease is not renewed: it was given task after task, each of which ended with the next lease.
+test('a machine whose heartbeats are lost is assigned no tasks, though it responds to commands', async () => {
+  // Its lease is not renewed, so each task that it is assigned would end when the lease expires.
   const harness = new LeaderHarness();
   const other = jobOf('req-000002', { tasks: 1 });
   harness.recover([other], [['n-1', 'a']]);
@@ -227,7 +230,7 @@
   assert.deepEqual(harness.leader.onHeartbeat(heartbeatOf('n-1', 'a', restarted)), []);
 });
 
-test('a machine that joins after it was given up takes no work while its termination is due', async () => {
+test('a machine that joins after its termination was requested is assigned no tasks', async () => {
   const harness = new LeaderHarness();
   harness.cloudAvailable = false;
   harness.listedMachines = [
@@ -253,7 +256,8 @@
 });
 
 test('before recovery a leader answers no heartbeat', () => {
-  // With a lease held through an outage by its peers it once answered all, without a stop for what had been cancelled.
+  // A leader whose lease its peers extend through an outage must not answer heartbeats before it knows which tasks to
+  // stop as cancelled.
   const harness = new LeaderHarness();
   const position = { incarnation: 1, sequence: 7, fencingToken: EARLIER_TERM };
   const heartbeat = heartbeatOf('n-1', 'a', position);
@@ -263,7 +267,7 @@
 });
 
 test('a job that failed on the only machine that fits is retried there within 90 s', async () => {
-  // The machines that a job had failed on were excluded for good, and it waited although one of them had room.
+  // If the machines that a job failed on were excluded for good, it would wait although one of them has free resources.
   const harness = new LeaderHarness();
   const worker = harness.addWorker('n-1', 'a');
   const job = jobOf('req-000001', { tasks: 1 });
--- a/test/leader/standstill.test.ts
+++ b/test/leader/standstill.test.ts
@@ -53,8 +53,8 @@
 }
 
 /**
- * A leader with its users' side, one machine that sends heartbeats and one that boots, on a clock that the test moves.
- * Everything that leaves this controller is recorded.
+ * A leader with the user requests of its controller, one machine that sends heartbeats and one that boots, on a clock
+ * that the test moves. Everything that leaves this controller is recorded.
  */
 class SingleController {
   readonly clock = new FakeClock();
@@ -206,13 +206,14 @@
 }
 
 test('nothing that a leader does after a process pause longer than its lease has an effect', async () => {
-  // Its machines looked silent and what it had rented looked as if it had never joined: it terminated what had long
-  // been working for the next leader, before it learned that its lease had expired.
+  // After the pause its machines look silent, and those that it rented look as if they never joined. Until it learns
+  // that its lease has expired, it would terminate machines that already work for the next leader.
   const controller = await busyController();
   const startsBefore = controller.starts.length;
   const rentalsBefore = controller.rentals.length;
   controller.pauseProcess();
-  // What waited in its sockets comes first, then all timers at once; it goes on until it learns of the next leader.
+  // Requests that waited in its sockets come first, then all timers at once; it acts until it learns of the next
+  // leader.
   assert.deepEqual(controller.leader.lookup(JOB_ID), { kind: 'unknown' });
   assert.equal(
     controller.leader.cancel(JOB_ID, () => assert.fail('it confirmed a cancellation')),
@@ -226,7 +227,7 @@
   assert.deepEqual(controller.terminated, [], 'it terminated machines');
 });
 
-test('users of a leader are told after a process pause what the others have done meanwhile', async () => {
+test('after a process pause a leader answers users with what other controllers have stored meanwhile', async () => {
   const controller = await busyController();
   controller.pauseProcess();
   controller.store.delete(KEYS.open(JOB_ID));
@@ -235,16 +236,16 @@
   assert.equal((JSON.parse(answer.body) as { stage: string }).stage, 'done');
 });
 
-test('a leader that keeps its lease over a process pause takes no machine for lost', async () => {
-  // In an outage of the key-value store leases last, however long the process of their holder is paused.
+test('a leader that keeps its lease over a process pause terminates no machine', async () => {
+  // During an outage of the key-value store leases do not expire, however long the process of their holder is paused.
   const controller = await busyController();
   controller.pauseProcess();
   await controller.run(3000);
   assert.deepEqual(controller.terminated, []);
 });
 
-test('a start waits for its connection and is not sent if the lease expires before', async () => {
-  // A connection can be established while the process is paused; the start was written when it went on.
+test('a start waits for its connection and is not sent if the lease expires meanwhile', async () => {
+  // A connection can be established while the process is paused; the start would be written once the process resumes.
   const server: Server = createServer((_req, res) => res.end('{}'));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
