--- a/src/leader/arrivals.ts
+++ b/src/leader/arrivals.ts
@@ -1,4 +1,4 @@
-/** What the arrival of jobs says about those to come: rates by class, and the images of latency-sensitive classes. */
+/** What past arrivals of jobs say of those to come: rates by class, and the images of latency-sensitive classes. */
 import type { Settings } from '../config/settings.ts';
 import { ArrivalForecast } from '../scheduling/forecast.ts';
 import type { JobRequest } from '../wire/user.ts';
--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -1,4 +1,4 @@
-/** Starts of tasks, and what the workers' events mean for jobs. */
+/** Starts attempts of tasks, and applies the events that workers report to their jobs. */
 import type { StartWatermarks } from '../jobs/start-watermarks.ts';
 import type { Job } from '../jobs/job.ts';
 import { ASSIGNED } from '../jobs/job.ts';
@@ -14,13 +14,14 @@
 
 /** Attempt numbers of one term: the term is their upper part. */
 const ATTEMPTS_PER_TERM = 2 ** 24;
-/** Fewest tasks by which a job's start watermark is raised at once, and the share of its tasks. */
+/** Fewest tasks by which a job's start watermark is raised at once. */
 const MIN_START_WATERMARK_STEP = 16;
+/** Number of steps in which the start watermark of a large job reaches all of its tasks. */
 const START_WATERMARK_STEPS_PER_JOB = 8;
-/** Pause of a job whose description a worker couldn't fetch yet. */
+/** How long a job starts no task after a worker couldn't fetch its description. */
 const UNKNOWN_JOB_PAUSE_MS = 2000;
 
-/** The parts of the leader that attempts work on, beside what the leader itself works with. */
+/** The dependencies of a leadership, with the parts of it that attempts are applied to. */
 export interface AttemptsDeps extends LeaderDeps {
   cluster: Cluster;
   gangs: Gangs;
@@ -38,7 +39,7 @@
     return this.deps.host.clock.now();
   }
 
-  /** Attempt numbers carry the term: no other leadership ever uses them. */
+  /** The next attempt number. It carries the term, so no other leadership ever uses it. */
   nextNumber(): number {
     this.count += 1;
     return this.deps.term * ATTEMPTS_PER_TERM + this.count;
@@ -68,9 +69,9 @@
   }
 
   /**
-   * The store must say that a task may have been started before it is: so the next leader knows which tasks
-   * nobody can be running, and need not wait for machines that it can't reach. Raised ahead in steps, a job costs
-   * few writes, and all jobs that begin in a round share one.
+   * Has the store record, before a task starts, that it may have been started. The next leader then knows which tasks
+   * cannot be running on any machine, and starts those without waiting for machines that it can't reach. The watermark
+   * is raised ahead in steps, so that a job needs few writes, and all jobs that begin in a round share one write.
    */
   private requestStartWatermark(job: Job, task: number): void {
     if (task < job.requestedStartWatermark) return;
@@ -111,7 +112,7 @@
       return;
     }
     if (this.deps.cluster.liveAttempts.get(job)?.has(attempt)) {
-      // Our own start has arrived, whichever way.
+      // Our own start has arrived, by a direct command or a heartbeat response.
       attempt.machine.connectivity.acknowledged(this.now());
       return;
     }
@@ -123,8 +124,9 @@
   }
 
   /**
-   * Two attempts hold a task, or it is done already. An attempt starts once all earlier ones of its task have surely
-   * ended, and has a higher number: the lower one is out of date, and stopping the other would lose its work.
+   * Stops the older of two attempts that hold a task, or the new one if the task is done. An attempt starts only once
+   * all earlier ones of its task have surely ended, and has a higher number: so the lower one is out of date, and
+   * stopping the higher one would lose its work.
    */
   private stopOlder(job: Job, attempt: Attempt): void {
     if (job.isDone(attempt.task)) {
@@ -192,14 +194,14 @@
     this.deps.completion.taskDone(job, attempt.task);
   }
 
-  /** The task ended without being done and nobody else holds it: it is to be started anew. */
+  /** The task ended without being done, and no other attempt holds it: it is to be started anew. */
   private requeue(job: Job, attempt: Attempt): void {
     job.requeue(attempt.task, this.now());
     if (attempt.exitReason === 'error') this.onFailed(job, attempt);
     else if (attempt.exitReason === 'jobUnknown') this.delay(job, UNKNOWN_JOB_PAUSE_MS);
   }
 
-  /** A fetch is given up with the last task that waits for it: the machine is no warmer for it. */
+  /** A worker gives up a fetch with the last task that waits for it, so the image does not count as cached then. */
   private abandonFetch(machine: Machine, job: Job): void {
     const { image } = job.spec;
     const readyAt = machine.images.get(image) ?? -Infinity;
@@ -210,7 +212,7 @@
     machine.images.abandonFetch(image, this.now());
   }
 
-  /** Starts no task of the job for so long; a longer delay that was set before stays. */
+  /** Starts no task of the job for `ms`; a longer delay that was set before stays. */
   private delay(job: Job, ms: number): void {
     job.notBefore = Math.max(job.notBefore, this.now() + ms);
   }
@@ -227,7 +229,7 @@
     });
     this.delay(job, retryDelayMs(job.failures));
     const failing = isFailing(job.failures);
-    // A job that fails everywhere is tried anywhere.
+    // A job that fails on every machine may be retried on any of them.
     if (failing) job.excludedMachines.clear();
     else job.excludedMachines.add(machine.index);
     this.deps.host.log.info(
--- a/src/leader/best-effort-work.ts
+++ b/src/leader/best-effort-work.ts
@@ -1,3 +1,4 @@
+/** Work of the lowest priority of teams without a guarantee. */
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import type { IdleTask } from '../scheduling/idle-work.ts';
@@ -6,24 +7,27 @@
 import { computeJobSlack } from './job-slack.ts';
 import { OVERRUN_REMAINING_RATIO, type SnapshotDeps } from './snapshot-sources.ts';
 
-/** Work that nobody waits for may cost as much again after each such time. */
+/** The price limit of a job rises by its initial value with each such period of the job's age. */
 const PRICE_LIMIT_RISE_MS = 600_000;
-/** Time to spare that a job must have beside its whole run time for its tasks to be stopped for their machine's price. */
+/**
+ * Least slack that a job must have, beyond its whole run time, for its tasks to be stopped to save the cost of a
+ * machine.
+ */
 const MIN_STOPPABLE_SLACK_S = 60;
 
-/** Work of teams without a guarantee: what it is worth, and what of it can be stopped for its machine's price. */
+/** Best-effort jobs: which they are, what a machine for them may cost, and which of their tasks can be stopped. */
 export class BestEffortWork {
   constructor(private readonly deps: SnapshotDeps) {}
 
-  /** Work of the lowest rank of a team without a guarantee. */
+  /** Whether a job has the lowest priority and belongs to a team without a guarantee. */
   isBestEffort(job: Job): boolean {
     const team = required(this.deps.teams[job.team], 'team of the job');
     return job.spec.priority === 0 && team.cpus === 0 && team.gpus === 0;
   }
 
   /**
-   * The most that a machine may cost an hour for each task of work that nobody waits for. The bound rises with the
-   * job's age, so that it begins at last where nothing cheap can be had.
+   * Greatest hourly price per task at which a machine is worth its cost to a best-effort job. It rises with the job's
+   * age, so that the job starts eventually even if no cheap machine is available.
    */
   computeMaxProvisionPrice(job: Job): number {
     const { idle_price_times } = this.deps.options.fleet;
@@ -39,9 +43,7 @@
     return lowestPricePerTask * idle_price_times * (1 + Math.max(0, ageMs) / PRICE_LIMIT_RISE_MS);
   }
 
-  /**
-   * The tasks of a machine that runs nothing but guests' work which can be stopped without being late; else null.
-   */
+  /** The tasks of a machine that runs only best-effort tasks which can be stopped without being late; else null. */
   findIdleTasks(machine: Machine): IdleTask[] | null {
     const now = this.deps.host.clock.now();
     const tasks: IdleTask[] = [];
@@ -65,7 +67,7 @@
     return tasks.length > 0 ? tasks : null;
   }
 
-  /** Takes what guests use out of the used room of a machine: they make no machine needed. */
+  /** Subtracts what best-effort tasks use from the used resources of a machine: no machine is needed for their sake. */
   subtractUsage(used: Resources, machine: Machine | undefined): void {
     for (const attempt of machine?.attempts.values() ?? []) {
       if (!attempt.released && attempt.job && this.isBestEffort(attempt.job))
--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -31,7 +31,7 @@
   readonly gangs = new Map<Job, Gang>();
   /** Attempts of a job that may be on their machine. */
   readonly liveAttempts = new Map<Job, Set<Attempt>>();
-  /** By the index of the team. */
+  /** What each team uses, by team index. */
   readonly usage: TeamUsage[];
   /** What earlier leaders stored is known: all open jobs, and all machines that may hold their tasks. */
   recovered = false;
--- a/src/leader/command-dispatcher.ts
+++ b/src/leader/command-dispatcher.ts
@@ -10,11 +10,12 @@
 import type { LeaderDeps } from './context.ts';
 
 /**
- * Probes in flight at once, at least and as a share of all machines: after a failover, or when many have died, there
- * are as many to probe as there are machines. They stay within the sockets for direct requests.
+ * Greatest number of probes in flight: a ratio of all machines, but at least this many. After a failover, or when many
+ * machines fail, nearly all are to be probed, and the probes must stay within the sockets for direct requests.
  */
 const MIN_CONCURRENT_PROBES = 16;
 const CONCURRENT_PROBES_RATIO = 0.01;
+/** Greatest number of probes in flight while the event loop lags. */
 const MAX_CONCURRENT_PROBES_BUSY = 4;
 /** Least time between the answer to a probe of a machine and its next probe. */
 const PROBE_PAUSE_MS = 800;
@@ -28,7 +29,7 @@
 /** Sends direct commands and probes, and keeps account of the machines that don't answer them. */
 export class CommandDispatcher {
   private readonly probing = new Set<Machine>();
-  /** Machines that did not answer since the last one that did. */
+  /** Machines that left a direct request unanswered since any machine last answered one. */
   private readonly unanswered = new Set<Machine>();
 
   constructor(
@@ -39,7 +40,7 @@
   ) {}
 
   /** Whether new tasks may start on the machine now. */
-  mayStartOn(machine: Machine): boolean {
+  canStartOn(machine: Machine): boolean {
     return machine.registered && !machine.terminating && this.deps.host.hasValidLease();
   }
 
@@ -54,7 +55,7 @@
       if (attempt.released) continue;
       if (attempt.stopGraceS !== null) {
         if (attempt.observed) return true;
-      } else if (!attempt.observed && startIsDurable(attempt) && this.mayStartOn(machine)) {
+      } else if (!attempt.observed && startIsDurable(attempt) && this.canStartOn(machine)) {
         return true;
       }
     }
@@ -74,7 +75,7 @@
       if (machine.incarnation === 0 || machine.leaseExpired) continue;
       // Starts can go with the response to the next heartbeat, which costs less.
       if (busy && !hasDueStop(machine)) continue;
-      this.dispatch(machine, commandsFor(machine, this.mayStartOn(machine)));
+      this.dispatch(machine, commandsFor(machine, this.canStartOn(machine)));
     }
   }
 
@@ -149,12 +150,12 @@
     }
     machine.connectivity.acknowledged(this.deps.host.clock.now());
     this.unanswered.clear();
-    // With a higher token another leads by now. The lease, heartbeats and commands end this leadership; what such a
-    // worker does is not ours.
+    // A higher token shows that another controller leads by now, so the state of this worker is not applied. The lease,
+    // heartbeats and responses to commands end this leadership.
     if (result.heartbeat.fencingToken <= this.deps.term) this.onResponse(result.heartbeat);
   }
 
-  /** A request that fails other than by its result is a defect; its machine counts as unanswered. */
+  /** A request whose promise rejects shows a defect of this program; it counts as unanswered. */
   private logFailure(machine: Machine, error: unknown): void {
     const fields = { machine: machine.name, error: errorText(error) };
     this.deps.host.log.error(fields, 'direct request failed');
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Writes the terminal record in the place of the open one: one mutation, and one key that tells what a job is. The
-   * deletion of the completion bitmap goes with it if one transaction holds both, and else when there is nothing more urgent.
+   * Writes the terminal record in the place of the open one: one mutation, and one key that tells the state of a job.
+   * The completion bitmap is deleted in the same transaction if it holds both, and else once no write is more urgent.
    */
   private writeTerminalRecord(job: Job, outcome: JobOutcome): void {
     const { writer, host, settings } = this.deps;
@@ -73,7 +73,7 @@
           });
         },
       },
-      // Users wait for both outcomes, and the completed tasks of other jobs can wait.
+      // Users wait for either outcome, while the completed tasks of other jobs can wait.
       'ends',
     );
     if (fitsOneTransaction) return;
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Writes completed tasks, at most once in `finish_batch_ms`, and only when the last ones are written: what a busy
-   * store can't take yet then shares a write. A job whose tasks are all done goes straight to its terminal state.
+   * Writes completed tasks, at most once in `finish_batch_ms`, and only while no write is queued: tasks that complete
+   * while the store is busy then share a write. A job whose tasks are all done goes straight to its terminal state.
    */
   flush(): void {
     const { writer, host } = this.deps;
--- a/src/leader/context.ts
+++ b/src/leader/context.ts
@@ -35,9 +35,9 @@
   pause(ms: number): Promise<void>;
   /** A worker has seen a higher fencing token: another controller leads by now. */
   superseded(): void;
-  /** This node gets messages from next to no worker; if others do, one of them should lead. */
+  /** This node receives messages from hardly any worker; a controller that still does should lead instead. */
   lostAllWorkers(): void;
-  /** Milliseconds since a worker last sent a heartbeat to this controller itself, not by way of a follower. */
+  /** Milliseconds since this controller last received a heartbeat that no follower relayed. */
   directHeartbeatAgeMs(): number;
   /** How far the event loop of this process lags, in milliseconds. */
   lagMs(): number;
--- a/src/leader/heartbeat-intake.ts
+++ b/src/leader/heartbeat-intake.ts
@@ -1,4 +1,4 @@
-/** What workers say: their own heartbeats, and the answers to commands and probes. */
+/** Takes in what workers report: their own heartbeats, and their answers to commands and probes. */
 import type { MachineProvisioner } from '../fleet/machine-provisioner.ts';
 import type { Command, Heartbeat } from '../wire/worker.ts';
 import type { Machine } from '../workers/machine.ts';
@@ -38,7 +38,7 @@
       return [];
     }
     if (machine.awaitingLeaseExpiry) return null;
-    const commands = commandsFor(machine, dispatcher.mayStartOn(machine));
+    const commands = commandsFor(machine, dispatcher.canStartOn(machine));
     noteResponse(machine, commands);
     return commands;
   }
@@ -97,10 +97,10 @@
   }
 
   /**
-   * Once nothing that an earlier leader started can be on a machine, a heartbeat without our fencing token is a copy
-   * from before, or of a worker that has lost everything: it shows no task that still counts. Of a machine that had
-   * been given up before its first heartbeat, such a copy once brought back tasks that tied their job to the wrong
-   * zone.
+   * A reconciled machine holds no unknown task of an earlier leader, so a heartbeat without our fencing token is a late
+   * copy, or comes from a worker that has lost all its tasks: it shows no task that still counts. If such a copy from a
+   * machine whose lease expired before its first heartbeat were applied, it would bring back tasks that tie their job
+   * to the wrong zone.
    */
   private isStale(machine: Machine, heartbeat: Heartbeat): boolean {
     return machine.reconciled && heartbeat.fencingToken !== this.deps.term;
--- a/src/leader/job-control.ts
+++ b/src/leader/job-control.ts
@@ -1,4 +1,4 @@
-/** What controllers ask of the leader about single jobs on behalf of users. */
+/** Lookups and cancellations of single jobs, which controllers request on behalf of users. */
 import type { LeaderLookup } from '../jobs/job-lookup.ts';
 import type { JobStatus } from '../wire/user.ts';
 import type { Cluster } from './cluster.ts';
@@ -45,7 +45,7 @@
     return true;
   }
 
-  /** Tells everyone who waits for an outcome that this leadership won't see it, so that nobody waits for ever. */
+  /** Calls all callbacks that wait for an outcome, since this leadership won't see it. */
   releaseWaiting(): void {
     for (const job of this.cluster.jobs.values()) {
       for (const notify of job.onTerminal.splice(0)) notify();
--- a/src/leader/job-registry.ts
+++ b/src/leader/job-registry.ts
@@ -32,7 +32,7 @@
       log.error({ job: id, team: spec.team }, 'stored job of unknown team');
       return;
     }
-    // It has waited since its user was answered, whoever led meanwhile.
+    // The job has waited since its user was answered, under earlier leaders as well.
     const ageMs = Math.max(0, clock.wall() - createdWall);
     const job = new Job(spec, team, createdWall, clock.now() - ageMs);
     this.cluster.addJob(job);
@@ -53,7 +53,7 @@
   /** All job records, listed anew because the watch has missed events; it continues after this listing. */
   onStoreListed(items: readonly Item[]): void {
     const listed = new Set(items.map((item) => jobIdOfRecordKey(item.key)));
-    // The terminal records of the others were written and have been moved to the archive meanwhile.
+    // Completed jobs that are not listed have had their terminal records written and moved to the archive meanwhile.
     for (const id of this.cluster.completedJobs) if (!listed.has(id)) this.cluster.completedJobs.delete(id);
     this.onStoreEvents(items.map((item) => ({ ...item, deleted: false })));
   }
--- a/src/leader/job-slack.ts
+++ b/src/leader/job-slack.ts
@@ -1,26 +1,28 @@
+/** How long a job can wait without missing a service-level objective. */
 import type { Job } from '../jobs/job.ts';
 import type { SnapshotDeps } from './snapshot-sources.ts';
 
-/** How much time a job has by what is expected of its class. */
+/** How long a job can wait, by the objectives that apply to it. */
 export interface JobSlack {
-  /** Seconds to spare; Infinity: nothing is expected, -1: all of it is missed. */
+  /** Seconds until the next objective is missed; Infinity: no objective applies, -1: all are missed. */
   slackS: number;
-  /** How much longer than a machine's boot it would rather wait than have one rented, in seconds. */
+  /** How much longer than a rented machine's boot the job rather waits for a present machine, in seconds. */
   maxQueueingDelayS: number;
-  /** The next expectation is of each task, not of the whole job. */
+  /** The objective that is missed next applies to each task, not to the whole job. */
   perTask: boolean;
 }
 
 /**
- * Seconds that a job can still wait without missing the next thing expected of its class, or -1 if it has
- * missed them all. Estimates are often too low, so a part is added.
+ * Computes how long a job can still wait without missing its next objective. `guaranteed`: the job fits into its team's
+ * guarantee. Run time estimates are often too low, so they are multiplied by `estimate_margin`.
  */
 export function computeJobSlack(job: Job, guaranteed: boolean, deps: SnapshotDeps): JobSlack {
   const { spec } = job;
   const ageS = (deps.host.clock.wall() - job.createdWall) / 1000;
   const estimatedRunS = spec.estimateS * deps.options.scheduling.estimate_margin;
   let slackS = Infinity;
-  // A guarantee decides who goes first; whether to rent is for what is expected of the class.
+  // A guarantee affects only the order of jobs. Whether machines are rented depends on the objectives of the job's
+  // class.
   let classSlackS = Infinity;
   let hasObjective = false;
   let perTask = false;
@@ -42,7 +44,7 @@
     if (remainingS > 0 && objective.kind !== 'guarantee') classSlackS = Math.min(classSlackS, remainingS);
   }
   const { patience_share, patience_max_s } = deps.options.fleet;
-  // Once late, money decides.
+  // With no objective of its class left to meet, cost decides: the job waits for half of the longest time.
   const maxQueueingDelayS =
     hasObjective && classSlackS === Infinity
       ? patience_max_s / 2
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -209,7 +209,7 @@
     return this.cluster.recovered ? this.membership.count() : null;
   }
 
-  /** Ends the leadership: nothing is written or sent any more, and whoever waits for an outcome is released. */
+  /** Ends the leadership: nothing is written or sent any more, and callbacks that wait for an outcome are called. */
   stop(): void {
     this.stopped = true;
     this.deps.writer.stop();
@@ -264,10 +264,10 @@
     if (this.stopped || !this.cluster.recovered) return;
     this.completion.flush();
     this.monitor.tick();
-    if (this.mayPlace()) {
+    if (this.canPlace()) {
       this.gangs.endIncompleteRuns();
       this.rounds.run(true);
-    } else if (this.mayProvision()) {
+    } else if (this.canProvision()) {
       this.rounds.run(false);
     }
     this.registry.flush(this.deps.writer.backlog === 0);
@@ -280,16 +280,16 @@
   }
 
   /** Placing waits until the workers have had time to show what they run (`takeover_wait_s`). */
-  private mayPlace(): boolean {
+  private canPlace(): boolean {
     const waitMs = this.deps.options.scheduling.takeover_wait_s * 1000;
     return this.cluster.recovered && this.msSinceStart() >= waitMs && this.deps.host.hasValidLease();
   }
 
   /**
-   * Scaling out needs no wait for what may still run: it begins once all that exists is known (and after
-   * `takeover_rent_s`), so that machines boot while the new leader waits before it places.
+   * Scaling out begins before placing: once the cloud's machine list is read, all machines are reconciled and
+   * `takeover_rent_s` has passed. So machines boot while the new leader waits before it places.
    */
-  private mayProvision(): boolean {
+  private canProvision(): boolean {
     const waitMs = this.deps.options.fleet.takeover_rent_s * 1000;
     if (!this.cluster.recovered || !this.provisioner.listed || this.msSinceStart() < waitMs) return false;
     return this.cluster.allReconciled() && this.deps.host.hasValidLease();
--- a/src/leader/machine-membership.ts
+++ b/src/leader/machine-membership.ts
@@ -8,7 +8,7 @@
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
 
-/** The number of machines is asked for with each heartbeat, and counted anew at most this often. */
+/** Least time between two counts of the machines, whose number is needed with each heartbeat. */
 const COUNT_INTERVAL_MS = 500;
 
 /** The parts of a leadership that membership works on. */
@@ -64,10 +64,10 @@
   }
 
   /**
-   * A heartbeat of an unknown machine. With an older fencing token it comes from a new worker that has seen no answer
-   * of ours yet, and sends another once it has; or it is a copy of an old heartbeat of a machine that is gone: every
-   * machine that holds tasks is in the registry. When such a copy was taken for a machine, it held up work until its
-   * lease had expired. Returns null if the machine does not join.
+   * Adds an unknown machine that sends a heartbeat with our fencing token. Every machine that holds tasks is in the
+   * registry, so a heartbeat with an older token comes from a new worker that has not seen our answer yet, and sends
+   * another once it has; or it is a copy of an old heartbeat of a machine that is gone. A machine added for such a copy
+   * would hold up work until its lease expires. Returns null if the machine does not join.
    */
   admit(heartbeat: Heartbeat): Machine | null {
     const { cluster, provisioner } = this.parts;
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -1,4 +1,4 @@
-/** Watches over machines: leases that expire, workers that don't respond, partitions, interruption notices. */
+/** Monitors machines for expired leases, workers that don't respond, partitions and interruption notices. */
 import { BUSY_MS } from '../base/event-loop-lag.ts';
 import type { MachineProvisioner } from '../fleet/machine-provisioner.ts';
 import {
@@ -31,17 +31,17 @@
 import type { LeaderDeps } from './context.ts';
 
 const CHECK_INTERVAL_MS = 400;
-/** Between two checks this long passes only on a controller whose process was paused. */
+/** Time between two checks from which on the process counts as paused. */
 const PROCESS_PAUSED_MS = 5000;
-/** Workers find a new leader by themselves within about a heartbeat interval; only then are the others probed. */
+/** Workers find a new leader by themselves within about a heartbeat interval; those that have not are probed then. */
 const LEADER_DISCOVERY_MS = 4000;
 /**
  * Heartbeat intervals after which a heartbeat is overdue. A worker that was answered shows our token with its next
- * heartbeat. Probed before that one is due, hundreds of them cost a new leader seconds of its time, in which it left
- * others without an answer.
+ * heartbeat, and is contacted only if that one is overdue: contacting hundreds of workers earlier costs a new leader
+ * seconds, in which it leaves other workers without an answer.
  */
 const OVERDUE_INTERVALS = 1.3;
-/** Heartbeat intervals without any heartbeat sent to this controller itself, after which it may be cut off. */
+/** Heartbeat intervals without a heartbeat sent to this controller itself, after which it may be cut off. */
 const NO_DIRECT_HEARTBEAT_INTERVALS = 2;
 
 /** Why a machine is returned to the cloud. */
@@ -59,22 +59,22 @@
   stopGracefully(attempt: Attempt, reason: string): void;
 }
 
-/** What a check of single machines goes by: the bounds in force and the state of this controller. */
+/** What the check of a machine depends on: the bounds in force and the state of this controller. */
 interface CheckContext extends LivenessContext {
   cancellation: CancellationTimes;
-  /** This controller can't keep up with heartbeats, and knows little about who is silent. */
+  /** This controller can't keep up with heartbeats, so it can't tell which machines are silent. */
   overloaded: boolean;
-  /** It seems to be cut off from the workers itself. */
+  /** This controller seems to be cut off from the workers itself. */
   isolated: boolean;
 }
 
 /**
- * Checks all machines at intervals. Decisions over state and time are made by functions in
- * `workers/` that do no I/O; one of them notes on the attempt when it first saw it (`mustAwaitLeaseExpiry`).
+ * Checks all machines at intervals. Functions in `workers/` decide by state and time, without I/O; one of them,
+ * `mustAwaitLeaseExpiry`, records on the attempt when it first found it unwanted.
  */
 export class MachineMonitor {
   private lastCheckAt = -Infinity;
-  /** Silence before this says nothing: this controller was not there to listen, or not the leader yet. */
+  /** Silence before this time does not count: the process was paused, or this controller was not the leader yet. */
   private listeningSince: number;
 
   constructor(private readonly deps: MachineMonitorDeps) {
@@ -121,8 +121,9 @@
   }
 
   /**
-   * With followers that relay heartbeats, a leader that is cut off from workers still receives them. It took each
-   * machine that it sent a command to for one that receives nothing, and would have returned them one after the other.
+   * A leader that is cut off from the workers still receives the heartbeats that followers relay, and learns of the
+   * partition only from unanswered requests. Without this check, each machine that it sends a command to looks as if it
+   * received nothing, and is returned to the cloud, one after the other.
    */
   private reachesNoWorker(): boolean {
     const { host, dispatcher } = this.deps;
@@ -132,8 +133,9 @@
   }
 
   /**
-   * After a pause of the process all machines look silent at once, and all that were booting look as if they never
-   * came up; a leader that kept its lease through an outage, or did not know yet that it was over, returned them.
+   * After a pause of the process all machines look silent at once, and all that were booting look as if they never came
+   * up. A leader that keeps its lease through an outage, or does not know yet that its leadership is over, must not
+   * return them to the cloud for that.
    */
   private resumeAfterPause(now: number): void {
     this.listeningSince = now;
@@ -141,13 +143,15 @@
     this.deps.host.log.info({ pausedMs: Math.round(now - this.lastCheckAt) }, 'process paused');
   }
 
-  /** Who can't keep up with heartbeats knows little about who is missing: no zone becomes unreachable then. */
+  /**
+   * No zone becomes unreachable while this controller is overloaded, as it can't tell then which machines are missing.
+   */
   private updateZones(survey: Survey, overloaded: boolean): void {
     const { cluster, host, zones } = this.deps;
-    for (const [zone, found] of survey.zones) {
-      const { total } = found;
-      const missing = overloaded ? 0 : found.missing;
-      switch (zoneTransition({ ...found, missing }, cluster.unreachableZones.has(zone))) {
+    for (const [zone, zoneSurvey] of survey.zones) {
+      const { total } = zoneSurvey;
+      const missing = overloaded ? 0 : zoneSurvey.missing;
+      switch (zoneTransition({ ...zoneSurvey, missing }, cluster.unreachableZones.has(zone))) {
         case 'becameUnreachable':
           cluster.unreachableZones.add(zone);
           host.log.info({ zone: zones.name(zone), missing, total }, 'zone unreachable');
@@ -173,7 +177,7 @@
     this.terminateUnresponsive(machine, leaseExpired, context);
   }
 
-  /** The incarnation has ended on the worker's own clock, and starts meant for it are refused. */
+  /** The incarnation has ended by the worker's own clock, too, and the worker refuses starts that are meant for it. */
   private onLeaseExpired(machine: Machine): void {
     const { attempts, cluster, host } = this.deps;
     host.log.info({ machine: machine.name }, 'machine lease expired');
@@ -183,11 +187,12 @@
   }
 
   private terminateUnresponsive(machine: Machine, leaseExpired: boolean, context: CheckContext): void {
-    // Another leader may receive its heartbeats: its silence here says nothing.
+    // Without a valid lease, another leader may receive the heartbeats, so silence here proves nothing.
     if (!this.deps.host.hasValidLease()) return;
     const reason = livenessFailure(machine, context);
     if (reason === null || machine.terminating) return;
-    // Many silent machines of one zone point to a partition, which may end; single ones have died, or receive nothing.
+    // Many silent machines of one zone point to a partition, which may end; single ones have failed, or receive
+    // nothing.
     const unreachable = this.deps.cluster.unreachableZones.has(machine.zone);
     if ((unreachable || context.overloaded || context.isolated) && !leaseExpired) return;
     this.terminate(machine, reason, { silenceMs: Math.round(silenceMs(machine, context)) });
@@ -214,7 +219,10 @@
       this.deps.stopGracefully(attempt, 'spot interruption notice');
   }
 
-  /** A registered machine is reconciled once it has seen our token: an empty command makes sure of that. */
+  /**
+   * Contacts the machines that are not reconciled. A registered machine is reconciled once it shows our token: a probe
+   * finds its worker, and a message without commands then shows it the token.
+   */
   private probeUnreconciled(now: number): void {
     const { cluster, dispatcher, startedAt } = this.deps;
     if (now - startedAt < LEADER_DISCOVERY_MS) return;
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -1,3 +1,4 @@
+/** The machines as inputs of a scheduling round. */
 import { required } from '../base/required.ts';
 import {
   fetchTime,
@@ -11,27 +12,30 @@
 import type { Machine } from '../workers/machine.ts';
 import { OVERRUN_REMAINING_RATIO, type SnapshotDeps, type SnapshotSources } from './snapshot-sources.ts';
 
-/** Reports that a machine may leave out and still be given work; one may have been overtaken by a direct answer. */
+/**
+ * Heartbeat intervals without a heartbeat of its own after which a machine takes no tasks. More than for messages of
+ * any kind, since a heartbeat that a direct response has overtaken is out of date and does not count.
+ */
 const MAX_HEARTBEAT_AGE_INTERVALS = 2.5;
-/** The same, with direct answers counted. */
+/** Heartbeat intervals without any message, direct responses included, after which a machine takes no tasks. */
 const MAX_MESSAGE_AGE_INTERVALS = 1.6;
-/** Cost steps of a machine for each job that has failed on it. */
+/** Cost steps of a machine for each job that failed on it and is not known to fail everywhere. */
 const FAILURE_PENALTY_STEPS = 5;
 
-/** The share of a machine that belongs to each of its accelerators. */
+/** The share of a machine's resources that belongs to each of its accelerators; null if it has none. */
 function computeSharePerAccelerator(size: Resources): Resources | null {
   if (size.gpus === 0) return null;
   return { cpus: size.cpus / size.gpus, gpus: 1, memory: size.memory / size.gpus };
 }
 
-/** The machines as a round sees them: those that can take work now, and those that boot. */
+/** Creates the snapshots of the machines that can take tasks now, and of those that are booting. */
 export class MachineSnapshots {
   constructor(
     private readonly sources: SnapshotSources,
     private readonly deps: SnapshotDeps,
   ) {}
 
-  /** All machines that a round may use. */
+  /** Snapshots of all machines that a round may use. */
   createAll(): MachineSnapshot[] {
     return [...this.createAvailable(), ...this.createBooting()];
   }
@@ -45,7 +49,7 @@
     return free;
   }
 
-  /** When the running tasks of a machine are expected to leave, by their owners' estimates. */
+  /** When the tasks on a machine are expected to release their resources, by the run time estimates of their jobs. */
   private estimateReleases(machine: Machine, now: number): MachineSnapshot['releases'] {
     const releases: MachineSnapshot['releases'] = [];
     for (const attempt of machine.attempts.values()) {
@@ -56,7 +60,7 @@
       if (attempt.stopGraceS !== null) inS = attempt.stopGraceS;
       else {
         const ranS = attempt.runningSince === null ? 0 : (now - attempt.runningSince) / 1000;
-        // A task past its estimate has outlived it: it is given a good part of what it has run.
+        // A task that exceeds its estimate is expected to run on for a share of the time that it has run.
         inS = Math.max(spec.estimateS - ranS, ranS * OVERRUN_REMAINING_RATIO, 3);
       }
       releases.push({ inS, room });
@@ -64,7 +68,7 @@
     return mergeReleases(releases.sort((x, y) => x.inS - y.inS));
   }
 
-  /** Cost steps of a machine that failed tasks of jobs which are not known to fail everywhere. */
+  /** Cost steps for the jobs that failed on the machine, except those that are known to fail everywhere. */
   private computeFailurePenalty(machine: Machine): number {
     let jobCount = 0;
     for (const job of machine.failures.jobs) if (!isFailing(job)) jobCount += 1;
@@ -88,10 +92,12 @@
       const heartbeatIntervalMs = this.deps.settings.settings.workers.report_s * 1000;
       if (now - machine.connectivity.lastMessageAt > heartbeatIntervalMs * MAX_MESSAGE_AGE_INTERVALS)
         continue;
-      // Answers to orders and questions renew no lease: what is started on a machine that reaches nobody dies with it.
+      // Responses to direct commands and probes renew no lease: tasks that start on a machine whose heartbeats are lost
+      // end when its lease expires.
       if (now - machine.connectivity.lastHeartbeatAt > heartbeatIntervalMs * MAX_HEARTBEAT_AGE_INTERVALS)
         continue;
-      // Work must not wait on a machine that may be no more than a late copy of a report, or that hears nothing.
+      // Without our fencing token, a machine may be known only from a late copy of a heartbeat; with missed
+      // acknowledgements, it may not receive commands. Tasks that are placed on either may wait in vain.
       if (machine.fencingToken !== this.deps.term || machine.connectivity.missedAcknowledgements > 0)
         continue;
       if (machineHealth(machine.failures, machine.index, now) !== 'healthy') continue;
@@ -106,11 +112,12 @@
         perAccelerator: computeSharePerAccelerator(type),
         releases: this.estimateReleases(machine, now),
         load: machine.liveCount,
-        // Up, but not yet written to the roster: that takes a moment, no new machine.
+        // A machine that is up but not yet in the machine registry takes tasks after a moment: none is rented in its
+        // place.
         bootsInS: machine.registered ? 0 : 1,
         fetchS: (image, gb) => {
           const readyAt = machine.images.get(image);
-          // Several images share the rate.
+          // The fetch begins after those under way.
           if (readyAt === undefined) return fetchTime(gb, type.fetchGbPerS) + fetchingS;
           return Math.max(0, readyAt - now) / 1000;
         },
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -1,3 +1,4 @@
+/** Runs scheduling rounds, and applies what they decide to the cluster. */
 import { required } from '../base/required.ts';
 import type { MachineProvisioner, IdleMachine } from '../fleet/machine-provisioner.ts';
 import type { Job } from '../jobs/job.ts';
@@ -22,29 +23,35 @@
 import type { SchedulingSnapshots } from './scheduling-snapshots.ts';
 
 const MAX_PREEMPTING_GROUPS = 8;
-/** Time for orders and reports around a stop or a start. */
+/** Allowance in seconds for the commands and heartbeats around a stop or a start. */
 const COMMAND_LATENCY_S = 2;
-/** How long the room that is made for a gang is kept, besides the time that the stopped tasks save. */
+/** How long the reservation of a gang lasts beyond the time in which the preempted tasks save their checkpoints. */
 const RESERVATION_MARGIN_S = 6;
-/** Rounds take at most about this share of the time, however slow the processor is. */
+/** Rounds take at most about this share of the time, also on a slow processor: long ones start at longer intervals. */
 const MAX_ROUND_TIME_RATIO = 0.3;
+/** The same while the event loop lags. */
 const MAX_ROUND_TIME_RATIO_BUSY = 0.1;
+/** Longest interval between the starts of two rounds that these ratios lead to. */
 const MAX_THROTTLED_INTERVAL_MS = 4000;
+/** A longer round delays heartbeats and new connections, so the rounds after it consider fewer groups. */
+const LONG_ROUND_MS = 800;
 /**
- * A round this long keeps reports and new connections waiting: the first ones of a new leader, whose code is cold,
- * once took two seconds each, while workers gave up one after the other. It begins with few groups.
+ * Limit on the groups of a leader's first round, and the lowest limit of any round. The code of a new leader is not
+ * compiled yet: without a low limit its first rounds take two seconds each, in which one worker after the other gives
+ * up waiting for an answer.
  */
-const LONG_ROUND_MS = 800;
 const MIN_GROUP_LIMIT = 16;
 
-/** Runs the flow rounds and carries out what they find. */
+/** Runs the scheduling rounds and applies their results: placements, provisioning, preemption and scale-in. */
 export class SchedulingRounds {
   private lastStartAt = -Infinity;
   private lastDurationMs = 0;
   private roundCount = 0;
   private groupLimit = MIN_GROUP_LIMIT;
   private placingSince = Infinity;
-  /** Machines on which nothing but guests' work runs, and since when. */
+  /**
+   * Surplus machines that run only best-effort tasks which can be stopped, and since when, in ms on the steady clock.
+   */
   private readonly bestEffortOnlySince = new WeakMap<Machine, number>();
 
   constructor(
@@ -59,8 +66,8 @@
     return this.deps.host.clock.now();
   }
 
-  /** A round, if one is due. Without `place` it only rents. */
-  run(mayPlace: boolean): void {
+  /** Runs a round if one is due. Without `canPlace` it only provisions machines. */
+  run(canPlace: boolean): void {
     const start = this.now();
     const { scheduling } = this.deps.options;
     const busy = this.deps.host.lagMs() > BUSY_MS;
@@ -86,8 +93,8 @@
       const job = this.cluster.jobsByIndex.get(index);
       if (job) job.zoneHint = zone;
     }
-    if (mayPlace) this.placingSince = Math.min(this.placingSince, start);
-    if (mayPlace) this.applyResult(groups, machines, quotaHeadroom, result);
+    if (canPlace) this.placingSince = Math.min(this.placingSince, start);
+    if (canPlace) this.applyResult(groups, machines, quotaHeadroom, result);
     this.lastDurationMs = this.now() - start;
     this.adaptGroupLimit(groups.length, result.leftOut);
     this.deps.host.log.debug(
@@ -103,13 +110,13 @@
     );
   }
 
-  /** Fits the number of groups to the time that rounds take. */
+  /** Adapts the number of groups in a round to the time that the last round took. */
   private adaptGroupLimit(groupCount: number, leftOut: number): void {
     if (this.lastDurationMs > LONG_ROUND_MS)
       this.groupLimit = Math.max(MIN_GROUP_LIMIT, Math.floor(groupCount * 0.6));
     else
       this.groupLimit = Math.min(this.deps.options.scheduling.max_groups, Math.ceil(this.groupLimit * 1.5));
-    // Who was left out waits for the next round, whether anything changes or not.
+    // The next round considers the groups that were left out, even if nothing changes until then.
     if (leftOut > 0) this.cluster.dirty = true;
   }
 
@@ -125,7 +132,7 @@
       [...groups, ...this.snapshots.createExpectedGroups()],
       machines,
       this.provisioner.rentable(this.cluster.unreachableZones),
-      // Expected tasks have no team yet.
+      // The groups of expected tasks have a team index of their own, which has no limit.
       [...quotaHeadroom, { cpus: Infinity, gpus: Infinity }],
       (type) => {
         const machineType = types[type];
@@ -168,7 +175,7 @@
           (job.spec.gang ? attemptNumberByGang.get(placement.job) : undefined) ?? this.attempts.nextNumber();
         attemptNumberByGang.set(placement.job, attemptNumber);
         if (!this.attempts.start(job, machine, attemptNumber)) break;
-        // What is placed takes room in what the rest of this round sees.
+        // The rest of this round must see these resources as allocated.
         allocate(snapshot.free, group.need);
         snapshot.load += 1;
         headroom.cpus -= group.need.cpus;
@@ -176,7 +183,7 @@
       }
       this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: placement.count }, 'tasks placed');
     }
-    // Whoever was left out may need what is idle now: it was once returned, and rented anew a moment later.
+    // Groups that were left out may need the idle machines, which would be returned now and rented anew a moment later.
     if (result.leftOut === 0) {
       this.provisioner.offerIdle(this.findIdleMachines(result.held));
       this.consolidate(machines, result);
@@ -189,7 +196,7 @@
   private findIdleMachines(heldMachines: ReadonlySet<number>): IdleMachine[] {
     const now = this.now();
     const idleMachines: IdleMachine[] = [];
-    // While a new leader may not place, machines are idle for no reason of theirs.
+    // Idle time counts from the first round that places: before it, machines are idle because the leader may not place.
     const placingSince = this.placingSince;
     for (const machine of this.cluster.machines.values()) {
       if (
@@ -199,7 +206,8 @@
         heldMachines.has(machine.index)
       )
         continue;
-      // Not given back on mere suspicion: it is idle only because nothing is placed on it.
+      // A quarantined machine is idle only because nothing is placed on it, and suspicion alone is no reason to return
+      // it.
       if (machineHealth(machine.failures, machine.index, now) === 'quarantined') continue;
       idleMachines.push({
         name: machine.name,
@@ -210,7 +218,10 @@
     return idleMachines;
   }
 
-  /** Stops guests' work on machines beyond the present need that are too dear to be kept up for it. */
+  /**
+   * Stops the tasks of machines that have long been surplus, run only best-effort tasks and cost more than these are
+   * worth.
+   */
   private consolidate(machines: readonly MachineSnapshot[], result: RoundResult): void {
     const now = this.now();
     const machinesWithPlacements = new Set(result.placements.map((p) => p.machine));
@@ -249,9 +260,10 @@
         ? 0
         : (result.unplaced.get(g.job) ?? 0) + (result.awaiting.get(g.job) ?? 0);
     const waitingGroups = groups.filter((g) => countWaiting(g) > 0).sort((a, b) => b.priority - a.priority);
-    // A swarm of waiting jobs must not make a round long: the others get their turn in the next.
+    // Bounds the length of a round when many jobs wait; later rounds preempt for the others.
     for (const group of waitingGroups.slice(0, MAX_PREEMPTING_GROUPS)) {
-      // With room on its way, a guarantee alone is no reason to stop others.
+      // If machines are booting for all waiting tasks of the group, its team's guarantee alone does not justify a
+      // preemption.
       const guaranteeAfterMs = result.unplaced.has(group.job)
         ? this.deps.options.scheduling.guarantee_after_s * 1000
         : Infinity;
@@ -269,7 +281,8 @@
           targetMachines,
         );
       };
-      // Room is made in the zone that the round has chosen: made elsewhere it came to nothing, and was made twice.
+      // Preempts in the zone that the round has chosen: capacity freed in another zone is not used by the job, and is
+      // freed a second time in the chosen one.
       let victims = selectVictimsInZone(result.zones.get(group.job) ?? group.zone);
       if (victims?.length === 0 && result.zones.has(group.job)) {
         victims = selectVictimsInZone(group.zone);
@@ -287,8 +300,8 @@
   }
 
   /**
-   * What was stopped for a gang must not make room for others: small tasks took it before the last of its machines
-   * was free, and were stopped again in turn.
+   * Reserves the machines on which tasks are preempted for a gang. Otherwise small tasks of other jobs take the freed
+   * capacity before the last machine of the gang is free, and are preempted in turn.
    */
   private reserve(job: Job, machines: ReadonlySet<number>, victims: readonly Attempt[]): void {
     const checkpointS = Math.max(0, ...victims.map((a) => a.job?.spec.checkpointDurationS ?? 0));
@@ -299,8 +312,9 @@
   }
 
   /**
-   * A single task that must start soon and would spend its time fetching: if tasks of lower rank that can save
-   * hold a machine with its image, they make room there. True if the task waits for that room.
+   * Preempts for a latency-sensitive job of one task that would miss its objective by fetching its image on the chosen
+   * machine: tasks of lower priority that can save a checkpoint in time are stopped on a machine that has the image
+   * cached. Returns true if the job is nominated for that machine and waits for it.
    */
   private preemptForCachedImage(
     job: Job,
@@ -349,7 +363,7 @@
     return true;
   }
 
-  /** Stops a task so that it can save; of a gang all tasks at the same time. */
+  /** Stops a task with enough grace to save a checkpoint; all tasks of a gang are stopped at the same time. */
   stopGracefully(attempt: Attempt, reason: string): void {
     const job = required(attempt.job, 'job of the attempt');
     const graceS = job.spec.checkpointIntervalS > 0 ? job.spec.checkpointDurationS + 2 : 0;
@@ -369,13 +383,14 @@
 
 const NO_JOBS: ReadonlySet<Job> = new Set();
 
-/** The tasks on machines as candidates to be stopped, looked up once a round and machine. */
+/** Caches the preemption candidates of machines, so that a round looks them up once per machine. */
 class PreemptionCandidates {
   private readonly byMachine = new Map<number, PreemptionCandidate<Attempt>[]>();
   private guaranteed: ReadonlySet<Job> | null = null;
 
   constructor(private readonly snapshots: SchedulingSnapshots) {}
 
+  /** The candidates on a machine. Another set of guaranteed jobs than that of the last call discards the cache. */
   onMachine(machine: number, guaranteed: ReadonlySet<Job>): PreemptionCandidate<Attempt>[] {
     if (this.guaranteed !== guaranteed) {
       this.byMachine.clear();
@@ -389,7 +404,7 @@
     return candidates;
   }
 
-  /** Tasks have been stopped since. */
+  /** Discards the cache, since tasks have been stopped. */
   clear(): void {
     this.byMachine.clear();
   }
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -1,3 +1,4 @@
+/** Creates the inputs of scheduling rounds from the leader's state. */
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import type { IdleTask } from '../scheduling/idle-work.ts';
@@ -18,11 +19,15 @@
 import { MachineSnapshots } from './machine-snapshots.ts';
 import type { SnapshotDeps, SnapshotSources } from './snapshot-sources.ts';
 
-/** A start that is undone at once was for nothing: others are stopped rather. */
+/**
+ * A task with checkpoints that has run for less than this counts as a greater loss, so that other tasks are preempted
+ * first: stopping it wastes its start.
+ */
 const RECENT_START_MS = 30_000;
+/** The loss, in seconds of work, that is added for such a task. */
 const RECENT_START_LOSS_S = 5;
 
-/** Turns what the leader knows into what a round sees. It changes nothing but the views it makes. */
+/** Creates the inputs of a round from the leader's state. It changes nothing but the snapshots that it creates. */
 export class SchedulingSnapshots {
   private readonly cluster: Cluster;
   private readonly bestEffort: BestEffortWork;
@@ -39,29 +44,34 @@
     this.machineSnapshots = new MachineSnapshots(sources, deps);
   }
 
+  /** Snapshots of all machines that a round may use. */
   createMachineSnapshots(): MachineSnapshot[] {
     return this.machineSnapshots.createAll();
   }
 
+  /** The groups of all jobs that wait. */
   createTaskGroups(): TaskGroup[] {
     return this.taskGroups.createGroups();
   }
 
+  /** Groups of the tasks that are expected to arrive soon. */
   createExpectedGroups(): TaskGroup[] {
     return this.taskGroups.createExpectedGroups();
   }
 
+  /** Jobs that fit into their team's guarantee. */
   findGuaranteedJobs(): Set<Job> {
     return this.taskGroups.findGuaranteedJobs();
   }
 
+  /** The tasks of a machine that runs only best-effort tasks which can be stopped; else null. */
   findIdleTasks(machine: Machine): IdleTask[] | null {
     return this.bestEffort.findIdleTasks(machine);
   }
 
-  /** What each team may still use, by its limit. */
+  /** CPUs and GPUs that each team may still use under its limit, by team index. */
   computeQuotaHeadroom(): QuotaHeadroom[] {
-    // Machines not accounted for may run anything of any team that they can hold.
+    // A machine that is not reconciled, or holds unknown tasks, may run tasks of any team, up to its capacity.
     let unaccountedCpus = 0;
     let unaccountedGpus = 0;
     for (const machine of this.cluster.machines.values()) {
@@ -80,8 +90,8 @@
   }
 
   /**
-   * Marks the machines beyond what the present work needs as dearer than the others, though never as dear as
-   * room to come: they take tasks only when the others are full, and so run empty and can be given back.
+   * Marks the machines beyond those that running and waiting tasks need. A round uses marked machines only when the
+   * others are full, though before capacity that is not free yet, so that marked machines drain and can be returned.
    */
   markSurplus(machines: readonly MachineSnapshot[], groups: readonly TaskGroup[]): void {
     const { park_headroom } = this.deps.options.scheduling;
@@ -117,8 +127,9 @@
   }
 
   /**
-   * Once more the whole room of each machine, for when the tasks that it runs or is about to take have ended:
-   * a queue that can wait that long needs no machines of its own.
+   * Adds the whole capacity of each machine as a further release, one mean run time of the waiting tasks after its
+   * last one, when the tasks that it takes next are expected to have ended. Jobs that can wait that long need no further
+   * machines.
    */
   addProjectedReleases(machines: readonly MachineSnapshot[], groups: readonly TaskGroup[]): void {
     let taskCount = 0;
@@ -138,7 +149,7 @@
     }
   }
 
-  /** The tasks of a machine that could be stopped to make room, with what stopping them would lose. */
+  /** The tasks of a machine, given by index, that may be preempted, with the work that stopping each would lose. */
   findPreemptionCandidates(index: number, guaranteed: ReadonlySet<Job>): PreemptionCandidate<Attempt>[] {
     const machine = this.cluster.machinesByIndex[index];
     if (!machine) return [];
--- a/src/leader/snapshot-sources.ts
+++ b/src/leader/snapshot-sources.ts
@@ -1,3 +1,4 @@
+/** What the inputs of a scheduling round are created from. */
 import type { Clock } from '../base/clock.ts';
 import type { NameIndex } from '../base/name-index.ts';
 import type { Options } from '../config/options.ts';
@@ -8,7 +9,7 @@
 import type { ArrivalForecast } from '../scheduling/forecast.ts';
 import type { Cluster } from './cluster.ts';
 
-/** What a round is made of. */
+/** The parts of a leadership that the inputs of a round are created from. */
 export interface SnapshotSources {
   readonly cluster: Cluster;
   readonly provisioner: MachineProvisioner;
@@ -16,7 +17,7 @@
   readonly latencySensitiveImages: ReadonlySet<string>;
 }
 
-/** What planning needs besides: clock, settings and names. */
+/** What the creation of these inputs needs besides: clock, settings and names. */
 export interface SnapshotDeps {
   host: { clock: Clock };
   settings: Settings;
@@ -27,5 +28,5 @@
   term: number;
 }
 
-/** A task past its estimate is given this part of what it has run. */
+/** Expected remaining run time of a task that exceeds its estimate, as a ratio of the time that it has run. */
 export const OVERRUN_REMAINING_RATIO = 0.3;
--- a/src/leader/state-recovery.ts
+++ b/src/leader/state-recovery.ts
@@ -29,7 +29,7 @@
     private readonly deps: LeaderDeps,
   ) {}
 
-  /** From its return on the leadership knows all open jobs and all machines that may hold their tasks. */
+  /** Afterwards the leadership knows all open jobs and all machines that may hold their tasks. */
   recover(records: StoredRecords): void {
     const { cluster, completion } = this.parts;
     for (const item of records.open) this.restoreJobRecord(item);
--- a/src/leader/stored-state.ts
+++ b/src/leader/stored-state.ts
@@ -40,8 +40,8 @@
 const WATCH_RETRY_PAUSE_MS = 200;
 
 /**
- * Reads everything that a new leader has to know; null if any part of it could not be read. All parts at once: until
- * the state is recovered, the leases of workers with tasks are not renewed.
+ * Reads everything that a new leader has to know; null if any part of it could not be read. All parts are read at the
+ * same time, since no worker's lease is renewed until the state is recovered.
  */
 export async function readStoredState(store: StateReader): Promise<StoredState | null> {
   const [open, completions, startWatermarks, machineRegistry] = await Promise.all([
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -1,3 +1,4 @@
+/** The waiting and the expected tasks as inputs of a scheduling round. */
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import { MeanWork } from '../scheduling/mean-work.ts';
@@ -10,19 +11,20 @@
 import { computeJobSlack } from './job-slack.ts';
 import type { SnapshotDeps, SnapshotSources } from './snapshot-sources.ts';
 
-/** With so many tasks a job that has waited long begins. */
+/** Tasks of a starving job that go before the tasks of all other jobs of its priority. */
 const MAX_STARVING_TASKS = 4;
-/** Longer than any job waits. */
+/** Added to the waiting time of a starving job; longer than any job waits. */
 const STARVING_WAIT_OFFSET_MS = 1e9;
 const NO_MACHINES: ReadonlySet<number> = new Set();
 /**
- * So long after its last failure a job takes the machines that it failed on again: they may be the only ones that fit.
+ * How long after its last failure a job avoids the machines that it failed on. Afterwards they are allowed again, since
+ * they may be the only ones that fit.
  */
 const MACHINE_EXCLUSION_MS = 30_000;
-/** A failing job that has found no room on a present machine for so long may have one rented. */
+/** How long a failing job waits for a present machine, from its next permitted attempt, before one may be rented. */
 const PROBE_PROVISION_DELAY_MS = 60_000;
 
-/** The jobs that wait, as a round sees them: a group of equal tasks for each. */
+/** Creates the task groups of a round: one for each waiting job, and one for each class with expected arrivals. */
 export class TaskGroups {
   private readonly cluster: Cluster;
 
@@ -34,7 +36,10 @@
     this.cluster = sources.cluster;
   }
 
-  /** Jobs that fit their team's guarantee together with the team's earlier unfinished ones. */
+  /**
+   * Finds the jobs that fit into their team's guarantee together with all unfinished jobs that the team submitted
+   * before.
+   */
   findGuaranteedJobs(): Set<Job> {
     const guaranteed = new Set<Job>();
     const usageByTeam = this.deps.teams.map(() => ({ cpus: 0, gpus: 0 }));
@@ -53,15 +58,15 @@
     return guaranteed;
   }
 
-  /** The only zone in which a job may be, or -1: its own, or the one in which room is being made for it. */
+  /** The only zone in which a job may be placed: the one that it asks for, or that of its reservation. -1: any zone. */
   private findRequiredZone(job: Job, now: number): number {
     const { spec, reservation } = job;
     if (spec.zone !== null) return this.deps.zones.index(spec.zone);
-    // Choosing another zone meanwhile, a gang stopped others in both, again and again.
+    // A gang that may choose another zone during its reservation preempts tasks in both zones, again and again.
     return spec.oneZone && reservation && now <= reservation.until ? reservation.zone : -1;
   }
 
-  /** The groups of all jobs that wait. */
+  /** Creates the groups of all jobs that wait. */
   createGroups(): TaskGroup[] {
     const now = this.deps.host.clock.now();
     const reconciled = this.cluster.allReconciled();
@@ -79,15 +84,17 @@
       if (probe && liveCount > 0) continue;
       const spec = job.spec;
       const waitedMs = now - job.waitingSince;
-      // Under a backlog who is late soonest goes first, whoever comes: nothing bounds the wait for a first task. A few
-      // first tasks go before everything else of their rank; the rest takes its turn.
+      // Under a backlog the jobs with the least slack go first, new ones included, so the wait of a job for its first
+      // task has no bound. A few tasks of a starving job therefore go before all others of its priority; the rest of
+      // its tasks are ordered like those of other jobs.
       const starving = !spec.gang && job.neverStarted && waitedMs > scheduling.begin_after_s * 1000;
       let pending = starving ? Math.min(startableCount, MAX_STARVING_TASKS) : startableCount;
-      // One task shows whether the job still fails; of a gang all are needed for that.
+      // One task shows whether the job still fails; a gang needs all of its tasks for that.
       if (probe && !spec.gang) pending = 1;
       const { slackS, maxQueueingDelayS, perTask } = computeJobSlack(job, guaranteed.has(job), this.deps);
       const bestEffort = this.bestEffort.isBestEffort(job);
-      // Nothing is expected of its class at any time.
+      // Only a best-effort job to which no objective applies has a limit on the price of machines that are rented for
+      // it.
       const hasPriceLimit = bestEffort && slackS === Infinity;
       const liveByZone = new Map<number, number>();
       if (spec.oneZone || spec.spread) {
@@ -105,7 +112,7 @@
         types: spec.types ? new Set(spec.types.map((t) => this.deps.catalog.typeIndex(t))) : null,
         zone: this.findRequiredZone(job, now),
         spot: spec.spot,
-        // A single task is in one zone whatever its job says, so the flow may choose among all.
+        // A single task is in one zone in any case, so the flow network may choose among all zones.
         oneZone: spec.oneZone && spec.tasks > 1,
         zoneHint: job.zoneHint,
         zoneCap: spec.spread ? Math.ceil(spec.tasks / 2) : Infinity,
@@ -149,7 +156,10 @@
     });
   }
 
-  /** Room to keep at hand for classes that must start soon: groups like any other, but nothing is placed. */
+  /**
+   * Creates groups of tasks that are expected to arrive in latency-sensitive classes. They hold capacity and have it
+   * rented like other groups, but nothing is placed for them.
+   */
   createExpectedGroups(): TaskGroup[] {
     const { scheduling } = this.deps.options;
     const estimateBootS = (job: JobRequest): number => {
