--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Has the store record, before a task starts, that it may have been started. The next leader then knows which tasks
+   * Records in the store, before a task starts, that it may have been started. The next leader then knows which tasks
    * cannot be running on any machine, and starts those without waiting for machines that it can't reach. The watermark
    * is raised ahead in steps, so that a job needs few writes, and all jobs that begin in a round share one write.
    */
@@ -201,7 +201,10 @@
     else if (attempt.exitReason === 'jobUnknown') this.delay(job, UNKNOWN_JOB_PAUSE_MS);
   }
 
-  /** A worker gives up a fetch with the last task that waits for it, so the image does not count as cached then. */
+  /**
+   * A worker gives up an image fetch with the last task that waits for it; from then on the image doesn't count as being
+   * fetched.
+   */
   private abandonFetch(machine: Machine, job: Job): void {
     const { image } = job.spec;
     const readyAt = machine.images.get(image) ?? -Infinity;
--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -94,8 +94,8 @@
   }
 
   /**
-   * The attempt is on no machine any more, for certain. Returns how many others hold its task, or -1 if the attempt
-   * wasn't tracked.
+   * The attempt is on no machine any more, for certain. Returns how many other attempts hold its task, or -1 if the
+   * attempt wasn't tracked.
    */
   release(attempt: Attempt): number {
     const { job } = attempt;
--- a/src/leader/job-registry.ts
+++ b/src/leader/job-registry.ts
@@ -40,17 +40,19 @@
     log.debug({ job: id, tasks: spec.tasks, class: spec.className }, 'job accepted');
   }
 
-  /** Changes of job records that the watch reports, in order. */
+  /** Applies the changes of job records that the watch reports, in order. */
   onStoreEvents(events: readonly WatchEvent[]): void {
     for (const event of events) {
       const id = jobIdOfRecordKey(event.key);
-      // Events come in order: after that of its terminal record no older one of the job follows.
+      // Events come in order: no older event of the job follows that of its terminal record.
       if (event.deleted || readTerminal(event.value)) this.cluster.completedJobs.delete(id);
       else if (!this.cluster.completedJobs.has(id)) this.add(id, event.value);
     }
   }
 
-  /** All job records, listed anew because the watch has missed events; it continues after this listing. */
+  /**
+   * Applies a new listing of all job records, made because the watch has missed events; it continues after this one.
+   */
   onStoreListed(items: readonly Item[]): void {
     const listed = new Set(items.map((item) => jobIdOfRecordKey(item.key)));
     // Completed jobs that are not listed have had their terminal records written and moved to the archive meanwhile.
@@ -58,7 +60,7 @@
     this.onStoreEvents(items.map((item) => ({ ...item, deleted: false })));
   }
 
-  /** A record that this node has read as open; the watch would report it a little later. */
+  /** Adds the job of a record that this node has read as open, before the watch reports the record. */
   observeOpenRecord(id: string, value: unknown): void {
     const { recovered, completedJobs } = this.cluster;
     if (recovered && !completedJobs.has(id) && !this.deps.host.isTerminal(id)) this.add(id, value);
--- a/src/leader/job-slack.ts
+++ b/src/leader/job-slack.ts
@@ -44,7 +44,7 @@
     if (remainingS > 0 && objective.kind !== 'guarantee') classSlackS = Math.min(classSlackS, remainingS);
   }
   const { patience_share, patience_max_s } = deps.options.fleet;
-  // With no objective of its class left to meet, cost decides: the job waits for half of the longest time.
+  // With no objective of its class left to meet, cost decides: the job accepts half of the greatest queueing delay.
   const maxQueueingDelayS =
     hasObjective && classSlackS === Infinity
       ? patience_max_s / 2
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -221,17 +221,19 @@
     this.recovery.recover(records);
   }
 
-  /** Changes of job records that the watch reports, in order. */
+  /** Applies the changes of job records that the watch reports, in order. */
   onStoreEvents(events: readonly WatchEvent[]): void {
     this.jobs.onStoreEvents(events);
   }
 
-  /** All job records, listed anew because the watch has missed events; it continues after this listing. */
+  /**
+   * Applies a new listing of all job records, made because the watch has missed events; it continues after this one.
+   */
   onStoreListed(items: readonly Item[]): void {
     this.jobs.onStoreListed(items);
   }
 
-  /** A record that this node has read as open; the watch would report it a little later. */
+  /** Adds the job of a record that this node has read as open, before the watch reports the record. */
   observeOpenRecord(id: string, value: unknown): void {
     this.jobs.observeOpenRecord(id, value);
   }
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -33,7 +33,10 @@
 const CHECK_INTERVAL_MS = 400;
 /** Time between two checks from which on the process counts as paused. */
 const PROCESS_PAUSED_MS = 5000;
-/** Workers find a new leader by themselves within about a heartbeat interval; those that have not are probed then. */
+/**
+ * How long after the start of a leadership the unreconciled machines are contacted. Most workers find the new leader by
+ * themselves before that, within about a heartbeat interval.
+ */
 const LEADER_DISCOVERY_MS = 4000;
 /**
  * Heartbeat intervals after which a heartbeat is overdue. A worker that was answered shows our token with its next
@@ -70,7 +73,7 @@
 
 /**
  * Checks all machines at intervals. Functions in `workers/` decide by state and time, without I/O; one of them,
- * `mustAwaitLeaseExpiry`, records on the attempt when it first found it unwanted.
+ * `mustAwaitLeaseExpiry`, records on an attempt when the attempt was first found to be unwanted.
  */
 export class MachineMonitor {
   private lastCheckAt = -Infinity;
--- a/test/leader/harness.ts
+++ b/test/leader/harness.ts
@@ -16,7 +16,7 @@
 import { fakeCloud, fakeHost, FakeWorker, instantWrites, responseOf, settle, TERM } from './fakes.ts';
 
 /** Time for which a leader without a valid lease still answers heartbeats. */
-const GRACE_MS = 6000;
+const HEARTBEAT_GRACE_MS = 6000;
 const STEP_MS = 200;
 const STEPS_PER_SECOND = 5;
 
@@ -96,7 +96,7 @@
       }),
       writer: instantWrites,
       term: TERM,
-      heartbeatGraceMs: GRACE_MS,
+      heartbeatGraceMs: HEARTBEAT_GRACE_MS,
     });
   }
 
--- a/test/leader/leader.test.ts
+++ b/test/leader/leader.test.ts
@@ -126,7 +126,7 @@
   assert.deepEqual(harness.leader.onHeartbeat(heartbeat(2)), [stop], 'the job is not open any more');
 });
 
-test('an older attempt that a worker still reports does not stop a newer one', async () => {
+test('an older attempt that is still reported does not stop a newer one', async () => {
   // An exited member of an earlier gang run, which its worker still remembers, must not end the newer run.
   const harness = new LeaderHarness();
   const gang = jobOf('req-000001', { gang: true, tasks: 2 });
