--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -202,8 +202,8 @@
   }
 
   /**
-   * A worker gives up an image fetch with the last task that waits for it; from then on the image doesn't count as being
-   * fetched.
+   * A worker gives up an image fetch with the last task that waits for it; from then on the image doesn't count as
+   * being fetched.
    */
   private abandonFetch(machine: Machine, job: Job): void {
     const { image } = job.spec;
--- a/src/leader/context.ts
+++ b/src/leader/context.ts
@@ -35,7 +35,7 @@
   pause(ms: number): Promise<void>;
   /** A worker has seen a higher fencing token: another controller leads by now. */
   superseded(): void;
-  /** This node receives messages from hardly any worker; a controller that still hears from them should lead. */
+  /** This node receives messages from hardly any worker; a controller that still receives theirs should lead. */
   lostAllWorkers(): void;
   /** Milliseconds since this controller last received a heartbeat that no follower relayed. */
   directHeartbeatAgeMs(): number;
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -128,8 +128,8 @@
 
   /**
    * Adds the whole capacity of each machine as a further release, one mean run time of the waiting tasks after its
-   * last one, when the tasks that it takes next are expected to have ended. Jobs that can wait that long need no further
-   * machines.
+   * last one, when the tasks that it takes next are expected to have ended. Jobs that can wait that long need no
+   * further machines.
    */
   addProjectedReleases(machines: readonly MachineSnapshot[], groups: readonly TaskGroup[]): void {
     let taskCount = 0;
