--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -31,7 +31,7 @@
   readonly gangs = new Map<Job, Gang>();
   /** Attempts of a job that may be on their machine. */
   readonly liveAttempts = new Map<Job, Set<Attempt>>();
-  /** By the index of the team. */
+  /** What each team uses, by team index. */
   readonly usage: TeamUsage[];
   /** What earlier leaders stored is known: all open jobs, and all machines that may hold their tasks. */
   recovered = false;
@@ -94,8 +94,8 @@
   }
 
   /**
-   * The attempt is on no machine any more, for certain. Returns how many others hold its task, or -1 if the attempt
-   * wasn't tracked.
+   * The attempt is on no machine any more, for certain. Returns how many other attempts hold its task, or -1 if the
+   * attempt wasn't tracked.
    */
   release(attempt: Attempt): number {
     const { job } = attempt;
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Writes the terminal record in the place of the open one: one mutation, and one key that tells what a job is. The
-   * deletion of the completion bitmap goes with it if one transaction holds both, and else when there is nothing more urgent.
+   * Writes the terminal record in the place of the open one: one mutation, and one key that tells the state of a job.
+   * The completion bitmap is deleted in the same transaction if it holds both, and else once no write is more urgent.
    */
   private writeTerminalRecord(job: Job, outcome: JobOutcome): void {
     const { writer, host, settings } = this.deps;
@@ -62,21 +62,21 @@
     const record = { put: KEYS.open(job.id), value };
     const chunks = [...job.storedChunks].map((chunk) => ({ delete: KEYS.completions(job.id, chunk) }));
     // The transaction holds the mutation of the fence key besides.
-    const together = chunks.length + 1 < settings.settings.state.txn_ops;
+    const fitsOneTransaction = chunks.length + 1 < settings.settings.state.txn_ops;
     writer.enqueue(
       {
         kind: 'ready',
-        mutations: together ? [record, ...chunks] : [record],
+        mutations: fitsOneTransaction ? [record, ...chunks] : [record],
         done: () => {
           host.enqueue(() => {
             this.onTerminalDurable(job, outcome, value);
           });
         },
       },
-      // Users wait for both outcomes, and the completed tasks of other jobs can wait.
+      // Users wait for either outcome, while the completed tasks of other jobs can wait.
       'ends',
     );
-    if (together) return;
+    if (fitsOneTransaction) return;
     for (const chunk of chunks) {
       writer.enqueue({ kind: 'ready', mutations: [chunk], done: () => undefined }, 'background');
     }
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Writes completed tasks, at most once in `finish_batch_ms`, and only when the last ones are written: what a busy
-   * store can't take yet then shares a write. A job whose tasks are all done goes straight to its terminal state.
+   * Writes completed tasks, at most once in `finish_batch_ms`, and only while no write is queued: tasks that complete
+   * while the store is busy then share a write. A job whose tasks are all done goes straight to its terminal state.
    */
   flush(): void {
     const { writer, host } = this.deps;
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -1,3 +1,4 @@
+/** Runs scheduling rounds, and applies what they decide to the cluster. */
 import { required } from '../base/required.ts';
 import type { MachineProvisioner, IdleMachine } from '../fleet/machine-provisioner.ts';
 import type { Job } from '../jobs/job.ts';
@@ -22,29 +23,35 @@
 import type { SchedulingSnapshots } from './scheduling-snapshots.ts';
 
 const MAX_PREEMPTING_GROUPS = 8;
-/** Time for orders and reports around a stop or a start. */
-const SETTLE_S = 2;
-/** How long the room that is made for a gang is kept, besides the time that the stopped tasks save. */
-const RESERVATION_S = 6;
-/** Rounds take at most about this share of the time, however slow the processor is. */
-const MOST_SHARE = 0.3;
-const BUSY_SHARE = 0.1;
-const MOST_GAP_MS = 4000;
+/** Allowance in seconds for the commands and heartbeats around a stop or a start. */
+const COMMAND_LATENCY_S = 2;
+/** How long the reservation of a gang lasts beyond the time in which the preempted tasks save their checkpoints. */
+const RESERVATION_MARGIN_S = 6;
+/** Rounds take at most about this share of the time, also on a slow processor: long ones start at longer intervals. */
+const MAX_ROUND_TIME_RATIO = 0.3;
+/** The same while the event loop lags. */
+const MAX_ROUND_TIME_RATIO_BUSY = 0.1;
+/** Longest interval between the starts of two rounds that these ratios lead to. */
+const MAX_THROTTLED_INTERVAL_MS = 4000;
+/** A longer round delays heartbeats and new connections, so the rounds after it consider fewer groups. */
+const LONG_ROUND_MS = 800;
 /**
- * A round this long keeps reports and new connections waiting: the first ones of a new leader, whose code is cold,
- * once took two seconds each, while workers gave up one after the other. It begins with few groups.
+ * Limit on the groups of a leader's first round, and the lowest limit of any round. The code of a new leader is not
+ * compiled yet: without a low limit its first rounds take two seconds each, in which one worker after the other gives
+ * up waiting for an answer.
  */
-const LONG_MS = 800;
-const FIRST_GROUPS = 16;
+const MIN_GROUP_LIMIT = 16;
 
-/** Runs the flow rounds and carries out what they find. */
+/** Runs the scheduling rounds and applies their results: placements, provisioning, preemption and scale-in. */
 export class SchedulingRounds {
-  private lastStart = -Infinity;
-  private tookMs = 0;
-  private count = 0;
-  private mostGroups = FIRST_GROUPS;
+  private lastStartAt = -Infinity;
+  private lastDurationMs = 0;
+  private roundCount = 0;
+  private groupLimit = MIN_GROUP_LIMIT;
   private placingSince = Infinity;
-  /** Machines on which nothing but guests' work runs, and since when. */
+  /**
+   * Surplus machines that run only best-effort tasks which can be stopped, and since when, in ms on the steady clock.
+   */
   private readonly bestEffortOnlySince = new WeakMap<Machine, number>();
 
   constructor(
@@ -59,32 +66,37 @@
     return this.deps.host.clock.now();
   }
 
-  /** A round, if one is due. Without `place` it only rents. */
-  run(place: boolean): void {
+  /** Runs a round if one is due. Without `canPlace` it only provisions machines. */
+  run(canPlace: boolean): void {
     const start = this.now();
     const { scheduling } = this.deps.options;
     const busy = this.deps.host.lagMs() > BUSY_MS;
-    const restMs = Math.min(MOST_GAP_MS, this.tookMs / (busy ? BUSY_SHARE : MOST_SHARE));
-    const due = this.cluster.dirty ? Math.max(scheduling.round_gap_ms, restMs) : 1000 + restMs;
-    if (start - this.lastStart < due) return;
-    this.lastStart = start;
-    this.count += 1;
+    const throttledIntervalMs = Math.min(
+      MAX_THROTTLED_INTERVAL_MS,
+      this.lastDurationMs / (busy ? MAX_ROUND_TIME_RATIO_BUSY : MAX_ROUND_TIME_RATIO),
+    );
+    const intervalMs = this.cluster.dirty
+      ? Math.max(scheduling.round_gap_ms, throttledIntervalMs)
+      : 1000 + throttledIntervalMs;
+    if (start - this.lastStartAt < intervalMs) return;
+    this.lastStartAt = start;
+    this.roundCount += 1;
     this.cluster.dirty = false;
-    const groups = this.snapshots.groups();
-    const machines = this.snapshots.machineSnapshots();
+    const groups = this.snapshots.createTaskGroups();
+    const machines = this.snapshots.createMachineSnapshots();
     this.snapshots.markSurplus(machines, groups);
-    this.snapshots.addNextWave(machines, groups);
-    const teamRoom = this.snapshots.quotaHeadroom();
-    const result = this.solve(groups, machines, teamRoom, start + scheduling.round_limit_ms);
+    this.snapshots.addProjectedReleases(machines, groups);
+    const quotaHeadroom = this.snapshots.computeQuotaHeadroom();
+    const result = this.solve(groups, machines, quotaHeadroom, start + scheduling.round_limit_ms);
     this.provisioner.setDemand(result.demand);
     for (const [index, zone] of result.zones) {
       const job = this.cluster.jobsByIndex.get(index);
       if (job) job.zoneHint = zone;
     }
-    if (place) this.placingSince = Math.min(this.placingSince, start);
-    if (place) this.carryOut(groups, machines, teamRoom, result);
-    this.tookMs = this.now() - start;
-    this.learn(groups.length, result.leftOut);
+    if (canPlace) this.placingSince = Math.min(this.placingSince, start);
+    if (canPlace) this.applyResult(groups, machines, quotaHeadroom, result);
+    this.lastDurationMs = this.now() - start;
+    this.adaptGroupLimit(groups.length, result.leftOut);
     this.deps.host.log.debug(
       {
         groups: groups.length,
@@ -92,43 +104,44 @@
         placed: result.placements.length,
         unplaced: result.unplaced.size,
         awaiting: result.awaiting.size,
-        ms: Math.round(this.tookMs),
+        ms: Math.round(this.lastDurationMs),
       },
       'round',
     );
   }
 
-  /** Fits the number of groups to the time that rounds take. */
-  private learn(groups: number, leftOut: number): void {
-    if (this.tookMs > LONG_MS) this.mostGroups = Math.max(FIRST_GROUPS, Math.floor(groups * 0.6));
+  /** Adapts the number of groups in a round to the time that the last round took. */
+  private adaptGroupLimit(groupCount: number, leftOut: number): void {
+    if (this.lastDurationMs > LONG_ROUND_MS)
+      this.groupLimit = Math.max(MIN_GROUP_LIMIT, Math.floor(groupCount * 0.6));
     else
-      this.mostGroups = Math.min(this.deps.options.scheduling.max_groups, Math.ceil(this.mostGroups * 1.5));
-    // Who was left out waits for the next round, whether anything changes or not.
+      this.groupLimit = Math.min(this.deps.options.scheduling.max_groups, Math.ceil(this.groupLimit * 1.5));
+    // The next round considers the groups that were left out, even if nothing changes until then.
     if (leftOut > 0) this.cluster.dirty = true;
   }
 
   private solve(
     groups: TaskGroup[],
     machines: MachineSnapshot[],
-    teamRoom: readonly QuotaHeadroom[],
+    quotaHeadroom: readonly QuotaHeadroom[],
     deadline: number,
   ): RoundResult {
     const { scheduling } = this.deps.options;
     const { types } = this.deps.catalog;
     return runRound(
-      [...groups, ...this.snapshots.expectedGroups()],
+      [...groups, ...this.snapshots.createExpectedGroups()],
       machines,
       this.provisioner.rentable(this.cluster.unreachableZones),
-      // Expected tasks have no team yet.
-      [...teamRoom, { cpus: Infinity, gpus: Infinity }],
+      // The groups of expected tasks have a team index of their own, which has no limit.
+      [...quotaHeadroom, { cpus: Infinity, gpus: Infinity }],
       (type) => {
-        const t = types[type];
-        return t ? resourcesOf(t) : null;
+        const machineType = types[type];
+        return machineType ? resourcesOf(machineType) : null;
       },
       {
         reserveAfterMs: scheduling.reserve_after_s * 1000,
-        turn: this.count,
-        maxGroups: Math.min(scheduling.max_groups, this.mostGroups),
+        turn: this.roundCount,
+        maxGroups: Math.min(scheduling.max_groups, this.groupLimit),
         fetchSteps: scheduling.fetch_steps,
         priceSteps: scheduling.price_steps,
         rentSteps: scheduling.rent_steps,
@@ -140,77 +153,96 @@
     );
   }
 
-  private carryOut(
+  private applyResult(
     groups: readonly TaskGroup[],
     machines: readonly MachineSnapshot[],
-    teamRoom: QuotaHeadroom[],
+    quotaHeadroom: QuotaHeadroom[],
     result: RoundResult,
   ): void {
-    const byJob = new Map(groups.map((g) => [g.job, g]));
-    const viewOf = new Map(machines.map((m) => [m.machine, m]));
-    const victims = new PreemptionCandidates(this.snapshots);
-    const gangNumbers = new Map<number, number>();
-    for (const p of result.placements) {
-      const job = required(this.cluster.jobsByIndex.get(p.job), 'placed job');
-      const machine = required(this.cluster.machinesByIndex[p.machine], 'machine of a placement');
-      const view = required(viewOf.get(p.machine), 'snapshot of the machine');
-      const group = required(byJob.get(p.job), 'task group of the job');
-      if (this.preemptForCachedImage(job, group, view, machines, teamRoom, victims)) continue;
-      const headroom = required(teamRoom[group.team], 'quota headroom of the team');
-      for (let i = 0; i < p.count; i++) {
-        const number = (job.spec.gang ? gangNumbers.get(p.job) : undefined) ?? this.attempts.nextNumber();
-        gangNumbers.set(p.job, number);
-        if (!this.attempts.start(job, machine, number)) break;
-        // What is placed takes room in what the rest of this round sees.
-        allocate(view.free, group.need);
-        view.load += 1;
+    const groupByJob = new Map(groups.map((g) => [g.job, g]));
+    const snapshotByMachine = new Map(machines.map((m) => [m.machine, m]));
+    const candidates = new PreemptionCandidates(this.snapshots);
+    const attemptNumberByGang = new Map<number, number>();
+    for (const placement of result.placements) {
+      const job = required(this.cluster.jobsByIndex.get(placement.job), 'placed job');
+      const machine = required(this.cluster.machinesByIndex[placement.machine], 'machine of a placement');
+      const snapshot = required(snapshotByMachine.get(placement.machine), 'snapshot of the machine');
+      const group = required(groupByJob.get(placement.job), 'task group of the job');
+      if (this.preemptForCachedImage(job, group, snapshot, machines, quotaHeadroom, candidates)) continue;
+      const headroom = required(quotaHeadroom[group.team], 'quota headroom of the team');
+      for (let i = 0; i < placement.count; i++) {
+        const attemptNumber =
+          (job.spec.gang ? attemptNumberByGang.get(placement.job) : undefined) ?? this.attempts.nextNumber();
+        attemptNumberByGang.set(placement.job, attemptNumber);
+        if (!this.attempts.start(job, machine, attemptNumber)) break;
+        // The rest of this round must see these resources as allocated.
+        allocate(snapshot.free, group.need);
+        snapshot.load += 1;
         headroom.cpus -= group.need.cpus;
         headroom.gpus -= group.need.gpus;
       }
-      this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: p.count }, 'tasks placed');
+      this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: placement.count }, 'tasks placed');
     }
-    // Whoever was left out may need what is idle now: it was once returned, and rented anew a moment later.
+    // Groups that were left out may need the idle machines, which would be returned now and rented anew a moment later.
     if (result.leftOut === 0) {
-      this.provisioner.offerIdle(this.idleMachines(result.held));
+      this.provisioner.offerIdle(this.findIdleMachines(result.held));
       this.consolidate(machines, result);
     }
     if (result.unplaced.size + result.awaiting.size > 0) {
-      this.preempt(groups, result, machines, teamRoom, victims);
+      this.preempt(groups, result, machines, quotaHeadroom, candidates);
     }
   }
 
-  private idleMachines(held: ReadonlySet<number>): IdleMachine[] {
+  private findIdleMachines(heldMachines: ReadonlySet<number>): IdleMachine[] {
     const now = this.now();
-    const idle: IdleMachine[] = [];
-    // While a new leader may not place, machines are idle for no reason of theirs.
-    const from = this.placingSince;
-    for (const m of this.cluster.machines.values()) {
-      if (m.terminating || m.liveCount > 0 || !m.reconciled || held.has(m.index)) continue;
-      // Not given back on mere suspicion: it is idle only because nothing is placed on it.
-      if (machineHealth(m.failures, m.index, now) === 'quarantined') continue;
-      idle.push({ name: m.name, type: m.type, idleMs: now - Math.max(m.idleSince, from) });
+    const idleMachines: IdleMachine[] = [];
+    // Idle time counts from the first round that places: before it, machines are idle because the leader may not place.
+    const placingSince = this.placingSince;
+    for (const machine of this.cluster.machines.values()) {
+      if (
+        machine.terminating ||
+        machine.liveCount > 0 ||
+        !machine.reconciled ||
+        heldMachines.has(machine.index)
+      )
+        continue;
+      // A quarantined machine is idle only because nothing is placed on it, and suspicion alone is no reason to return
+      // it.
+      if (machineHealth(machine.failures, machine.index, now) === 'quarantined') continue;
+      idleMachines.push({
+        name: machine.name,
+        type: machine.type,
+        idleMs: now - Math.max(machine.idleSince, placingSince),
+      });
     }
-    return idle;
+    return idleMachines;
   }
 
-  /** Stops guests' work on machines beyond the present need that are too dear to be kept up for it. */
+  /**
+   * Stops the tasks of machines that have long been surplus, run only best-effort tasks and cost more than these are
+   * worth.
+   */
   private consolidate(machines: readonly MachineSnapshot[], result: RoundResult): void {
     const now = this.now();
-    const used = new Set(result.placements.map((p) => p.machine));
-    for (const view of machines) {
-      const m = this.cluster.machinesByIndex[view.machine];
-      if (!m) continue;
+    const machinesWithPlacements = new Set(result.placements.map((p) => p.machine));
+    for (const snapshot of machines) {
+      const machine = this.cluster.machinesByIndex[snapshot.machine];
+      if (!machine) continue;
       const needed =
-        !view.surplus || used.has(m.index) || result.held.has(m.index) || result.reserved.has(m.index);
-      const tasks = needed || !m.reconciled ? null : this.snapshots.idleTasks(m);
-      if (!tasks) {
-        this.bestEffortOnlySince.delete(m);
+        !snapshot.surplus ||
+        machinesWithPlacements.has(machine.index) ||
+        result.held.has(machine.index) ||
+        result.reserved.has(machine.index);
+      const idleTasks = needed || !machine.reconciled ? null : this.snapshots.findIdleTasks(machine);
+      if (!idleTasks) {
+        this.bestEffortOnlySince.delete(machine);
         continue;
       }
-      const since = this.bestEffortOnlySince.get(m) ?? now;
-      this.bestEffortOnlySince.set(m, since);
-      if (now - since < this.deps.options.fleet.idle_s * 1000 || worthKeeping(view.price, tasks)) continue;
-      for (const a of m.live()) this.stopGracefully(a, 'consolidation for scale-in');
+      const since = this.bestEffortOnlySince.get(machine) ?? now;
+      this.bestEffortOnlySince.set(machine, since);
+      if (now - since < this.deps.options.fleet.idle_s * 1000 || worthKeeping(snapshot.price, idleTasks))
+        continue;
+      for (const attempt of machine.live()) this.stopGracefully(attempt, 'consolidation for scale-in');
     }
   }
 
@@ -218,113 +250,130 @@
     groups: readonly TaskGroup[],
     result: RoundResult,
     machines: readonly MachineSnapshot[],
-    teamRoom: readonly QuotaHeadroom[],
-    victims: PreemptionCandidates,
+    quotaHeadroom: readonly QuotaHeadroom[],
+    candidates: PreemptionCandidates,
   ): void {
     if (!this.deps.options.scheduling.preempt) return;
-    const guaranteed = this.snapshots.guaranteedJobs();
-    const waitingOf = (g: TaskGroup): number =>
+    const guaranteed = this.snapshots.findGuaranteedJobs();
+    const countWaiting = (g: TaskGroup): number =>
       g.nominatedMachine >= 0 || g.probe
         ? 0
         : (result.unplaced.get(g.job) ?? 0) + (result.awaiting.get(g.job) ?? 0);
-    const pressing = groups.filter((g) => waitingOf(g) > 0).sort((a, b) => b.priority - a.priority);
-    // A swarm of waiting jobs must not make a round long: the others get their turn in the next.
-    for (const group of pressing.slice(0, MAX_PREEMPTING_GROUPS)) {
-      // With room on its way, a guarantee alone is no reason to stop others.
+    const waitingGroups = groups.filter((g) => countWaiting(g) > 0).sort((a, b) => b.priority - a.priority);
+    // Bounds the length of a round when many jobs wait; later rounds preempt for the others.
+    for (const group of waitingGroups.slice(0, MAX_PREEMPTING_GROUPS)) {
+      // If machines are booting for all waiting tasks of the group, its team's guarantee alone does not justify a
+      // preemption.
       const guaranteeAfterMs = result.unplaced.has(group.job)
         ? this.deps.options.scheduling.guarantee_after_s * 1000
         : Infinity;
-      let counted = new Set<number>();
-      const pick = (zone: number): Attempt[] | null => {
-        counted = new Set();
+      let targetMachines = new Set<number>();
+      const selectVictimsInZone = (zone: number): Attempt[] | null => {
+        targetMachines = new Set();
         return selectVictims(
           { ...group, zone },
-          waitingOf(group),
+          countWaiting(group),
           machines,
-          (index) => victims.on(index, guaranteed),
-          teamRoom,
+          (index) => candidates.onMachine(index, guaranteed),
+          quotaHeadroom,
           guaranteeAfterMs,
           result.reserved,
-          counted,
+          targetMachines,
         );
       };
-      // Room is made in the zone that the round has chosen: made elsewhere it came to nothing, and was made twice.
-      let chosen = pick(result.zones.get(group.job) ?? group.zone);
-      if (chosen?.length === 0 && result.zones.has(group.job)) {
-        chosen = pick(group.zone);
+      // Preempts in the zone that the round has chosen: capacity freed in another zone is not used by the job, and is
+      // freed a second time in the chosen one.
+      let victims = selectVictimsInZone(result.zones.get(group.job) ?? group.zone);
+      if (victims?.length === 0 && result.zones.has(group.job)) {
+        victims = selectVictimsInZone(group.zone);
         const job = this.cluster.jobsByIndex.get(group.job);
-        if (job && chosen?.[0]) job.zoneHint = chosen[0].machine.zone;
+        if (job && victims?.[0]) job.zoneHint = victims[0].machine.zone;
       }
       const job = this.cluster.jobsByIndex.get(group.job);
-      if (job && group.gang && (chosen === null || chosen.length > 0))
-        this.reserve(job, counted, chosen ?? []);
-      if (!chosen) continue;
-      const id = this.cluster.jobsByIndex.get(group.job)?.id ?? '?';
-      for (const a of chosen) this.stopGracefully(a, `preempted for ${id}`);
-      if (chosen.length > 0) victims.clear();
+      if (job && group.gang && (victims === null || victims.length > 0))
+        this.reserve(job, targetMachines, victims ?? []);
+      if (!victims) continue;
+      const jobId = this.cluster.jobsByIndex.get(group.job)?.id ?? '?';
+      for (const attempt of victims) this.stopGracefully(attempt, `preempted for ${jobId}`);
+      if (victims.length > 0) candidates.clear();
     }
   }
 
   /**
-   * What was stopped for a gang must not make room for others: small tasks took it before the last of its machines
-   * was free, and were stopped again in turn.
+   * Reserves the machines on which tasks are preempted for a gang. Otherwise small tasks of other jobs take the freed
+   * capacity before the last machine of the gang is free, and are preempted in turn.
    */
-  private reserve(job: Job, machines: ReadonlySet<number>, stopped: readonly Attempt[]): void {
-    const saveS = Math.max(0, ...stopped.map((a) => a.job?.spec.checkpointDurationS ?? 0));
-    const until = this.now() + (saveS + RESERVATION_S) * 1000;
-    const first = stopped[0];
-    if (first) job.reservation = { machines, zone: first.machine.zone, until };
+  private reserve(job: Job, machines: ReadonlySet<number>, victims: readonly Attempt[]): void {
+    const checkpointS = Math.max(0, ...victims.map((a) => a.job?.spec.checkpointDurationS ?? 0));
+    const until = this.now() + (checkpointS + RESERVATION_MARGIN_S) * 1000;
+    const firstVictim = victims[0];
+    if (firstVictim) job.reservation = { machines, zone: firstVictim.machine.zone, until };
     else if (job.reservation) job.reservation = { ...job.reservation, machines };
   }
 
   /**
-   * A single task that must start soon and would spend its time fetching: if tasks of lower rank that can save
-   * hold a machine with its image, they make room there. True if the task waits for that room.
+   * Preempts for a latency-sensitive job of one task that would miss its objective by fetching its image on the chosen
+   * machine: tasks of lower priority that can save a checkpoint in time are stopped on a machine that has the image
+   * cached. Returns true if the job is nominated for that machine and waits for it.
    */
   private preemptForCachedImage(
     job: Job,
     group: TaskGroup,
-    chosen: MachineSnapshot,
+    chosenMachine: MachineSnapshot,
     machines: readonly MachineSnapshot[],
-    teamRoom: readonly QuotaHeadroom[],
-    victims: PreemptionCandidates,
+    quotaHeadroom: readonly QuotaHeadroom[],
+    candidates: PreemptionCandidates,
   ): boolean {
     if (!group.latencySensitive || group.probe || job.spec.tasks !== 1 || group.nominatedMachine >= 0)
       return false;
     if (!this.deps.options.scheduling.preempt) return false;
     const fetchS = (m: MachineSnapshot): number => m.fetchS(group.image, group.imageGb);
-    const slackS = group.slackS - SETTLE_S;
-    if (fetchS(chosen) <= slackS) return false;
-    const warm = machines.filter((m) => m.bootsInS === 0 && m.load > 0 && fetchS(m) === 0);
-    const savable = (index: number): PreemptionCandidate<Attempt>[] =>
-      victims.on(index, NOBODY).filter((v) => {
-        const spec = v.item.job?.spec;
+    const slackS = group.slackS - COMMAND_LATENCY_S;
+    if (fetchS(chosenMachine) <= slackS) return false;
+    const machinesWithImage = machines.filter((m) => m.bootsInS === 0 && m.load > 0 && fetchS(m) === 0);
+    const findCheckpointable = (index: number): PreemptionCandidate<Attempt>[] =>
+      candidates.onMachine(index, NO_JOBS).filter((candidate) => {
+        const spec = candidate.item.job?.spec;
         return (
-          v.stopping ||
+          candidate.stopping ||
           (spec !== undefined && spec.checkpointIntervalS > 0 && spec.checkpointDurationS < slackS)
         );
       });
-    const picked = selectVictims(group, 1, warm, savable, teamRoom, Infinity, new Map());
-    const first = picked?.[0];
-    if (!picked || !first) return false;
-    let saveS = 0;
-    for (const a of picked) {
-      this.stopGracefully(a, `cached image needed by ${job.id}`);
-      saveS = Math.max(saveS, a.job?.spec.checkpointDurationS ?? 0);
+    const victims = selectVictims(
+      group,
+      1,
+      machinesWithImage,
+      findCheckpointable,
+      quotaHeadroom,
+      Infinity,
+      new Map(),
+    );
+    const firstVictim = victims?.[0];
+    if (!victims || !firstVictim) return false;
+    let checkpointS = 0;
+    for (const attempt of victims) {
+      this.stopGracefully(attempt, `cached image needed by ${job.id}`);
+      checkpointS = Math.max(checkpointS, attempt.job?.spec.checkpointDurationS ?? 0);
     }
-    victims.clear();
-    job.nominatedMachine = { machine: first.machine.index, until: this.now() + (saveS + SETTLE_S) * 1000 };
+    candidates.clear();
+    job.nominatedMachine = {
+      machine: firstVictim.machine.index,
+      until: this.now() + (checkpointS + COMMAND_LATENCY_S) * 1000,
+    };
     return true;
   }
 
-  /** Stops a task so that it can save; of a gang all tasks at the same time. */
-  stopGracefully(a: Attempt, reason: string): void {
-    const job = required(a.job, 'job of the attempt');
+  /** Stops a task with enough grace to save a checkpoint; all tasks of a gang are stopped at the same time. */
+  stopGracefully(attempt: Attempt, reason: string): void {
+    const job = required(attempt.job, 'job of the attempt');
     const graceS = job.spec.checkpointIntervalS > 0 ? job.spec.checkpointDurationS + 2 : 0;
     const gang = job.spec.gang ? this.cluster.gangs.get(job) : undefined;
-    this.deps.host.log.info({ job: job.id, task: a.task, machine: a.machine.name, reason }, 'task preempted');
+    this.deps.host.log.info(
+      { job: job.id, task: attempt.task, machine: attempt.machine.name, reason },
+      'task preempted',
+    );
     if (!gang) {
-      this.cluster.stop(a, graceS);
+      this.cluster.stop(attempt, graceS);
       return;
     }
     gang.ending = true;
@@ -332,30 +381,31 @@
   }
 }
 
-const NOBODY: ReadonlySet<Job> = new Set();
+const NO_JOBS: ReadonlySet<Job> = new Set();
 
-/** The tasks on machines as candidates to be stopped, looked up once a round and machine. */
+/** Caches the preemption candidates of machines, so that a round looks them up once per machine. */
 class PreemptionCandidates {
-  private readonly found = new Map<number, PreemptionCandidate<Attempt>[]>();
+  private readonly byMachine = new Map<number, PreemptionCandidate<Attempt>[]>();
   private guaranteed: ReadonlySet<Job> | null = null;
 
-  constructor(private readonly views: SchedulingSnapshots) {}
+  constructor(private readonly snapshots: SchedulingSnapshots) {}
 
-  on(machine: number, guaranteed: ReadonlySet<Job>): PreemptionCandidate<Attempt>[] {
+  /** The candidates on a machine. Another set of guaranteed jobs than that of the last call discards the cache. */
+  onMachine(machine: number, guaranteed: ReadonlySet<Job>): PreemptionCandidate<Attempt>[] {
     if (this.guaranteed !== guaranteed) {
-      this.found.clear();
+      this.byMachine.clear();
       this.guaranteed = guaranteed;
     }
-    let list = this.found.get(machine);
-    if (!list) {
-      list = this.views.preemptionCandidates(machine, guaranteed);
-      this.found.set(machine, list);
+    let candidates = this.byMachine.get(machine);
+    if (!candidates) {
+      candidates = this.snapshots.findPreemptionCandidates(machine, guaranteed);
+      this.byMachine.set(machine, candidates);
     }
-    return list;
+    return candidates;
   }
 
-  /** Tasks have been stopped since. */
+  /** Discards the cache, since tasks have been stopped. */
   clear(): void {
-    this.found.clear();
+    this.byMachine.clear();
   }
 }
