--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -221,8 +221,8 @@
   }
 
   /**
-   * Healthy once the catalog is loaded, since jobs can't be admitted without it. An outage that affects all controllers
-   * alike doesn't make this one unhealthy.
+   * Healthy while this controller isn't isolated and the catalog is loaded, without which jobs can't be admitted. An
+   * outage that affects all controllers alike doesn't make this one unhealthy.
    */
   private checkHealth(): Answer {
     if (!this.catalog.current) return failure(503, 'starting', 1);
--- a/src/controller/heartbeat-handler.ts
+++ b/src/controller/heartbeat-handler.ts
@@ -184,7 +184,8 @@
       this.logMalformed(decoded.reason);
       return failure(400, decoded.reason);
     }
-    // During the grace after the lease has expired, answers keep running tasks alive, but no new task starts.
+    // During the grace after the lease has expired, answers keep running tasks alive without starting new ones.
+    // After the grace, workers are redirected.
     if (this.deps.msSinceLeaseExpiry() > this.deps.heartbeatGraceMs) return redirect(null);
     const commands = leader.onHeartbeat(decoded.value);
     if (commands === null) return redirect(null);
--- a/src/controller/practice-messages.ts
+++ b/src/controller/practice-messages.ts
@@ -18,7 +18,7 @@
   };
 }
 
-/** The text of a heartbeat; in each, the tasks are one phase further than in the heartbeat of the previous sequence. */
+/** The text of heartbeat number `sequence`; each task is one phase further than in the previous heartbeat. */
 export function syntheticHeartbeat(sequence: number): string {
   const phase = PHASES[sequence % PHASES.length];
   const loaves = Array.from({ length: TASKS_PER_HEARTBEAT }, (_, task) => ({
--- a/src/peers/connectivity.ts
+++ b/src/peers/connectivity.ts
@@ -37,7 +37,10 @@
     return this.deps.clock.now() - lastAnsweredAt > ISOLATED_AFTER_MS;
   }
 
-  /** Probes both if the state service hasn't answered recently. To be called about once a second. */
+  /**
+   * Probes the state service and the other controllers if the state service hasn't answered recently. To be called
+   * about once a second.
+   */
   async check(): Promise<void> {
     if (this.isProbing || this.deps.clock.now() - this.deps.storeServedAt() <= PROBE_AFTER_MS) return;
     this.isProbing = true;
--- a/test/relay/worker-balancer.test.ts
+++ b/test/relay/worker-balancer.test.ts
@@ -4,7 +4,7 @@
 
 const HEARTBEAT_INTERVAL_MS = 5000;
 
-test('only workers beyond the capacity of the leader are redirected, evenly to the followers', () => {
+test('only workers beyond the capacity of the leader are redirected, balanced between the followers', () => {
   let now = 0;
   const capacity = workerCapacity({ heartbeatsPerCoreS: 2500, cores: 0.085, heartbeatIntervalS: 5 });
   assert.equal(capacity, 1062);
