--- a/src/controller/cluster-catalog.ts
+++ b/src/controller/cluster-catalog.ts
@@ -51,7 +51,7 @@
     const value = catalogValue(catalog);
     if (JSON.stringify(value).length > this.deps.maxValueBytes) return;
     const mutations = [{ put: KEYS.catalog, value }];
-    writer.enqueue({ kind: 'ready', mutations, done: () => undefined }, 'background');
+    writer.enqueue({ kind: 'ready', mutations, onCommitted: () => undefined }, 'background');
   }
 
   private readFromStore(): void {
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -85,7 +85,7 @@
     const teams = teamQuotas(context);
     const zones = new NameIndex(settings.settings.zones);
     const heartbeatGraceMs = heartbeatGrace(context);
-    const peerCalls = createPeerCalls(context, () => this.election.leader());
+    const peerCalls = createPeerCalls(context, () => this.election.leaderName());
     const leader = (): Leader | null => this.leader;
     this.connectivity = createConnectivity(context, store, peerCalls);
     this.election = createElection(context, store, peerCalls, {
@@ -175,7 +175,7 @@
 
   /** True while another controller is known to lead. */
   following(): boolean {
-    return !this.leader && this.election.leader() !== null;
+    return !this.leader && this.election.leaderName() !== null;
   }
 
   private get leader(): Leader | null {
--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -15,7 +15,7 @@
 } from '../leader/stored-state.ts';
 import type { Election } from '../leadership/election.ts';
 import type { Leadership } from '../leadership/leadership-state.ts';
-import { LEADER_WRITES, RateBudget } from '../store/budget.ts';
+import { LEADER_WRITE_SHARE, RateBudget } from '../store/budget.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import { LeaderWriter, type WriterHost } from '../store/leader-writer.ts';
@@ -95,7 +95,7 @@
   }
 
   private isCurrent(): boolean {
-    return !this.context.signal.aborted && this.parts.election.current() === this.leadership;
+    return !this.context.signal.aborted && this.parts.election.currentLeadership() === this.leadership;
   }
 
   private hasValidLease(): boolean {
@@ -141,7 +141,7 @@
         const read = await store.get(key, 'lease');
         return read.kind === 'ok' ? { kind: 'ok', value: read.value?.version ?? 0 } : read;
       },
-      lost: (reason) => {
+      onLeadershipLost: (reason) => {
         this.stepDown(reason);
       },
       pause,
@@ -151,7 +151,7 @@
       leaderVersion: this.leadership.version,
       fenceVersion,
       limits: { maxMutations: state.txn_ops, maxBytes: MAX_TRANSACTION_BYTES },
-      budget: new RateBudget(state.write_rps * LEADER_WRITES, now),
+      budget: new RateBudget(state.write_rps * LEADER_WRITE_SHARE, now),
       log,
       onError,
     });
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -9,11 +9,11 @@
 import { UserRequests } from '../jobs/user-requests.ts';
 import type { Leader } from '../leader/leader.ts';
 import { Election, type ElectionEvents } from '../leadership/election.ts';
-import { cancellationCanHold, heartbeatGraceMs } from '../leadership/heartbeat-grace.ts';
-import { leaseMs } from '../leadership/lease.ts';
+import { canMeetCancellationTime, computeHeartbeatGraceMs } from '../leadership/heartbeat-grace.ts';
+import { scaleLeaseTtlMs } from '../leadership/lease.ts';
 import { Connectivity } from '../peers/connectivity.ts';
-import { submissionBudget } from '../store/budget.ts';
-import { moreUrgent, type Urgency } from '../store/call-budget.ts';
+import { createSubmissionBudget } from '../store/budget.ts';
+import { isMoreUrgent, type Urgency } from '../store/call-budget.ts';
 import { KeyValueStore, type StoreResult } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Item } from '../wire/state.ts';
@@ -110,13 +110,13 @@
 export function heartbeatGrace({ settings, options, log }: ControllerContext): number {
   const { workers } = settings.settings;
   const times = { cancelS: workers.cancel_s, leaseS: workers.lease_s };
-  if (!cancellationCanHold(times)) {
+  if (!canMeetCancellationTime(times)) {
     log.warn(
       times,
       'cancel_s leaves less time than lease_s: tasks on unreachable machines outlive a cancellation',
     );
   }
-  return heartbeatGraceMs(options.leadership.grace_s, times);
+  return computeHeartbeatGraceMs(options.leadership.grace_s, times);
 }
 
 /** The election of this controller. Peer leases are used only where they cover all other controllers. */
@@ -136,7 +136,7 @@
     store,
     clock,
     random: () => platform.random(),
-    options: { ttlMs: leaseMs(lease_ms, limits.cores), renewMs: renew_ms },
+    options: { ttlMs: scaleLeaseTtlMs(lease_ms, limits.cores), renewMs: renew_ms },
     events,
     log,
     pause,
@@ -153,7 +153,7 @@
 ): Connectivity {
   return new Connectivity({
     clock,
-    storeServedAt: () => store.servedAt,
+    storeServedAt: () => store.lastServedAt,
     probeStore: () => store.get(KEYS.term, 'background'),
     probePeers: () => peerCalls.pingAny(),
   });
@@ -186,7 +186,7 @@
     now,
     after,
     read: (key, urgency) => store.get(key, urgency),
-    moreUrgent,
+    moreUrgent: isMoreUrgent,
   });
   return new UserRequests({
     clock,
@@ -197,7 +197,7 @@
         store.compareAndSwap(conditions, mutations, urgency, timeoutMs),
     },
     terminalStates,
-    submissions: submissionBudget(state.write_rps, nodes, now),
+    submissions: createSubmissionBudget(state.write_rps, nodes, now),
     teams,
     catalog: () => catalog.current,
     leader,
@@ -231,7 +231,7 @@
     after,
     onError,
     leader,
-    knownLeader: () => election.leader(),
+    knownLeader: () => election.leaderName(),
     msSinceLeaseExpiry: () => election.msSinceLeaseExpiry(),
     heartbeatGraceMs: graceMs,
     call: (peer, request, timeoutMs) => platform.peers.call(peer, request, timeoutMs),
--- a/src/jobs/archive.ts
+++ b/src/jobs/archive.ts
@@ -1,6 +1,6 @@
 /** The move of old terminal records out of the place of the open ones. */
 import { KEYS } from '../store/keys.ts';
-import type { Write } from '../store/write-queues.ts';
+import type { ReadyWrite } from '../store/write-queues.ts';
 
 /** Limits, and the way to the store. */
 export interface ArchiveDeps {
@@ -10,7 +10,7 @@
   txnOps: number;
   /** True while the store has nothing else to do. */
   idle(): boolean;
-  enqueueWrite(write: Write): void;
+  enqueueWrite(write: ReadyWrite): void;
   /** Puts a command in the queue of the single writer of the state. */
   enqueue(command: () => void): void;
 }
@@ -49,7 +49,7 @@
         { delete: KEYS.open(id) },
         { put: KEYS.archived(id), value },
       ]),
-      done: () => {
+      onCommitted: () => {
         this.deps.enqueue(() => {
           this.moving = false;
           for (const [id] of records) this.terminalRecords.delete(id);
--- a/src/jobs/start-watermarks.ts
+++ b/src/jobs/start-watermarks.ts
@@ -137,7 +137,7 @@
         page.onDurable = [];
         return { put: KEYS.startWatermarks(page.index), value: startWatermarksValue(page.entries) };
       },
-      done: () => {
+      onCommitted: () => {
         this.deps.enqueue(() => {
           for (const callback of callbacks) callback();
         });
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -67,7 +67,7 @@
       {
         kind: 'ready',
         mutations: together ? [record, ...chunks] : [record],
-        done: () => {
+        onCommitted: () => {
           host.enqueue(() => {
             this.onTerminalDurable(job, outcome, value);
           });
@@ -78,7 +78,7 @@
     );
     if (together) return;
     for (const chunk of chunks) {
-      writer.enqueue({ kind: 'ready', mutations: [chunk], done: () => undefined }, 'background');
+      writer.enqueue({ kind: 'ready', mutations: [chunk], onCommitted: () => undefined }, 'background');
     }
   }
 
@@ -127,7 +127,7 @@
       {
         kind: 'ready',
         mutations: [{ put: KEYS.completions(job.id, chunk), value: chunkValue(bits) }],
-        done: () => {
+        onCommitted: () => {
           this.deps.host.enqueue(() => {
             job.markChunkDurable(chunk, bits);
           });
--- a/src/leader/state-recovery.ts
+++ b/src/leader/state-recovery.ts
@@ -79,7 +79,7 @@
     const job = this.parts.cluster.jobs.get(id ?? '');
     if (!job) {
       this.deps.writer.enqueue(
-        { kind: 'ready', mutations: [{ delete: item.key }], done: () => undefined },
+        { kind: 'ready', mutations: [{ delete: item.key }], onCommitted: () => undefined },
         'background',
       );
       return;
--- a/src/leadership/candidacy.ts
+++ b/src/leadership/candidacy.ts
@@ -4,7 +4,7 @@
 import { putLeader, putTerm } from './leader-record.ts';
 import type { LeaderlessWrite, LeaderlessWrites } from './leaderless-write.ts';
 import type { Leadership, LeadershipState } from './leadership-state.ts';
-import { renewalValidUntil, type LeaseOptions } from './lease.ts';
+import { computeLeaseExpiry, type LeaseOptions } from './lease.ts';
 
 /** The longest a candidate waits because it has been up for long, before the random part. */
 const MAX_UPTIME_DELAY_MS = 120;
@@ -22,7 +22,7 @@
 const CAMPAIGN_RETRY_MS = 30;
 
 /** What candidacy needs from the rest of the election. */
-export interface CandidacyDependencies {
+export interface CandidacyDeps {
   node: string;
   nonce: string;
   store: Pick<KeyValueStore, 'grantLease' | 'revokeLease'>;
@@ -35,20 +35,20 @@
   writes: LeaderlessWrites;
   pause: (ms: number) => Promise<void>;
   /** This controller won a term, with a lease that is valid until then. */
-  won(leadership: Leadership, leaseValidUntil: number): void;
+  onAcquired(leadership: Leadership, leaseExpiresAt: number): void;
   /** Aborted once the election is stopped. */
   signal: AbortSignal;
 }
 
 /** One controller's candidacy for leader. */
 export class Candidacy {
-  constructor(private readonly deps: CandidacyDependencies) {}
+  constructor(private readonly deps: CandidacyDeps) {}
 
   /** The leader key was seen absent: makes one attempt to take it, or pauses while that is not allowed. */
   async contend(): Promise<void> {
     const { clock, startedAt, state, writes, random, pause } = this.deps;
-    if (!state.mayCampaign(clock.now())) return pause(SUSPENDED_PAUSE_MS);
-    if (!writes.mayTry()) return pause(WRITE_RETRY_MS);
+    if (!state.canCampaign(clock.now())) return pause(SUSPENDED_PAUSE_MS);
+    if (!writes.canAttempt()) return pause(WRITE_RETRY_MS);
     // When controllers are restarted one after the other, one that has just been is the safest choice.
     const uptimeS = (clock.now() - startedAt) / 1000;
     const uptimeDelayMs = Math.min(MAX_UPTIME_DELAY_MS, uptimeS * UPTIME_DELAY_MS_PER_S);
@@ -68,14 +68,14 @@
       write.abandon();
       return pause(LEASE_RETRY_MS);
     }
-    const changes = [putLeader({ node, term, nonce }, lease.value), putTerm(term)];
-    const result = await write.commit([], changes, 'lease');
+    const mutations = [putLeader({ node, term, nonce }, lease.value), putTerm(term)];
+    const result = await write.commit([], mutations, 'lease');
     // A controller that was stopped meanwhile must not lead: nobody would end that leadership.
     if (result.kind !== 'ok' || signal.aborted) {
       await store.revokeLease(lease.value);
       return pause(CAMPAIGN_RETRY_MS);
     }
     const leadership = { term, version: result.revision, lease: lease.value };
-    this.deps.won(leadership, renewalValidUntil(sentAt, options.ttlMs));
+    this.deps.onAcquired(leadership, computeLeaseExpiry(sentAt, options.ttlMs));
   }
 }
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -19,7 +19,7 @@
 import type { PeerLeaseRequest, RequestPeerLeases } from './peer-leases.ts';
 
 /** What the election needs of the key-value store. */
-export type LeaseStore = Pick<
+export type ElectionStore = Pick<
   KeyValueStore,
   'get' | 'compareAndSwap' | 'grantLease' | 'renewLease' | 'revokeLease' | 'watch'
 >;
@@ -33,12 +33,12 @@
 }
 
 /** What an election is made of. */
-export interface ElectionDependencies {
+export interface ElectionDeps {
   /** Name of this controller, unique in the deployment. */
   node: string;
   /** Unique to this process. */
   nonce: string;
-  store: LeaseStore;
+  store: ElectionStore;
   clock: Clock;
   /** Random numbers from 0 to below 1. */
   random: () => number;
@@ -61,7 +61,7 @@
   private readonly peerLeases: PeerLeaseExtension;
   private readonly stopping = new AbortController();
 
-  constructor(private readonly deps: ElectionDependencies) {
+  constructor(private readonly deps: ElectionDeps) {
     const { clock, store, log, requestPeerLeases } = deps;
     const { state } = this;
     const ledger = new PeerLeaseLedger(clock.now());
@@ -91,8 +91,8 @@
       writes,
       pause,
       signal,
-      won: (leadership, leaseValidUntil) => {
-        this.lead(leadership, leaseValidUntil);
+      onAcquired: (leadership, leaseValidUntil) => {
+        this.becomeLeader(leadership, leaseValidUntil);
       },
     });
     const contend = (): Promise<void> => candidacy.contend();
@@ -106,7 +106,7 @@
   }
 
   /** The leadership that this controller holds, whether or not its lease is valid. */
-  current(): Leadership | null {
+  currentLeadership(): Leadership | null {
     return this.state.leadership;
   }
 
@@ -121,7 +121,7 @@
   }
 
   /** Name of the controller that leads, as far as this one knows. */
-  leader(): string | null {
+  leaderName(): string | null {
     return this.state.isLeading() ? this.deps.node : this.state.knownLeader;
   }
 
@@ -138,20 +138,20 @@
     const { leadership } = this.state;
     // Only who has won a term asks for it.
     if (leadership && request.term > leadership.term) this.stepDown('a newer leader requested a peer lease');
-    if (!this.mayGrantPeerLease(request)) return false;
+    if (!this.canGrantPeerLease(request)) return false;
     const read = await this.records.readLeader('lease');
-    if (read.kind !== 'unavailable' || !this.mayGrantPeerLease(request)) return false;
+    if (read.kind !== 'unavailable' || !this.canGrantPeerLease(request)) return false;
     this.ledger.grant(request.ms, this.deps.clock.now());
     return true;
   }
 
-  private mayGrantPeerLease(request: PeerLeaseRequest): boolean {
-    return !this.state.isLeading() && this.ledger.mayGrant(request);
+  private canGrantPeerLease(request: PeerLeaseRequest): boolean {
+    return !this.state.isLeading() && this.ledger.canGrant(request);
   }
 
   /** Gives the leadership up, for instance because a higher fencing token was seen. */
   stepDown(reason: string): void {
-    const ended = this.state.leadershipEnded();
+    const ended = this.state.onLeadershipEnded();
     if (!ended) return;
     this.deps.log.info({ term: ended.term, reason }, 'leadership lost');
     this.deps.events.lost(reason);
@@ -160,18 +160,18 @@
 
   /** Gives the leadership up and leaves it to others for so many ms. */
   stepDownFor(ms: number, reason: string): void {
-    this.state.candidacySuspended(this.deps.clock.now() + ms);
+    this.state.onCandidacySuspended(this.deps.clock.now() + ms);
     this.stepDown(reason);
   }
 
-  private lead(leadership: Leadership, leaseValidUntil: number): void {
-    this.state.leadershipAcquired(leadership, leaseValidUntil);
+  private becomeLeader(leadership: Leadership, leaseExpiresAt: number): void {
+    this.state.onLeadershipAcquired(leadership, leaseExpiresAt);
     this.deps.log.info({ term: leadership.term }, 'leadership acquired');
-    this.runInBackground(this.renewalOf(leadership).run());
+    this.runInBackground(this.createLeaseRenewal(leadership).run());
     this.deps.events.acquired(leadership);
   }
 
-  private renewalOf(leadership: Leadership): LeaseRenewal {
+  private createLeaseRenewal(leadership: Leadership): LeaseRenewal {
     const { store, clock, options, pause } = this.deps;
     return new LeaseRenewal(leadership, {
       store,
@@ -180,7 +180,7 @@
       state: this.state,
       pause,
       signal: this.stopping.signal,
-      extendByPeers: (held) => this.peerLeases.extend(held),
+      extendByPeerLeases: (held) => this.peerLeases.extend(held),
       stepDown: (reason) => {
         this.stepDown(reason);
       },
--- a/src/leadership/heartbeat-grace.ts
+++ b/src/leadership/heartbeat-grace.ts
@@ -18,17 +18,17 @@
  * the worker's lease runs from there: grace + lease <= cancel, each by a clock that may be slow (docs/safety.md, "From
  * a confirmed cancellation to the last task gone").
  */
-export function heartbeatGraceMs(wantedS: number, times: CancellationTimes): number {
+export function computeHeartbeatGraceMs(configuredS: number, times: CancellationTimes): number {
   const availableS = times.cancelS / (1 + DRIFT) - times.leaseS;
-  return Math.max(0, Math.min(wantedS, availableS * GRACE_SHARE)) * 1000;
+  return Math.max(0, Math.min(configuredS, availableS * GRACE_SHARE)) * 1000;
 }
 
 /** The longest time from a confirmed cancellation until its last task is gone, in s. */
-export function cancellationBoundS(graceMs: number, times: CancellationTimes): number {
+export function computeCancellationBoundS(graceMs: number, times: CancellationTimes): number {
   return (graceMs / 1000 + times.leaseS) * (1 + DRIFT);
 }
 
 /** False: the settings give tasks less time after a cancellation than a worker that reaches nobody keeps them. */
-export function cancellationCanHold(times: CancellationTimes): boolean {
-  return cancellationBoundS(0, times) <= times.cancelS;
+export function canMeetCancellationTime(times: CancellationTimes): boolean {
+  return computeCancellationBoundS(0, times) <= times.cancelS;
 }
--- a/src/leadership/leader-record.ts
+++ b/src/leadership/leader-record.ts
@@ -77,14 +77,14 @@
   async readTerm(urgency: Urgency): Promise<TermRead> {
     const found = await this.store.get(KEYS.term, urgency);
     if (found.kind !== 'ok') return { kind: 'unavailable', failure: found };
-    if (found.value === null) return this.known(0, 0);
+    if (found.value === null) return this.toKnownTerm(0, 0);
     const decoded = termRecordSchema.safeParse(found.value.value);
-    if (decoded.success) return this.known(decoded.data.n, found.value.version);
+    if (decoded.success) return this.toKnownTerm(decoded.data.n, found.value.version);
     this.log.error('term record is malformed');
     return { kind: 'malformed' };
   }
 
-  private known(term: number, version: number): TermRead {
+  private toKnownTerm(term: number, version: number): TermRead {
     this.observer.observeTermRecord(term);
     return { kind: 'known', term, version };
   }
--- a/src/leadership/leader-watch.ts
+++ b/src/leadership/leader-watch.ts
@@ -6,7 +6,7 @@
 import type { LeadershipState } from './leadership-state.ts';
 
 /** A leader looks this often whether it still leads. */
-const LEADING_PAUSE_MS = 200;
+const LEADING_RECHECK_MS = 200;
 /** First and longest delay before the leader key is read again after the store failed to answer. */
 const MIN_RETRY_MS = 100;
 const MAX_RETRY_MS = 800;
@@ -16,11 +16,11 @@
 /** Pause after the lease of an earlier process was revoked. */
 const REVOKED_PAUSE_MS = 20;
 /** How long the store holds a watch open. */
-const WATCH_MS = 20_000;
+const MAX_WATCH_MS = 20_000;
 const WATCH_RETRY_MS = 150;
 
 /** What the watch of the leader key needs from the rest of the election. */
-export interface LeaderWatchDependencies {
+export interface LeaderWatchDeps {
   node: string;
   store: Pick<KeyValueStore, 'revokeLease' | 'watch'>;
   random: () => number;
@@ -42,7 +42,7 @@
   | { kind: 'revokeStaleLease'; term: number; lease: number | null }
   | { kind: 'follow'; leader: LeaderRecord; version: number };
 
-function nextAction(read: LeaderRead, node: string): NextAction {
+function chooseNextAction(read: LeaderRead, node: string): NextAction {
   switch (read.kind) {
     case 'unavailable':
       return { kind: 'retry' };
@@ -61,7 +61,7 @@
 
 /** The loop that watches the leader key, as long as the election runs. */
 export class LeaderWatch {
-  constructor(private readonly deps: LeaderWatchDependencies) {}
+  constructor(private readonly deps: LeaderWatchDeps) {}
 
   /** Ends once the signal is aborted and the step under way (a read, a watch, a pause or a candidacy) is over. */
   async run(): Promise<void> {
@@ -69,10 +69,10 @@
     let retryMs = MIN_RETRY_MS;
     while (!signal.aborted) {
       if (state.isLeading()) {
-        await pause(LEADING_PAUSE_MS);
+        await pause(LEADING_RECHECK_MS);
         continue;
       }
-      const action = nextAction(await records.readLeader('lease'), node);
+      const action = chooseNextAction(await records.readLeader('lease'), node);
       if (action.kind === 'retry') {
         await pause(this.withJitter(retryMs));
         retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
@@ -81,7 +81,7 @@
       retryMs = MIN_RETRY_MS;
       switch (action.kind) {
         case 'contend':
-          state.leaderAbsent();
+          state.onLeaderAbsent();
           await this.deps.contend();
           break;
         case 'reportMalformed':
@@ -94,19 +94,20 @@
           await pause(REVOKED_PAUSE_MS);
           break;
         case 'follow':
-          this.observe(action.leader);
+          this.recordLeader(action.leader);
           await this.awaitChange(action.version);
           break;
       }
     }
   }
 
-  private observe({ node, term }: LeaderRecord): void {
-    if (this.deps.state.leaderObserved(node)) this.deps.log.info({ leader: node, term }, 'following leader');
+  private recordLeader({ node, term }: LeaderRecord): void {
+    if (this.deps.state.onLeaderObserved(node))
+      this.deps.log.info({ leader: node, term }, 'following leader');
   }
 
   private async awaitChange(version: number): Promise<void> {
-    const watched = await this.deps.store.watch(KEYS.leader, version, WATCH_MS);
+    const watched = await this.deps.store.watch(KEYS.leader, version, MAX_WATCH_MS);
     if (watched.kind !== 'ok') await this.deps.pause(this.withJitter(WATCH_RETRY_MS));
   }
 
--- a/src/leadership/leaderless-write.ts
+++ b/src/leadership/leaderless-write.ts
@@ -16,7 +16,7 @@
   /** Sends the transaction, conditional on the absence of a leader and on the write's term, and ends the write. */
   commit(
     conditions: readonly Condition[],
-    changes: readonly Mutation[],
+    mutations: readonly Mutation[],
     urgency: Urgency,
   ): Promise<CompareAndSwapResult>;
   /** Ends the write without having sent anything. */
@@ -24,7 +24,7 @@
 }
 
 /** What leaderless writes need from the rest of the election. */
-export interface LeaderlessWritesDependencies {
+export interface LeaderlessWritesDeps {
   store: Pick<KeyValueStore, 'compareAndSwap'>;
   clock: Clock;
   ledger: PeerLeaseLedger;
@@ -35,13 +35,13 @@
 
 /** Begins leaderless writes, and notes in the ledger what became of them. */
 export class LeaderlessWrites {
-  constructor(private readonly deps: LeaderlessWritesDependencies) {}
+  constructor(private readonly deps: LeaderlessWritesDeps) {}
 
   /** False while an attempt would be pointless: a lease granted to a leader, or a recent start, forbids it. */
-  mayTry(): boolean {
+  canAttempt(): boolean {
     const { ledger, clock } = this.deps;
     const now = clock.now();
-    return ledger.mayBeginWrite(now) || ledger.needsTermRecord(now);
+    return ledger.canBeginWrite(now) || ledger.shouldReadTermRecord(now);
   }
 
   /**
@@ -51,7 +51,7 @@
    */
   async begin(urgency: Urgency): Promise<LeaderlessWrite | null> {
     const { ledger, records } = this.deps;
-    if (this.deps.isLeading() || !this.mayTry()) return null;
+    if (this.deps.isLeading() || !this.canAttempt()) return null;
     const read = await records.readTerm(urgency);
     if (read.kind !== 'known' || this.deps.isLeading()) return null;
     if (!ledger.beginWrite(this.deps.clock.now())) return null;
@@ -60,17 +60,17 @@
       ledger.endWrite(read.term, 'not_executed');
       return null;
     }
-    return this.begun(read.term, read.version);
+    return this.createWrite(read.term, read.version);
   }
 
-  private begun(term: number, termVersion: number): LeaderlessWrite {
+  private createWrite(term: number, termVersion: number): LeaderlessWrite {
     const { store, ledger } = this.deps;
     return {
       term,
-      commit: async (conditions, changes, urgency) => {
-        const guarded = [LEADER_ABSENT, termUnchanged(termVersion), ...conditions];
-        const result = await store.compareAndSwap(guarded, changes, urgency);
-        ledger.endWrite(term, outcomeOf(result));
+      commit: async (conditions, mutations, urgency) => {
+        const guardedConditions = [LEADER_ABSENT, termUnchanged(termVersion), ...conditions];
+        const result = await store.compareAndSwap(guardedConditions, mutations, urgency);
+        ledger.endWrite(term, toOutcome(result));
         return result;
       },
       abandon: () => {
@@ -80,7 +80,7 @@
   }
 }
 
-function outcomeOf(result: CompareAndSwapResult): LeaderlessWriteOutcome {
+function toOutcome(result: CompareAndSwapResult): LeaderlessWriteOutcome {
   if (result.kind === 'ok') return 'executed';
   return result.kind === 'unknown' ? 'unknown' : 'not_executed';
 }
--- a/src/leadership/leadership-state.ts
+++ b/src/leadership/leadership-state.ts
@@ -15,15 +15,15 @@
  * event. Times are milliseconds on the steady clock of this process.
  */
 export class LeadershipState {
-  private held: Leadership | null = null;
-  private leaseValidUntil = -Infinity;
+  private heldLeadership: Leadership | null = null;
+  private leaseExpiresAt = -Infinity;
   private readonly peerLeases = new HeldPeerLeases();
   private observedLeader: string | null = null;
-  private noCandidacyUntil = -Infinity;
+  private candidacySuspendedUntil = -Infinity;
 
   /** The leadership that is held; null: this controller doesn't lead. */
   get leadership(): Leadership | null {
-    return this.held;
+    return this.heldLeadership;
   }
 
   /** The other controller that was last seen to lead, if any. */
@@ -32,79 +32,79 @@
   }
 
   isLeading(): boolean {
-    return this.held !== null;
+    return this.heldLeadership !== null;
   }
 
   /** Whether that leadership has not ended meanwhile. */
   isHeld(leadership: Leadership): boolean {
-    return this.held === leadership;
+    return this.heldLeadership === leadership;
   }
 
   /** True while no other controller can hold the leader key. */
   hasValidLease(now: number): boolean {
-    return this.held !== null && now < this.validUntil();
+    return this.heldLeadership !== null && now < this.expiresAt();
   }
 
   /** Milliseconds since the lease expired; 0 while it is valid. */
   msSinceLeaseExpiry(now: number): number {
-    return Math.max(0, now - this.validUntil());
+    return Math.max(0, now - this.expiresAt());
   }
 
   /** False while this controller leaves the leadership to others. */
-  mayCampaign(now: number): boolean {
-    return now >= this.noCandidacyUntil;
+  canCampaign(now: number): boolean {
+    return now >= this.candidacySuspendedUntil;
   }
 
   /** This controller won a term, with a lease that is valid until then. */
-  leadershipAcquired(leadership: Leadership, leaseValidUntil: number): void {
-    this.held = leadership;
-    this.leaseValidUntil = leaseValidUntil;
+  onLeadershipAcquired(leadership: Leadership, leaseExpiresAt: number): void {
+    this.heldLeadership = leadership;
+    this.leaseExpiresAt = leaseExpiresAt;
   }
 
   /** The lease was renewed. Renewals overlap, so their answers may come out of order. */
-  leaseRenewed(validUntil: number): void {
-    this.leaseValidUntil = Math.max(this.leaseValidUntil, validUntil);
+  onLeaseRenewed(expiresAt: number): void {
+    this.leaseExpiresAt = Math.max(this.leaseExpiresAt, expiresAt);
   }
 
   /**
    * Peers answered a request for peer leases. Returns true if the own lease has expired and no peer leases outlasted
    * it before: the leadership is valid from now on only by these, if at all.
    */
-  peerLeasesAnswered(granted: readonly boolean[], validUntil: number, now: number): boolean {
-    const validBefore = this.peerLeases.validUntil;
-    this.peerLeases.extend(granted, validUntil);
-    return now >= this.leaseValidUntil && validBefore < this.leaseValidUntil;
+  onPeerLeasesAnswered(granted: readonly boolean[], expiresAt: number, now: number): boolean {
+    const previousExpiry = this.peerLeases.expiresAt;
+    this.peerLeases.extend(granted, expiresAt);
+    return now >= this.leaseExpiresAt && previousExpiry < this.leaseExpiresAt;
   }
 
   /** The leadership ends; returns the one that was held, if any. */
-  leadershipEnded(): Leadership | null {
-    const ended = this.held;
+  onLeadershipEnded(): Leadership | null {
+    const ended = this.heldLeadership;
     if (!ended) return null;
-    this.held = null;
+    this.heldLeadership = null;
     this.observedLeader = null;
-    this.leaseValidUntil = -Infinity;
+    this.leaseExpiresAt = -Infinity;
     this.peerLeases.clear();
     return ended;
   }
 
   /** The leadership is left to others until then. */
-  candidacySuspended(until: number): void {
-    this.noCandidacyUntil = until;
+  onCandidacySuspended(until: number): void {
+    this.candidacySuspendedUntil = until;
   }
 
   /** Another controller was seen to lead; returns false if that was known. */
-  leaderObserved(node: string): boolean {
+  onLeaderObserved(node: string): boolean {
     const isNew = this.observedLeader !== node;
     this.observedLeader = node;
     return isNew;
   }
 
   /** The leader key was seen absent. */
-  leaderAbsent(): void {
+  onLeaderAbsent(): void {
     this.observedLeader = null;
   }
 
-  private validUntil(): number {
-    return Math.max(this.leaseValidUntil, this.peerLeases.validUntil);
+  private expiresAt(): number {
+    return Math.max(this.leaseExpiresAt, this.peerLeases.expiresAt);
   }
 }
--- a/src/leadership/lease-renewal.ts
+++ b/src/leadership/lease-renewal.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../base/clock.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import type { Leadership, LeadershipState } from './leadership-state.ts';
-import { renewalValidUntil, type LeaseOptions } from './lease.ts';
+import { computeLeaseExpiry, type LeaseOptions } from './lease.ts';
 
 /** More renewals than this are never in flight at once. */
 const MAX_RENEWALS_IN_FLIGHT = 4;
@@ -11,14 +11,14 @@
 const MAX_RETRY_DELAY_MS = 500;
 
 /** What the renewal of a lease needs from the rest of the election. */
-export interface LeaseRenewalDependencies {
+export interface LeaseRenewalDeps {
   store: Pick<KeyValueStore, 'renewLease'>;
   clock: Clock;
   options: LeaseOptions;
   state: LeadershipState;
   pause: (ms: number) => Promise<void>;
   /** Asks the peers for leases that stand in for a renewal. */
-  extendByPeers(leadership: Leadership): Promise<void>;
+  extendByPeerLeases(leadership: Leadership): Promise<void>;
   stepDown(reason: string): void;
   /** Runs a task that nobody waits for; its failure is handled there. */
   runInBackground: (task: Promise<unknown>) => void;
@@ -28,13 +28,13 @@
 
 /** The renewal of the lease of one leadership, until that ends. */
 export class LeaseRenewal {
-  private inFlight = 0;
-  private failures = 0;
+  private renewalsInFlight = 0;
+  private consecutiveFailures = 0;
   private requestingPeerLeases = false;
 
   constructor(
     private readonly leadership: Leadership,
-    private readonly deps: LeaseRenewalDependencies,
+    private readonly deps: LeaseRenewalDeps,
   ) {}
 
   /**
@@ -44,21 +44,21 @@
   async run(): Promise<void> {
     const { state, signal, pause, runInBackground } = this.deps;
     while (state.isHeld(this.leadership) && !signal.aborted) {
-      await pause(this.delayMs());
+      await pause(this.nextDelayMs());
       if (!state.isHeld(this.leadership)) return;
-      if (this.inFlight >= MAX_RENEWALS_IN_FLIGHT) continue;
-      this.inFlight += 1;
+      if (this.renewalsInFlight >= MAX_RENEWALS_IN_FLIGHT) continue;
+      this.renewalsInFlight += 1;
       runInBackground(
         this.renew().finally(() => {
-          this.inFlight -= 1;
+          this.renewalsInFlight -= 1;
         }),
       );
     }
   }
 
-  private delayMs(): number {
-    if (this.failures === 0) return this.deps.options.renewMs;
-    return Math.min(MAX_RETRY_DELAY_MS, RETRY_STEP_MS * this.failures);
+  private nextDelayMs(): number {
+    if (this.consecutiveFailures === 0) return this.deps.options.renewMs;
+    return Math.min(MAX_RETRY_DELAY_MS, RETRY_STEP_MS * this.consecutiveFailures);
   }
 
   private async renew(): Promise<void> {
@@ -67,15 +67,15 @@
     const renewed = await store.renewLease(this.leadership.lease, options.ttlMs / 2);
     if (!state.isHeld(this.leadership)) return;
     if (renewed.kind === 'ok') {
-      this.failures = 0;
-      if (renewed.value) state.leaseRenewed(renewalValidUntil(sentAt, options.ttlMs));
+      this.consecutiveFailures = 0;
+      if (renewed.value) state.onLeaseRenewed(computeLeaseExpiry(sentAt, options.ttlMs));
       else this.deps.stepDown('lease expired');
       return;
     }
-    this.failures += 1;
+    this.consecutiveFailures += 1;
     if (this.requestingPeerLeases) return;
     this.requestingPeerLeases = true;
-    await this.deps.extendByPeers(this.leadership);
+    await this.deps.extendByPeerLeases(this.leadership);
     this.requestingPeerLeases = false;
   }
 }
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -23,15 +23,15 @@
  * The time to live of the lease, in ms, on controllers with such a share of a core; it must be the same on all of
  * them.
  */
-export function leaseMs(wantedMs: number, cores: number): number {
+export function scaleLeaseTtlMs(configuredTtlMs: number, cores: number): number {
   const factor = cores > 0 ? FULL_SPEED_CORES / cores : 1;
-  return Math.round(wantedMs * Math.min(MAX_LEASE_FACTOR, Math.max(1, factor)));
+  return Math.round(configuredTtlMs * Math.min(MAX_LEASE_FACTOR, Math.max(1, factor)));
 }
 
 /**
  * Until when the holder of a lease may count on a renewal. It counts from the moment the renewal was sent, since the
  * store can only have carried it out later, and ends early rather than late.
  */
-export function renewalValidUntil(sentAt: number, ttlMs: number): number {
+export function computeLeaseExpiry(sentAt: number, ttlMs: number): number {
   return sentAt + ttlMs * (1 - DRIFT) - SAFETY_MARGIN_MS;
 }
--- a/src/leadership/peer-lease-extension.ts
+++ b/src/leadership/peer-lease-extension.ts
@@ -3,10 +3,10 @@
 import type { Logger } from '../base/log.ts';
 import type { Leadership, LeadershipState } from './leadership-state.ts';
 import type { PeerLeaseLedger } from './peer-lease-ledger.ts';
-import { PEER_LEASE_MS, validUntil, type RequestPeerLeases } from './peer-leases.ts';
+import { MAX_PEER_LEASE_MS, computePeerLeaseExpiry, type RequestPeerLeases } from './peer-leases.ts';
 
 /** What the extension of a leadership by peer leases needs from the rest of the election. */
-export interface PeerLeaseExtensionDependencies {
+export interface PeerLeaseExtensionDeps {
   clock: Clock;
   log: Logger;
   state: LeadershipState;
@@ -18,7 +18,7 @@
 
 /** Extends leaderships by peer leases. */
 export class PeerLeaseExtension {
-  constructor(private readonly deps: PeerLeaseExtensionDependencies) {}
+  constructor(private readonly deps: PeerLeaseExtensionDeps) {}
 
   /**
    * Asks all peers once. A leadership whose lease is still valid when they have answered goes on without a gap; after
@@ -30,12 +30,12 @@
     const { term } = leadership;
     const requestedAt = clock.now();
     const continuous = this.deps.hasValidLease();
-    const granted = await requestPeerLeases({ term, ms: PEER_LEASE_MS, continuous });
+    const granted = await requestPeerLeases({ term, ms: MAX_PEER_LEASE_MS, continuous });
     if (!state.isHeld(leadership) || !ledger.hasNoWriteIn(term)) return;
     if (continuous && !this.deps.hasValidLease()) return;
-    const until = validUntil(requestedAt, PEER_LEASE_MS);
-    const restsOnPeers = state.peerLeasesAnswered(granted, until, clock.now());
-    if (restsOnPeers && this.deps.hasValidLease()) {
+    const expiresAt = computePeerLeaseExpiry(requestedAt, MAX_PEER_LEASE_MS);
+    const restsOnPeerLeases = state.onPeerLeasesAnswered(granted, expiresAt, clock.now());
+    if (restsOnPeerLeases && this.deps.hasValidLease()) {
       this.deps.log.info({ term, continuous }, 'leadership extended by peer leases');
     }
   }
--- a/src/leadership/peer-lease-ledger.ts
+++ b/src/leadership/peer-lease-ledger.ts
@@ -1,5 +1,5 @@
 /** What this controller granted to leaders and wrote without one: the two exclude each other. */
-import { grantedUntil, PEER_LEASE_MS, type PeerLeaseRequest } from './peer-leases.ts';
+import { computeAbstentionEnd, MAX_PEER_LEASE_MS, type PeerLeaseRequest } from './peer-leases.ts';
 
 /**
  * What became of a leaderless write. `unknown`: its transaction had no answer; it may have been carried out, or may
@@ -14,7 +14,7 @@
  * leases in an outage", has the rules.
  */
 export class PeerLeaseLedger {
-  private grantedUntil = -Infinity;
+  private grantAbstentionUntil = -Infinity;
   private startupAbstentionUntil: number;
   private termRecordRead = false;
   private writesInFlight = 0;
@@ -25,7 +25,7 @@
 
   /** A process knows of no lease that an earlier one granted under its name, so it abstains for the longest one. */
   constructor(startedAt: number) {
-    this.startupAbstentionUntil = grantedUntil(startedAt, PEER_LEASE_MS);
+    this.startupAbstentionUntil = computeAbstentionEnd(startedAt, MAX_PEER_LEASE_MS);
   }
 
   /** The leader key was read while it held this term. */
@@ -40,18 +40,18 @@
   }
 
   /** Whether a leaderless write may begin. */
-  mayBeginWrite(now: number): boolean {
-    return now >= this.grantedUntil && now >= this.startupAbstentionUntil;
+  canBeginWrite(now: number): boolean {
+    return now >= this.grantAbstentionUntil && now >= this.startupAbstentionUntil;
   }
 
   /** True if the term record in the store could allow a write that otherwise has to wait. */
-  needsTermRecord(now: number): boolean {
-    return !this.termRecordRead && now >= this.grantedUntil;
+  shouldReadTermRecord(now: number): boolean {
+    return !this.termRecordRead && now >= this.grantAbstentionUntil;
   }
 
   /** Begins a leaderless write; false: not now. Until it ends no lease is granted. */
   beginWrite(now: number): boolean {
-    if (!this.mayBeginWrite(now)) return false;
+    if (!this.canBeginWrite(now)) return false;
     this.writesInFlight += 1;
     return true;
   }
@@ -71,14 +71,14 @@
    * Whether a leader of that term may be granted a lease. One that asks after a gap needs more: this process must
    * have read its term in the leader key, so that nothing its own earlier processes sent in that term can be left.
    */
-  mayGrant(request: PeerLeaseRequest): boolean {
-    if (request.ms > PEER_LEASE_MS || request.term < this.highestLeaderTerm) return false;
+  canGrant(request: PeerLeaseRequest): boolean {
+    if (request.ms > MAX_PEER_LEASE_MS || request.term < this.highestLeaderTerm) return false;
     if (!this.hasNoWriteIn(request.term)) return false;
     return request.continuous || this.highestLeaderTerm === request.term;
   }
 
   /** Grants a lease of so many ms. */
-  grant(ms: number, now: number): void {
-    this.grantedUntil = Math.max(this.grantedUntil, grantedUntil(now, ms));
+  grant(ttlMs: number, now: number): void {
+    this.grantAbstentionUntil = Math.max(this.grantAbstentionUntil, computeAbstentionEnd(now, ttlMs));
   }
 }
--- a/src/leadership/peer-leases.ts
+++ b/src/leadership/peer-leases.ts
@@ -17,7 +17,7 @@
  * back and asked again before the lease that its earlier process granted ends; short enough that whoever granted one
  * is free about when the lease of a leader that died in the outage has expired.
  */
-export const PEER_LEASE_MS = 5000;
+export const MAX_PEER_LEASE_MS = 5000;
 
 /** Kept beside the drift of the clocks, in ms. */
 const SAFETY_MARGIN_MS = 20;
@@ -36,39 +36,39 @@
 export type RequestPeerLeases = (request: PeerLeaseRequest) => Promise<readonly boolean[]>;
 
 /** Until when the controller that granted a lease abstains, on its own clock: late rather than early. */
-export function grantedUntil(grantedAt: number, ms: number): number {
-  return grantedAt + ms * (1 + DRIFT) + SAFETY_MARGIN_MS;
+export function computeAbstentionEnd(grantedAt: number, ttlMs: number): number {
+  return grantedAt + ttlMs * (1 + DRIFT) + SAFETY_MARGIN_MS;
 }
 
 /** Until when the leader may count on it, on its own clock from when it asked: early rather than late. */
-export function validUntil(requestedAt: number, ms: number): number {
-  return requestedAt + ms * (1 - DRIFT) - SAFETY_MARGIN_MS;
+export function computePeerLeaseExpiry(requestedAt: number, ttlMs: number): number {
+  return requestedAt + ttlMs * (1 - DRIFT) - SAFETY_MARGIN_MS;
 }
 
 /** The peer leases that a leader holds. They count only together: until the first of them ends. */
 export class HeldPeerLeases {
-  private endOfEach: readonly number[] = [];
-  private endOfFirst = -Infinity;
+  private expiryByPeer: readonly number[] = [];
+  private earliestExpiry = -Infinity;
 
   /** Until when all of them are valid; -Infinity if one was never granted. */
-  get validUntil(): number {
-    return this.endOfFirst;
+  get expiresAt(): number {
+    return this.earliestExpiry;
   }
 
   /**
    * Takes the answers of one request in; a peer that refused leaves what it granted before as it is. The leader itself
    * begins no leaderless write while it leads, so it counts like one more peer that always grants.
    */
-  extend(granted: readonly boolean[], until: number): void {
-    this.endOfEach = granted.map((isGranted, peer) =>
-      isGranted ? until : (this.endOfEach[peer] ?? -Infinity),
+  extend(granted: readonly boolean[], expiresAt: number): void {
+    this.expiryByPeer = granted.map((isGranted, peer) =>
+      isGranted ? expiresAt : (this.expiryByPeer[peer] ?? -Infinity),
     );
-    this.endOfFirst = Math.min(until, ...this.endOfEach);
+    this.earliestExpiry = Math.min(expiresAt, ...this.expiryByPeer);
   }
 
   /** Gives all of them up. */
   clear(): void {
-    this.endOfEach = [];
-    this.endOfFirst = -Infinity;
+    this.expiryByPeer = [];
+    this.earliestExpiry = -Infinity;
   }
 }
--- a/src/store/budget.ts
+++ b/src/store/budget.ts
@@ -4,9 +4,9 @@
  * The leader's part of the mutations that the key-value store accepts per second. The rest is for submissions, which
  * every node writes by itself: they never use up what terminal states and start watermarks need.
  */
-export const LEADER_WRITES = 0.6;
+export const LEADER_WRITE_SHARE = 0.6;
 /** Sum of all nodes' shares of the submissions, as a multiple of their part: few nodes have all users. */
-const SUBMISSION_OVERCOMMIT = 1.5;
+const SUBMISSION_OVERCOMMIT_FACTOR = 1.5;
 /** Submissions come in bursts: so many seconds' worth of a node's share may be used at once. */
 const SUBMISSION_BURST_S = 3;
 
@@ -14,9 +14,13 @@
  * The new jobs that one node may write: its share of the mutations that the leader leaves.
  * `writesPerSecond`: the limit of the service for all nodes together; `now`: steady milliseconds.
  */
-export function submissionBudget(writesPerSecond: number, nodes: number, now: () => number): RateBudget {
-  const shares = Math.min(nodes, SUBMISSION_OVERCOMMIT);
-  const perSecond = (writesPerSecond * (1 - LEADER_WRITES) * shares) / nodes;
+export function createSubmissionBudget(
+  writesPerSecond: number,
+  controllerCount: number,
+  now: () => number,
+): RateBudget {
+  const overcommitFactor = Math.min(controllerCount, SUBMISSION_OVERCOMMIT_FACTOR);
+  const perSecond = (writesPerSecond * (1 - LEADER_WRITE_SHARE) * overcommitFactor) / controllerCount;
   return new RateBudget(perSecond, now, Math.max(1, perSecond * SUBMISSION_BURST_S));
 }
 
--- a/src/store/call-budget.ts
+++ b/src/store/call-budget.ts
@@ -21,9 +21,9 @@
 /** Polls stop for this long after the service itself has refused a call for its rate. */
 const POLL_PAUSE_MS = 1000;
 /** Sum of all nodes' shares, as a multiple of the service's limit: they are seldom busy at the same time. */
-const OVERCOMMIT = 1.5;
+const OVERCOMMIT_FACTOR = 1.5;
 /** Largest share of the service's limit for one node, however few nodes there are. */
-const MAX_SHARE = 0.5;
+const MAX_CONTROLLER_SHARE = 0.5;
 
 /** The limit of the key-value store that all nodes share. */
 export interface StoreLimits {
@@ -34,7 +34,7 @@
 }
 
 /** True if calls of the first urgency may use permits that are withheld from the second. */
-export function moreUrgent(first: Urgency, second: Urgency): boolean {
+export function isMoreUrgent(first: Urgency, second: Urgency): boolean {
   return RESERVED_SHARE[first] < RESERVED_SHARE[second];
 }
 
@@ -43,7 +43,7 @@
   private readonly callsPerSecond: number;
   private readonly calls: RateBudget;
   private readonly polls: RateBudget;
-  private noPollsUntil = -Infinity;
+  private pollsPausedUntil = -Infinity;
 
   constructor(
     limits: StoreLimits,
@@ -51,23 +51,23 @@
     private readonly now: () => number,
   ) {
     // The limit is shared by all nodes and a burst at one must not starve the leader's lease.
-    this.callsPerSecond = limits.rps * Math.min(MAX_SHARE, OVERCOMMIT / limits.nodes);
+    this.callsPerSecond = limits.rps * Math.min(MAX_CONTROLLER_SHARE, OVERCOMMIT_FACTOR / limits.nodes);
     this.calls = new RateBudget(this.callsPerSecond, now);
     this.polls = new RateBudget(Math.max(1, (limits.rps * POLL_SHARE) / limits.nodes), now);
   }
 
   /** Takes the permit for one call; false if it must not be sent now. */
   take(urgency: Urgency): boolean {
-    if (urgency === 'poll' && !this.takePoll()) return false;
+    if (urgency === 'poll' && !this.takePollPermit()) return false;
     return this.calls.take(1, this.callsPerSecond * RESERVED_SHARE[urgency]);
   }
 
   /** The service has refused a call for its rate (429): polls leave its capacity to others for a while. */
   onRateLimited(): void {
-    this.noPollsUntil = this.now() + POLL_PAUSE_MS;
+    this.pollsPausedUntil = this.now() + POLL_PAUSE_MS;
   }
 
-  private takePoll(): boolean {
-    return this.now() >= this.noPollsUntil && this.polls.take();
+  private takePollPermit(): boolean {
+    return this.now() >= this.pollsPausedUntil && this.polls.take();
   }
 }
--- a/src/store/fenced-transactions.ts
+++ b/src/store/fenced-transactions.ts
@@ -56,7 +56,7 @@
 class RetrySchedule {
   timeoutMs = MIN_TIMEOUT_MS;
   private backoffMs = MIN_BACKOFF_MS;
-  private retriedAtOnce = false;
+  private retriedImmediately = false;
 
   /** No response came in time. */
   extendTimeout(): void {
@@ -72,8 +72,8 @@
 
   /** True the first time: a transaction that is known not to be committed is retried once without a pause. */
   takeImmediateRetry(): boolean {
-    if (this.retriedAtOnce) return false;
-    this.retriedAtOnce = true;
+    if (this.retriedImmediately) return false;
+    this.retriedImmediately = true;
     return true;
   }
 }
@@ -102,7 +102,7 @@
 
   /** Retries until the mutations are durable (true), or until the signal is aborted or the leadership lost (false). */
   async commit(mutations: readonly Mutation[]): Promise<boolean> {
-    const transaction = this.fenced(mutations);
+    const transaction = this.withFence(mutations);
     const schedule = new RetrySchedule();
     let inDoubt = false;
     while (!this.isAborted()) {
@@ -110,15 +110,15 @@
       if (waitMs > 0) await this.host.pause(waitMs);
       const result = await this.send(transaction, schedule.timeoutMs);
       if (this.isAborted()) return false;
-      if (result.kind === 'ok') return this.committedAt(result.revision);
-      if (result.kind === 'no_lease') return this.leadershipLost('lease expired');
+      if (result.kind === 'ok') return this.recordCommit(result.revision);
+      if (result.kind === 'no_lease') return this.reportLeadershipLost('lease expired');
       if (result.kind === 'conflict') {
         if (result.failed.includes(KEYS.leader) || !inDoubt) {
-          return this.leadershipLost('a transaction conflicts with another leader');
+          return this.reportLeadershipLost('a transaction conflicts with another leader');
         }
         // The leader key still stood, so only an earlier copy of this transaction can have changed the fence key.
         const fence = await this.host.readVersion(KEYS.fence);
-        if (fence.kind === 'ok') return this.committedAt(fence.value);
+        if (fence.kind === 'ok') return this.recordCommit(fence.value);
       }
       if (result.kind === 'unknown') {
         inDoubt = true;
@@ -126,7 +126,7 @@
         const resolution = await this.resolveInDoubt();
         this.logResolution(resolution);
         if (resolution === 'committed') return true;
-        if (resolution === 'superseded') return this.leadershipLost('another leader was observed');
+        if (resolution === 'superseded') return this.reportLeadershipLost('another leader was observed');
         if (resolution === 'notCommitted' && schedule.takeImmediateRetry()) continue;
       }
       await this.backOff(result.kind, schedule.nextBackoffMs());
@@ -134,7 +134,7 @@
     return false;
   }
 
-  private fenced(mutations: readonly Mutation[]): Transaction {
+  private withFence(mutations: readonly Mutation[]): Transaction {
     return {
       conditions: [
         { key: KEYS.leader, version: this.deps.leaderVersion },
@@ -145,7 +145,7 @@
   }
 
   private send({ conditions, mutations }: Transaction, timeoutMs: number): Promise<CompareAndSwapResult> {
-    this.pacer.takeForSend(mutations.length);
+    this.pacer.takeSendPermits(mutations.length);
     return this.host.compareAndSwap(conditions, mutations, timeoutMs);
   }
 
@@ -175,12 +175,12 @@
     this.deps.log.info({ resolution }, 'store: in-doubt transaction resolved by read-back');
   }
 
-  private committedAt(fenceVersion: number): true {
+  private recordCommit(fenceVersion: number): true {
     this.fenceVersion = fenceVersion;
     return true;
   }
 
-  private leadershipLost(reason: string): false {
+  private reportLeadershipLost(reason: string): false {
     this.deps.onLeadershipLost(reason);
     return false;
   }
--- a/src/store/key-value-store.ts
+++ b/src/store/key-value-store.ts
@@ -61,7 +61,7 @@
 /** Items of one page of a list. */
 const PAGE_SIZE = 500;
 /** Length to which the text of a rejected transaction is cut in the log. */
-const LOGGED_BODY_LENGTH = 200;
+const MAX_LOGGED_BODY_LENGTH = 200;
 
 const CONNECTIONS = 16;
 const WATCH_CONNECTIONS = 4;
@@ -78,7 +78,7 @@
    * When the service last served this node, in milliseconds of the injected clock: with a response that is neither a
    * rate limit nor an outage's.
    */
-  servedAt: number;
+  lastServedAt: number;
 
   constructor(
     /** Makes a client of the service with so many connections. */
@@ -88,7 +88,7 @@
     private readonly now: () => number,
     private readonly log: Logger,
   ) {
-    this.servedAt = now();
+    this.lastServedAt = now();
     this.http = connect(CONNECTIONS);
     this.watchHttp = connect(WATCH_CONNECTIONS);
     this.leaseHttp = connect(LEASE_CONNECTIONS);
@@ -157,7 +157,7 @@
     }
     if (result.kind === 'answer' && result.status === 400) {
       if (wire.isNoLease(result.body)) return { kind: 'no_lease' };
-      const body = result.body.slice(0, LOGGED_BODY_LENGTH);
+      const body = result.body.slice(0, MAX_LOGGED_BODY_LENGTH);
       this.log.error({ body }, 'store: transaction rejected as malformed');
     }
     const written = this.toStoreResult(result, wire.decodeRevision);
@@ -228,7 +228,7 @@
     const result = await http.send(request.method, request.path, request.body, request.timeoutMs);
     if (result.kind !== 'answer') return result;
     if (result.status === 429) this.budget.onRateLimited();
-    else if (result.status < 500) this.servedAt = this.now();
+    else if (result.status < 500) this.lastServedAt = this.now();
     return result;
   }
 
--- a/src/store/leader-writer.ts
+++ b/src/store/leader-writer.ts
@@ -11,7 +11,7 @@
 /** What the writer needs of the controller that leads. */
 export interface WriterHost extends TransactionHost {
   /** The leadership has ended, or is no longer certain; nothing more will be written. */
-  lost(reason: string): void;
+  onLeadershipLost(reason: string): void;
 }
 
 /** Limits of one transaction. */
@@ -66,7 +66,7 @@
       signal: this.stopping.signal,
       onLeadershipLost: (reason) => {
         this.stop();
-        host.lost(reason);
+        host.onLeadershipLost(reason);
       },
       log,
     });
@@ -103,7 +103,7 @@
       if (this.isStopped()) break;
       const batch = this.queues.takeBatch(this.maxBatchMutations(), this.limits.maxBytes);
       if (!(await this.transactions.commit(batch.mutations))) break;
-      for (const write of batch.writes) write.done();
+      for (const write of batch.writes) write.onCommitted();
     }
     this.running = false;
   }
@@ -111,7 +111,7 @@
   /** Waits until the next transaction may begin; meanwhile more writes are queued for it. */
   private async waitForTurn(): Promise<void> {
     while (!this.isStopped()) {
-      const due = this.queues.due(this.limits.maxMutations - FENCE_MUTATIONS);
+      const due = this.queues.countDueMutations(this.limits.maxMutations - FENCE_MUTATIONS);
       const waitMs = this.pacer.beginWaitMs(due.count + FENCE_MUTATIONS, due.urgent);
       if (waitMs === 0) break;
       // Something more urgent may come meanwhile.
--- a/src/store/transaction-pacer.ts
+++ b/src/store/transaction-pacer.ts
@@ -9,11 +9,11 @@
 const MIN_TRANSACTIONS_PER_SECOND = 1;
 const TRANSACTION_BURST = 4;
 /** Transactions without urgent writes leave so many of the burst to those that have some. */
-const RESERVED_FOR_URGENT = 2;
+const RESERVED_URGENT_TRANSACTIONS = 2;
 /** A transaction carries at least one mutation of a write beside the fence mutation, however little is left. */
 const MIN_TRANSACTION_MUTATIONS = 2;
 /** Above this fullness of both buckets the store counts as idle. */
-const IDLE_FULLNESS = 0.9;
+const MIN_IDLE_FULLNESS = 0.9;
 
 /** Two token buckets: one permit per transaction, and one per mutation. */
 export class TransactionPacer {
@@ -29,12 +29,12 @@
 
   /** Both buckets are nearly full. */
   get idle(): boolean {
-    return this.mutations.fullness() > IDLE_FULLNESS && this.transactions.fullness() > IDLE_FULLNESS;
+    return this.mutations.fullness() > MIN_IDLE_FULLNESS && this.transactions.fullness() > MIN_IDLE_FULLNESS;
   }
 
   /** Milliseconds until a transaction of so many mutations may begin; `urgent`: it has urgent writes. */
   beginWaitMs(mutations: number, urgent: boolean): number {
-    const transactions = urgent ? 1 : 1 + RESERVED_FOR_URGENT;
+    const transactions = urgent ? 1 : 1 + RESERVED_URGENT_TRANSACTIONS;
     return Math.max(this.transactions.waitMs(transactions), this.sendWaitMs(mutations));
   }
 
@@ -50,16 +50,16 @@
 
   /** Milliseconds until so many mutations may be sent. */
   sendWaitMs(mutations: number): number {
-    return this.mutations.waitMs(this.permitsFor(mutations));
+    return this.mutations.waitMs(this.countPermits(mutations));
   }
 
   /** Takes the permits for mutations that are sent now. */
-  takeForSend(mutations: number): void {
-    this.mutations.take(this.permitsFor(mutations));
+  takeSendPermits(mutations: number): void {
+    this.mutations.take(this.countPermits(mutations));
   }
 
   /** With small limits a transaction can have more mutations than the bucket ever holds permits. */
-  private permitsFor(mutations: number): number {
+  private countPermits(mutations: number): number {
     return Math.min(mutations, Math.max(1, Math.floor(this.mutations.perSecond)));
   }
 }
--- a/src/store/write-queues.ts
+++ b/src/store/write-queues.ts
@@ -14,11 +14,11 @@
 export type WritePriority = (typeof WRITE_PRIORITIES)[number];
 
 /** Mutations that are known when the write is queued. They share one transaction. */
-export interface Write {
+export interface ReadyWrite {
   kind: 'ready';
   mutations: Mutation[];
   /** Called once the mutations are durable. */
-  done: () => void;
+  onCommitted: () => void;
 }
 
 /**
@@ -32,11 +32,11 @@
   /** Called once, when the transaction is put together. */
   build(): Mutation;
   /** Called once the mutation is durable. */
-  done: () => void;
+  onCommitted: () => void;
 }
 
 /** A write that waits for its transaction. */
-export type QueuedWrite = Write | DeferredWrite;
+export type QueuedWrite = ReadyWrite | DeferredWrite;
 
 /** The writes that share a transaction, with their mutations in the same order. */
 export interface WriteBatch {
@@ -86,7 +86,7 @@
   }
 
   /** The mutations that the next transaction should wait for permits for, at most `maxMutations`. */
-  due(maxMutations: number): DueMutations {
+  countDueMutations(maxMutations: number): DueMutations {
     const urgent = this.countMutations(URGENT_PRIORITIES, maxMutations);
     if (urgent > 0) return { count: urgent, urgent: true };
     return { count: this.countMutations(WRITE_PRIORITIES, maxMutations), urgent: false };
@@ -103,8 +103,9 @@
       const queue = this.queues[priority];
       for (let next = queue[0]; next; next = queue[0]) {
         const size = sizeOf(next);
-        const full = batch.mutations.length + size.mutations > maxMutations || bytes + size.bytes > maxBytes;
-        if (batch.writes.length > 0 && full) return batch;
+        const exceedsLimits =
+          batch.mutations.length + size.mutations > maxMutations || bytes + size.bytes > maxBytes;
+        if (batch.writes.length > 0 && exceedsLimits) return batch;
         queue.shift();
         batch.writes.push(next);
         if (next.kind === 'deferred') batch.mutations.push(next.build());
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod/mini';
 import { required } from '../base/required.ts';
 import { KEYS } from '../store/keys.ts';
-import type { Write } from '../store/write-queues.ts';
+import type { ReadyWrite } from '../store/write-queues.ts';
 import type { Item, Mutation } from '../wire/state.ts';
 import type { MachineIdentity } from './machine.ts';
 
@@ -30,7 +30,7 @@
   /** Pages stay below this, so that a change rewrites little and a value is never too long. */
   pageBytes: number;
   /** Queues a write; an urgent one is the condition of starts, another can wait. */
-  enqueueWrite(write: Write, urgent: boolean): void;
+  enqueueWrite(write: ReadyWrite, urgent: boolean): void;
   /** Queues a command of the single writer. */
   enqueue(command: () => void): void;
 }
@@ -134,7 +134,7 @@
         for (const callback of callbacks) callback();
       });
     };
-    this.deps.enqueueWrite({ kind: 'ready', mutations: [mutationOf(page)], done }, urgent);
+    this.deps.enqueueWrite({ kind: 'ready', mutations: [mutationOf(page)], onCommitted: done }, urgent);
   }
 }
 
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -25,7 +25,7 @@
 import { Election } from '../../src/leadership/election.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import { LeaderWriter } from '../../src/store/leader-writer.ts';
-import type { DeferredWrite, Write } from '../../src/store/write-queues.ts';
+import type { DeferredWrite, ReadyWrite } from '../../src/store/write-queues.ts';
 import { decodeCatalog } from '../../src/wire/cloud.ts';
 import { encodeTransaction, type Mutation, type Item } from '../../src/wire/state.ts';
 import { decodeJob } from '../../src/wire/user.ts';
@@ -176,7 +176,7 @@
 });
 
 test('the oldest final records move from their first place to the archive in one transaction', () => {
-  const pushed: Write[] = [];
+  const pushed: ReadyWrite[] = [];
   const archive = new Archive({
     keep: 1,
     txnOps: 6,
@@ -237,7 +237,7 @@
       .splice(0)
       .map((job) => {
         const line = wire([job.build()]);
-        job.done();
+        job.onCommitted();
         return line;
       })
       .join('\n');
@@ -380,7 +380,7 @@
     pageBytes,
     enqueueWrite: (job, urgent) => {
       queue.push(`${urgent ? 'urgent' : 'calm'} ${wire(job.mutations)}`);
-      confirm.push(job.done);
+      confirm.push(job.onCommitted);
     },
     enqueue: (command) => {
       command();
@@ -623,7 +623,7 @@
     leader: '{"k":"leader","data":{"node":"hearth-1","term":41,"nonce":"nonce-9"},"stamp":121,"permit":76}',
   });
   await run(1);
-  assert.equal(election.leader(), 'hearth-1');
+  assert.equal(election.leaderName(), 'hearth-1');
   assert.equal(
     [...new Set(service.requests)].join('\n'),
     ['GET /store/leader', 'GET /follow?starts=leader&since=121&holdMs=20000'].join('\n'),
@@ -641,7 +641,7 @@
     });
     await run(20);
     assert.deepEqual(service.changing(), [], data);
-    assert.equal(election.leader(), null);
+    assert.equal(election.leaderName(), null);
     assert.deepEqual([...new Set(pauses)], [500]);
   }
 });
@@ -669,7 +669,7 @@
       compareAndSwap: (conditions, mutations, timeoutMs) =>
         client.compareAndSwap(conditions, mutations, 'lease', timeoutMs),
       readVersion: () => Promise.resolve({ kind: 'refused' }),
-      lost: () => assert.fail('lost'),
+      onLeadershipLost: () => assert.fail('lost'),
       pause: (ms) => {
         clock.at += ms;
         return Promise.resolve();
@@ -682,10 +682,10 @@
     log: silent,
   });
   const push = (
-    mutations: Write['mutations'],
+    mutations: ReadyWrite['mutations'],
     priority: 'ends' | 'starts' | 'progress' | 'background',
   ): void => {
-    writer.enqueue({ kind: 'ready', mutations, done: () => undefined }, priority);
+    writer.enqueue({ kind: 'ready', mutations, onCommitted: () => undefined }, priority);
   };
   push([{ put: KEYS.completions('req-000002', 0), value: chunkValue(Buffer.from([5, 128])) }], 'progress');
   push([{ delete: KEYS.machineRegistry(3) }], 'background');
@@ -701,7 +701,7 @@
       kind: 'deferred',
       maxBytes: 100,
       build: () => ({ put: KEYS.startWatermarks(0), value: startWatermarksValue([['req-000003', 16]]) }),
-      done: () => undefined,
+      onCommitted: () => undefined,
     },
     'starts',
   );
--- a/test/jobs/archive.test.ts
+++ b/test/jobs/archive.test.ts
@@ -3,7 +3,7 @@
 import { Archive } from '../../src/jobs/archive.ts';
 import { readTerminal, terminalValue } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
-import type { Write } from '../../src/store/write-queues.ts';
+import type { ReadyWrite } from '../../src/store/write-queues.ts';
 import { MemoryStore } from '../store/memory.ts';
 import { jobId } from './support/user-requests.ts';
 
@@ -15,14 +15,14 @@
   archive: Archive;
   store: MemoryStore;
   /** Writes that the archive has enqueued. */
-  queue: Write[];
+  queue: ReadyWrite[];
   /** Whether the store has something else to do. */
   setBusy: (busy: boolean) => void;
 }
 
 function createArchive(): Harness {
   const store = new MemoryStore();
-  const queue: Write[] = [];
+  const queue: ReadyWrite[] = [];
   let isBusy = false;
   const archive = new Archive({
     keep: KEEP,
@@ -69,7 +69,7 @@
     if (!write) continue;
     assert.ok(write.mutations.length < TXN_OPS, 'no room for the fence key');
     assert.equal(store.apply([], write.mutations).kind, 'ok');
-    write.done();
+    write.onCommitted();
     for (let number = 0; number < JOBS; number++) assert.equal(tasksDone(store, jobId(number)), number);
   }
   assert.equal(archive.size, KEEP);
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -10,7 +10,7 @@
 } from '../../src/jobs/poll-batches.ts';
 import { MIN_READ_INTERVAL_MS, SharedReads } from '../../src/jobs/shared-reads.ts';
 import type { PollAnswer } from '../../src/peers/messages.ts';
-import { moreUrgent, type Urgency } from '../../src/store/call-budget.ts';
+import { isMoreUrgent, type Urgency } from '../../src/store/call-budget.ts';
 import { failTest, SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
 
@@ -43,7 +43,7 @@
       await sim.pause(durationMs());
       return at;
     },
-    moreUrgent,
+    moreUrgent: isMoreUrgent,
   });
 }
 
--- a/test/jobs/start-watermarks.test.ts
+++ b/test/jobs/start-watermarks.test.ts
@@ -35,7 +35,7 @@
     this.confirmedWrites += 1;
     this.pages.set(key, value);
     this.inFlight = null;
-    write.done();
+    write.onCommitted();
   }
 
   /** Sends and confirms whatever waits. */
--- a/test/jobs/support/controllers.ts
+++ b/test/jobs/support/controllers.ts
@@ -7,7 +7,7 @@
 import type { UserRequests } from '../../../src/jobs/user-requests.ts';
 import type { Leader } from '../../../src/leader/leader.ts';
 import { RateBudget } from '../../../src/store/budget.ts';
-import { moreUrgent, type Urgency } from '../../../src/store/call-budget.ts';
+import { isMoreUrgent, type Urgency } from '../../../src/store/call-budget.ts';
 import type { StoreResult } from '../../../src/store/key-value-store.ts';
 import { KEYS } from '../../../src/store/keys.ts';
 import type { Item } from '../../../src/wire/state.ts';
@@ -127,7 +127,7 @@
       now,
       after,
       read: (key) => this.store.get(controller, key),
-      moreUrgent,
+      moreUrgent: isMoreUrgent,
     });
     const store: StoreFake = {
       get: (key, urgency) => reads.get(key, urgency),
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -109,7 +109,7 @@
         const read = await store.get(controller, key);
         return read.kind === 'ok' ? { kind: 'ok', value: read.value?.version ?? 0 } : read;
       },
-      lost: () => {
+      onLeadershipLost: () => {
         if (isCurrent()) controller.stepDown();
       },
       pause: (ms) => sim.pause(ms),
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -195,16 +195,16 @@
   }
   assert.equal(statuses.filter((status) => status === 201).length, 5);
   assert.equal(statuses.filter((status) => status === 503).length, 35);
-  assert.equal(store.changes, 5);
+  assert.equal(store.mutationCount, 5);
   clock.at += 1000;
   assert.equal((await submitJob(userRequests, 7)).status, 201);
   // Refused for its rate by the service itself: this controller leaves the changes to others for a while.
-  store.fates.push('over_limit');
+  store.outcomes.push('over_limit');
   assert.equal((await submitJob(userRequests, 8)).status, 503);
-  const changesBefore = store.changes;
+  const changesBefore = store.mutationCount;
   clock.at += 900;
   assert.equal((await submitJob(userRequests, 8)).status, 503);
-  assert.equal(store.changes, changesBefore);
+  assert.equal(store.mutationCount, changesBefore);
   clock.at += 300;
   assert.equal((await submitJob(userRequests, 8)).status, 201);
   assert.deepEqual(peerRequests, [], 'others were asked to spend what this controller may not');
@@ -213,8 +213,8 @@
 test('a submission that was carried out though its answer was lost is accepted after a read', async () => {
   const store = new MemoryStore();
   const { userRequests } = follower(store);
-  store.fates.push('lost');
+  store.outcomes.push('lost');
   const answer = await submitJob(userRequests, 3);
   assert.deepEqual([answer.status, stageIn(answer)], [200, 'pending']);
-  assert.equal(store.changes, 1);
+  assert.equal(store.mutationCount, 1);
 });
--- a/test/leader/fakes.ts
+++ b/test/leader/fakes.ts
@@ -67,7 +67,7 @@
   idle: false,
   enqueue: (write) => {
     if (write.kind === 'deferred') write.build();
-    write.done();
+    write.onCommitted();
   },
   stop: () => undefined,
 };
--- a/test/leader/standstill.test.ts
+++ b/test/leader/standstill.test.ts
@@ -12,7 +12,7 @@
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { UserRequests } from '../../src/jobs/user-requests.ts';
 import { Leader } from '../../src/leader/leader.ts';
-import { renewalValidUntil } from '../../src/leadership/lease.ts';
+import { computeLeaseExpiry } from '../../src/leadership/lease.ts';
 import { RateBudget } from '../../src/store/budget.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import { LeaderWriter } from '../../src/store/leader-writer.ts';
@@ -66,7 +66,7 @@
   readonly store = new Map<string, unknown>();
   readonly leader: Leader;
   readonly users: UserRequests;
-  private leaseValidUntil = renewalValidUntil(0, LEASE_MS);
+  private leaseValidUntil = computeLeaseExpiry(0, LEASE_MS);
   private sequence = 0;
 
   constructor() {
@@ -119,7 +119,7 @@
       host: {
         compareAndSwap: () => Promise.resolve({ kind: 'ok', revision: 1 }),
         readVersion: () => Promise.resolve({ kind: 'ok', value: 1 }),
-        lost: () => undefined,
+        onLeadershipLost: () => undefined,
         pause: () => settle(),
       },
       leaderVersion: 1,
@@ -177,7 +177,7 @@
     const until = this.clock.at + ms;
     for (let step = 0; this.clock.at < until; step += 1) {
       this.clock.at += STEP_MS;
-      if (renewing) this.leaseValidUntil = renewalValidUntil(this.clock.at, LEASE_MS);
+      if (renewing) this.leaseValidUntil = computeLeaseExpiry(this.clock.at, LEASE_MS);
       if (renewing && step % STEPS_PER_HEARTBEAT === 0) this.sendHeartbeat();
       this.leader.afterBatch();
       for (let settles = 0; settles < SETTLES_PER_STEP; settles++) await settle();
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -13,7 +13,7 @@
 import { Sim } from '../model/sim.ts';
 import { JOB } from '../wire/sample.ts';
 import { LeaseModel, type StoreAccess } from './lease-model.ts';
-import { electionOnModel } from './election-fixture.ts';
+import { createElection } from './election-fixture.ts';
 import { RateBudget } from '../../src/store/budget.ts';
 import { failTest } from '../helpers.ts';
 
@@ -22,7 +22,7 @@
   index: number;
   name: string;
   /** Counts its processes. */
-  life: number;
+  incarnation: number;
   /** Its process is stalled until then. */
   stalledUntil: number;
   /** It is partitioned from the other controllers until then. */
@@ -32,12 +32,12 @@
 }
 
 /** How many controllers, and how bad their network is. */
-export interface ControllersOptions {
+export interface SimulatedClusterOptions {
   count?: number;
   /** Their calls of the store are carried out late, or lose their answers. */
   lossy?: boolean;
   /** Share of lost messages between controllers. */
-  loss?: number;
+  messageLossRatio?: number;
 }
 
 /** How long a leader whose lease has expired still answers heartbeats, in ms. */
@@ -47,40 +47,43 @@
 /** Time between two checks, in ms. */
 const SAMPLE_MS = 20;
 /** Clocks of controllers run faster or slower by up to this share. */
-const MAX_DRIFT = 0.0005;
+const MAX_DRIFT_RATIO = 0.0005;
 const RUNNING: JobStatus = { stage: 'running', done: 0, running: 1 };
 
 /**
  * Controllers with the real election and the real user requests, on the modelled store in simulated time. What must
  * hold between leaderships and leaderless writes is checked all the time; `violations` lists what did not.
  */
-export class Controllers {
+export class SimulatedCluster {
   readonly sim: Sim;
   readonly store: LeaseModel;
-  readonly nodes: Controller[];
+  readonly controllers: Controller[];
   readonly violations: string[] = [];
   /** Terms in the order in which they were acquired. */
   readonly acquiredTerms: number[] = [];
   /** Samples at which a leader had a valid lease during an outage. */
   validLeaseSamplesInOutage = 0;
-  private readonly loss: number;
+  private readonly messageLossRatio: number;
 
-  constructor(seed: number, { count = 3, lossy = false, loss = 0 }: ControllersOptions = {}) {
+  constructor(
+    seed: number,
+    { count = 3, lossy = false, messageLossRatio = 0 }: SimulatedClusterOptions = {},
+  ) {
     this.sim = new Sim(seed);
     this.store = new LeaseModel(this.sim);
-    this.loss = loss;
-    this.nodes = Array.from({ length: count }, (_, index) => ({
+    this.messageLossRatio = messageLossRatio;
+    this.controllers = Array.from({ length: count }, (_, index) => ({
       index,
       name: `n${index}`,
       refusedUntil: 0,
       stalledUntil: 0,
       partitionedUntil: 0,
       lossy,
-      life: 0,
+      incarnation: 0,
       election: null,
       userRequests: null,
     }));
-    for (const node of this.nodes) this.boot(node);
+    for (const controller of this.controllers) this.startProcess(controller);
     this.store.onLeaderlessWrite = () => {
       this.check();
     };
@@ -101,16 +104,18 @@
 
   /** The controller whose lease as leader is valid, if any. */
   leaderWithValidLease(): Controller | null {
-    return this.nodes.find((node) => node.election?.hasValidLease()) ?? null;
+    return this.controllers.find((controller) => controller.election?.hasValidLease()) ?? null;
   }
 
   /** The controller that leads, whether or not its lease is valid. */
   leader(): Controller | null {
-    return this.nodes.find((node) => node.election?.current()) ?? null;
+    return this.controllers.find((controller) => controller.election?.currentLeadership()) ?? null;
   }
 
   followers(): Controller[] {
-    return this.nodes.filter((node) => node.election && !node.election.current());
+    return this.controllers.filter(
+      (controller) => controller.election && !controller.election.currentLeadership(),
+    );
   }
 
   openJob(id: string): void {
@@ -120,51 +125,55 @@
   }
 
   /** A user's cancellation at one controller, which answers with the job's stage or with an error (null). */
-  cancel(node: Controller, id: string, answered: (stage: string | null) => void = () => undefined): void {
-    node.userRequests?.cancel(id, (answer) => {
-      answered(answer.status === 200 ? stageOf(answer.body) : null);
+  cancel(
+    controller: Controller,
+    id: string,
+    onAnswer: (stage: string | null) => void = () => undefined,
+  ): void {
+    controller.userRequests?.cancel(id, (answer) => {
+      onAnswer(answer.status === 200 ? stageOf(answer.body) : null);
     });
   }
 
   /** A user's poll at one controller, which answers with the job's stage or with an error (null). */
-  poll(node: Controller, id: string, answered: (stage: string | null) => void): void {
-    node.userRequests?.poll(id, (answer) => {
-      answered(answer.status === 200 ? stageOf(answer.body) : null);
+  poll(controller: Controller, id: string, onAnswer: (stage: string | null) => void): void {
+    controller.userRequests?.poll(id, (answer) => {
+      onAnswer(answer.status === 200 ? stageOf(answer.body) : null);
     });
   }
 
   /** Ends the controller's process; another starts after so long, or never (null). */
-  crash(node: Controller, restartMs: number | null): void {
-    node.election = null;
-    node.userRequests = null;
-    node.life += 1;
-    const { life } = node;
+  crash(controller: Controller, restartMs: number | null): void {
+    controller.election = null;
+    controller.userRequests = null;
+    controller.incarnation += 1;
+    const { incarnation } = controller;
     if (restartMs === null) return;
     this.sim.after(restartMs, () => {
-      if (node.life === life) this.boot(node);
+      if (controller.incarnation === incarnation) this.startProcess(controller);
     });
   }
 
-  private boot(node: Controller): void {
-    node.life += 1;
-    const { life } = node;
-    const alive = (): boolean => node.life === life;
-    const rate = 1 + ((node.index % 3) - 1) * MAX_DRIFT;
+  private startProcess(controller: Controller): void {
+    controller.incarnation += 1;
+    const { incarnation } = controller;
+    const isAlive = (): boolean => controller.incarnation === incarnation;
+    const rate = 1 + ((controller.index % 3) - 1) * MAX_DRIFT_RATIO;
     const clock = { now: () => this.sim.at * rate, wall: () => this.sim.at };
-    const store = this.store.storeOf(node);
-    const election = electionOnModel(this.sim, {
-      node: node.name,
-      nonce: `${node.index}-${life}`,
+    const store = this.store.storeOf(controller);
+    const election = createElection(this.sim, {
+      node: controller.name,
+      nonce: `${controller.index}-${incarnation}`,
       store,
       clock,
       acquired: ({ term }) => {
-        this.onAcquired(node, term);
+        this.onAcquired(controller, term);
       },
-      pause: (ms) => this.pause(node, alive, ms),
-      requestPeerLeases: (request) => this.requestPeerLeases(node, alive, request),
+      pause: (ms) => this.pause(controller, isAlive, ms),
+      requestPeerLeases: (request) => this.requestPeerLeases(controller, isAlive, request),
     });
-    node.election = election;
-    node.userRequests = new UserRequests({
+    controller.election = election;
+    controller.userRequests = new UserRequests({
       onError: failTest,
       clock,
       options: defaultOptions(),
@@ -173,69 +182,77 @@
       submissions: new RateBudget(1000, () => 0),
       teams: [],
       catalog: () => null,
-      leader: () => localLeader(election),
+      leader: () => toLocalLeader(election),
       beginLeaderlessWrite: (urgency) => election.beginLeaderlessWrite(urgency),
       callLeader: (request) => {
-        const leader = this.nodes.find((other) => other.name === election.leader());
-        return leader && leader !== node ? this.call(node, leader, request) : Promise.resolve(null);
+        const leader = this.controllers.find((other) => other.name === election.leaderName());
+        return leader && leader !== controller
+          ? this.call(controller, leader, request)
+          : Promise.resolve(null);
       },
       callOthers: () => Promise.resolve(null),
     });
     election.start();
   }
 
-  private onAcquired(node: Controller, term: number): void {
+  private onAcquired(controller: Controller, term: number): void {
     // A process that stood still may learn late of what it won.
     const termBefore = this.acquiredTerms.at(-1) ?? 0;
-    if (term <= termBefore && node.stalledUntil === 0) {
-      this.fail(`term ${term} acquired after ${termBefore}`);
+    if (term <= termBefore && controller.stalledUntil === 0) {
+      this.recordViolation(`term ${term} acquired after ${termBefore}`);
     }
     this.acquiredTerms.push(term);
   }
 
   /** The timers of a dead process never fire, and those of a stalled one fire late. */
-  private pause(node: Controller, alive: () => boolean, ms: number): Promise<void> {
+  private pause(controller: Controller, isAlive: () => boolean, ms: number): Promise<void> {
     return new Promise((resolve) => {
-      const due = (): void => {
-        if (!alive()) return;
-        if (this.sim.at < node.stalledUntil) this.sim.after(node.stalledUntil - this.sim.at, due);
+      const fire = (): void => {
+        if (!isAlive()) return;
+        if (this.sim.at < controller.stalledUntil)
+          this.sim.after(controller.stalledUntil - this.sim.at, fire);
         else resolve();
       };
-      this.sim.after(ms, due);
+      this.sim.after(ms, fire);
     });
   }
 
-  private connected(from: Controller, to: Controller): boolean {
+  private isConnected(from: Controller, to: Controller): boolean {
     return this.sim.at >= from.partitionedUntil && this.sim.at >= to.partitionedUntil;
   }
 
   /** A message to another controller and its answer, each delayed or lost; a dead process doesn't answer. */
   private async call(from: Controller, to: Controller, request: PeerRequest): Promise<PeerReply | null> {
-    const delay = (): Promise<void> => this.sim.pause(this.sim.between(1, this.loss > 0 ? 400 : 20));
+    const delay = (): Promise<void> =>
+      this.sim.pause(this.sim.between(1, this.messageLossRatio > 0 ? 400 : 20));
     await delay();
-    if (!processOf(to) || !this.connected(from, to) || this.sim.chance(this.loss)) return null;
+    if (!processOf(to) || !this.isConnected(from, to) || this.sim.chance(this.messageLossRatio)) return null;
     await this.sim.pause(Math.max(0, to.stalledUntil - this.sim.at));
-    const { life } = to;
+    const { incarnation } = to;
     const process = processOf(to);
     if (!process) return null;
     const reply = await replyOf(process, request);
     await delay();
-    return to.life === life && this.connected(from, to) && !this.sim.chance(this.loss) ? reply : null;
+    return to.incarnation === incarnation &&
+      this.isConnected(from, to) &&
+      !this.sim.chance(this.messageLossRatio)
+      ? reply
+      : null;
   }
 
   private async requestPeerLeases(
-    node: Controller,
-    alive: () => boolean,
+    controller: Controller,
+    isAlive: () => boolean,
     request: PeerLeaseRequest,
   ): Promise<boolean[]> {
-    const others = this.nodes.filter((other) => other !== node);
+    const others = this.controllers.filter((other) => other !== controller);
     const replies = others.map((other) => {
-      const timeout = this.pause(node, alive, PEER_TIMEOUT_MS).then(() => null);
-      return Promise.race([this.call(node, other, { kind: 'grantPeerLease', ...request }), timeout]);
+      const timeout = this.pause(controller, isAlive, PEER_TIMEOUT_MS).then(() => null);
+      return Promise.race([this.call(controller, other, { kind: 'grantPeerLease', ...request }), timeout]);
     });
     const answers = await Promise.all(replies);
     // A stalled process reads the answers once it goes on.
-    await this.pause(node, alive, 0);
+    await this.pause(controller, isAlive, 0);
     return answers.map((reply) => reply?.kind === 'granted');
   }
 
@@ -244,33 +261,42 @@
    * answers heartbeats no longer than the grace after a cancellation that was confirmed without it.
    */
   private check(): void {
-    const valid = this.nodes.filter((node) => node.election?.hasValidLease());
-    if (valid.length > 1) this.fail(`${valid.map((node) => node.name).join(' and ')} both lead`);
-    for (const node of this.nodes) this.checkLeadership(node);
+    const leadersWithValidLease = this.controllers.filter((controller) =>
+      controller.election?.hasValidLease(),
+    );
+    if (leadersWithValidLease.length > 1)
+      this.recordViolation(
+        `${leadersWithValidLease.map((controller) => controller.name).join(' and ')} both lead`,
+      );
+    for (const controller of this.controllers) this.checkLeadership(controller);
   }
 
   private checkLeadership({ name, election }: Controller): void {
-    const term = election?.current()?.term;
+    const term = election?.currentLeadership()?.term;
     if (!election || term === undefined) return;
     if (election.hasValidLease() && this.store.term() > term) {
-      this.fail(`${name} leads term ${term} with a valid lease after ${this.store.term()} was acquired`);
+      this.recordViolation(
+        `${name} leads term ${term} with a valid lease after ${this.store.term()} was acquired`,
+      );
     }
     const cancellation = this.store.leaderlessWrites.find(
       (write) => write.kind === 'cancellation' && write.term >= term,
     );
     if (!cancellation) return;
     if (election.hasValidLease()) {
-      this.fail(`${name} leads term ${term} with a valid lease after a cancellation without it`);
+      this.recordViolation(`${name} leads term ${term} with a valid lease after a cancellation without it`);
     }
     const sinceMs = this.sim.at - cancellation.at;
     if (election.msSinceLeaseExpiry() <= GRACE_MS && sinceMs > GRACE_MS * 1.002) {
-      this.fail(`${name} answers heartbeats ${Math.round(sinceMs)} ms after a cancellation without it`);
+      this.recordViolation(
+        `${name} answers heartbeats ${Math.round(sinceMs)} ms after a cancellation without it`,
+      );
     }
   }
 
-  private fail(what: string): void {
-    if (this.violations.some((violation) => violation.startsWith(what))) return;
-    this.violations.push(`${what} (at ${Math.round(this.sim.at)})`);
+  private recordViolation(description: string): void {
+    if (this.violations.some((violation) => violation.startsWith(description))) return;
+    this.violations.push(`${description} (at ${Math.round(this.sim.at)})`);
   }
 }
 
@@ -303,8 +329,8 @@
 }
 
 /** What user requests see of the leadership on their controller: every job runs, while the lease is valid. */
-function localLeader(election: Election): LocalLeader | null {
-  const leadership = election.current();
+function toLocalLeader(election: Election): LocalLeader | null {
+  const leadership = election.currentLeadership();
   if (!leadership) return null;
   return {
     term: leadership.term,
--- a/test/leadership/election-fixture.ts
+++ b/test/leadership/election-fixture.ts
@@ -1,14 +1,14 @@
 /** Elections in simulated time, as the tests of this directory make them. */
 import type { Clock } from '../../src/base/clock.ts';
 import { defaultOptions } from '../../src/config/options.ts';
-import { Election, type ElectionEvents, type LeaseStore } from '../../src/leadership/election.ts';
+import { Election, type ElectionEvents, type ElectionStore } from '../../src/leadership/election.ts';
 import type { RequestPeerLeases } from '../../src/leadership/peer-leases.ts';
 import { failTest, silent } from '../helpers.ts';
 import type { Sim } from '../model/sim.ts';
 
 /** What a test gives an election; the rest has defaults. */
 export interface ElectionSetup {
-  store: LeaseStore;
+  store: ElectionStore;
   node?: string;
   nonce?: string;
   clock?: Clock;
@@ -20,7 +20,7 @@
 
 /** Thrown where nobody waits, an error becomes an unhandled rejection, which fails the test. */
 /** An election with the default options. Unless the test handles it, a failed background task fails the test. */
-export function electionOnModel(sim: Sim, setup: ElectionSetup): Election {
+export function createElection(sim: Sim, setup: ElectionSetup): Election {
   const { leadership } = defaultOptions();
   return new Election({
     node: setup.node ?? 'n0',
--- a/test/leadership/election.test.ts
+++ b/test/leadership/election.test.ts
@@ -2,12 +2,18 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { defaultOptions } from '../../src/config/options.ts';
-import { leaseMs } from '../../src/leadership/lease.ts';
+import { scaleLeaseTtlMs } from '../../src/leadership/lease.ts';
 import { SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
-import { Controllers } from './controllers.ts';
-import { electionOnModel } from './election-fixture.ts';
-import { faultsOf, keepCancelling, keepHandingOver, schedule, type FaultKind } from './faults.ts';
+import { SimulatedCluster } from './controllers.ts';
+import { createElection } from './election-fixture.ts';
+import {
+  arbitraryFaults,
+  keepCancelling,
+  keepHandingOver,
+  scheduleFaults,
+  type FaultKind,
+} from './faults.ts';
 import { LeaseModel } from './lease-model.ts';
 
 const { leadership } = defaultOptions();
@@ -19,12 +25,12 @@
     seed: fc.integer({ min: 1 }),
     lossy: fc.boolean(),
     count: fc.constantFrom(3, 5),
-    faults: faultsOf(['refuse', 'outage', 'crash'], { from: 2000, to: 50_000 }, { min: 0, max: 6 }),
+    faults: arbitraryFaults(['refuse', 'outage', 'crash'], { from: 2000, to: 50_000 }, { min: 0, max: 6 }),
   });
   await fc.assert(
     fc.asyncProperty(day, async ({ seed, lossy, count, faults }) => {
-      const cluster = new Controllers(seed, { count, lossy, loss: 0.05 });
-      schedule(cluster, faults);
+      const cluster = new SimulatedCluster(seed, { count, lossy, messageLossRatio: 0.05 });
+      scheduleFaults(cluster, faults);
       keepCancelling(cluster, 1500, 60_000);
       await cluster.run(90_000);
       assert.deepEqual(cluster.violations, []);
@@ -59,16 +65,16 @@
   const day = fc.record({
     seed: fc.integer({ min: 1 }),
     lossy: fc.boolean(),
-    faults: faultsOf(kinds, { from: 3000, to: 120_000 }, { min: 20, max: 40 }),
+    faults: arbitraryFaults(kinds, { from: 3000, to: 120_000 }, { min: 20, max: 40 }),
     outageAt: fc.integer({ min: 5000, max: 100_000 }),
     handOverMs: fc.constantFrom(null, 9000),
   });
   await fc.assert(
     fc.asyncProperty(day, async ({ seed, lossy, faults, outageAt, handOverMs }) => {
-      const cluster = new Controllers(seed, { lossy, loss: 0.02 });
-      schedule(cluster, faults);
+      const cluster = new SimulatedCluster(seed, { lossy, messageLossRatio: 0.02 });
+      scheduleFaults(cluster, faults);
       cluster.sim.after(outageAt, () => {
-        cluster.store.outage(20_000);
+        cluster.store.startOutage(20_000);
       });
       keepCancelling(cluster, 700, 125_000);
       if (handOverMs !== null) keepHandingOver(cluster, handOverMs, 125_000);
@@ -89,13 +95,13 @@
 test('a leader that reads answers late keeps its lease valid', async () => {
   // Renewals that waited for each other came too late on a busy controller, and each lost lease cost a failover.
   const sim = new Sim(SEED);
-  const access = { refusedUntil: 0, lossy: false, answerMs: 0 };
+  const access = { refusedUntil: 0, lossy: false, answerDelayMs: 0 };
   let acquired = 0;
-  const election = electionOnModel(sim, {
+  const election = createElection(sim, {
     store: new LeaseModel(sim).storeOf(access),
     acquired: () => {
       acquired += 1;
-      access.answerMs = leadership.lease_ms * 0.45;
+      access.answerDelayMs = leadership.lease_ms * 0.45;
     },
   });
   election.start();
@@ -110,8 +116,8 @@
 });
 
 test('a lease is longer on a small share of a core, within bounds', () => {
-  assert.equal(leaseMs(3000, 1), 3000);
-  assert.equal(leaseMs(3000, 0.07), 6000);
-  assert.equal(leaseMs(3000, 0.001), 6000);
-  assert.ok(leaseMs(3000, 0.1) > 3000 && leaseMs(3000, 0.1) < 6000);
+  assert.equal(scaleLeaseTtlMs(3000, 1), 3000);
+  assert.equal(scaleLeaseTtlMs(3000, 0.07), 6000);
+  assert.equal(scaleLeaseTtlMs(3000, 0.001), 6000);
+  assert.ok(scaleLeaseTtlMs(3000, 0.1) > 3000 && scaleLeaseTtlMs(3000, 0.1) < 6000);
 });
--- a/test/leadership/heartbeat-grace.test.ts
+++ b/test/leadership/heartbeat-grace.test.ts
@@ -2,9 +2,9 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import {
-  cancellationBoundS,
-  cancellationCanHold,
-  heartbeatGraceMs,
+  computeCancellationBoundS,
+  canMeetCancellationTime,
+  computeHeartbeatGraceMs,
 } from '../../src/leadership/heartbeat-grace.ts';
 import { SEED } from '../helpers.ts';
 
@@ -15,15 +15,15 @@
     fc.property(seconds, seconds, seconds, (wantedS, leaseS, beyondS) => {
       for (const cancelS of [leaseS + beyondS, leaseS * (1.0011 + beyondS / 1e6)]) {
         const times = { cancelS, leaseS };
-        const graceMs = heartbeatGraceMs(wantedS, times);
+        const graceMs = computeHeartbeatGraceMs(wantedS, times);
         assert.ok(graceMs >= 0 && graceMs <= wantedS * 1000, `grace of ${graceMs} ms`);
-        if (!cancellationCanHold(times)) assert.equal(graceMs, 0);
-        else assert.ok(cancellationBoundS(graceMs, times) <= cancelS + 1e-9, `${graceMs} ms`);
+        if (!canMeetCancellationTime(times)) assert.equal(graceMs, 0);
+        else assert.ok(computeCancellationBoundS(graceMs, times) <= cancelS + 1e-9, `${graceMs} ms`);
       }
     }),
     { seed: SEED, numRuns: 500 },
   );
-  assert.equal(cancellationCanHold({ cancelS: 31, leaseS: 31 }), false);
-  assert.equal(heartbeatGraceMs(12, { cancelS: 30, leaseS: 31 }), 0);
-  assert.equal(heartbeatGraceMs(12, { cancelS: 100, leaseS: 31 }), 12_000);
+  assert.equal(canMeetCancellationTime({ cancelS: 31, leaseS: 31 }), false);
+  assert.equal(computeHeartbeatGraceMs(12, { cancelS: 30, leaseS: 31 }), 0);
+  assert.equal(computeHeartbeatGraceMs(12, { cancelS: 100, leaseS: 31 }), 12_000);
 });
--- a/test/leadership/leader-record.test.ts
+++ b/test/leadership/leader-record.test.ts
@@ -25,7 +25,7 @@
   return { leader, term, observed };
 }
 
-function item(value: unknown): StoreResult<Item> {
+function foundItem(value: unknown): StoreResult<Item> {
   return { kind: 'ok', value: { key: 'key', value, version: 7, lease: 3 } };
 }
 
@@ -49,19 +49,19 @@
 
 test('a leader record is read with its version and lease', async () => {
   const record = { node: 'n1', term: 4, nonce: 'n1-1' };
-  const { leader, observed } = await readBoth(item(record));
+  const { leader, observed } = await readBoth(foundItem(record));
   assert.deepEqual(leader, { kind: 'held', record, version: 7, lease: 3 });
   assert.deepEqual(observed, ['leader 4']);
 });
 
 test('a term record is read with its version', async () => {
-  const { term, observed } = await readBoth(item({ n: 4 }));
+  const { term, observed } = await readBoth(foundItem({ n: 4 }));
   assert.deepEqual(term, { kind: 'known', term: 4, version: 7 });
   assert.deepEqual(observed, ['term 4']);
 });
 
 test('records of another form are malformed, and no term is observed', async () => {
-  assert.deepEqual(await readBoth(item({ n: '4', node: 'n1' })), {
+  assert.deepEqual(await readBoth(foundItem({ n: '4', node: 'n1' })), {
     leader: { kind: 'malformed' },
     term: { kind: 'malformed' },
     observed: [],
--- a/test/leadership/lease-model.ts
+++ b/test/leadership/lease-model.ts
@@ -1,5 +1,5 @@
 /** The key-value store with leases, in simulated time. */
-import type { LeaseStore } from '../../src/leadership/election.ts';
+import type { ElectionStore } from '../../src/leadership/election.ts';
 import { readTerminal } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { StoreResult, CompareAndSwapResult } from '../../src/store/key-value-store.ts';
@@ -19,7 +19,7 @@
   /** A tenth of its calls is carried out late, and a tenth of its answers is lost. */
   lossy: boolean;
   /** Its answers take so long; a client doesn't wait longer than `TIMEOUT_MS`. */
-  answerMs?: number | undefined;
+  answerDelayMs?: number | undefined;
   /** The next transaction gets no answer and is carried out after so long. */
   delayNextTransactionMs?: number | null;
 }
@@ -35,7 +35,7 @@
 type Failed = { kind: 'refused' } | { kind: 'unknown' };
 
 /** How long a client waits for an answer, in ms. */
-const TIMEOUT_MS = 1500;
+const CALL_TIMEOUT_MS = 1500;
 
 /** Keys and leases in simulated time; each controller's calls can be refused, or their answers lost. */
 export class LeaseModel {
@@ -60,7 +60,7 @@
   }
 
   /** The store refuses everybody for so long; once that ends, every lease has its full time again. */
-  outage(ms: number): void {
+  startOutage(ms: number): void {
     this.expire();
     this.outageUntil = Math.max(this.outageUntil, this.sim.at + ms);
     for (const lease of this.leases.values()) lease.expiresAt = this.outageUntil + lease.ttlMs;
@@ -88,16 +88,16 @@
     this.data.set(key, { value, version: this.revision, lease: null });
   }
 
-  private apply(conditions: readonly Condition[], changes: readonly Mutation[]): CompareAndSwapResult {
+  private apply(conditions: readonly Condition[], mutations: readonly Mutation[]): CompareAndSwapResult {
     this.expire();
     const failed = conditions
       .filter(({ key, version }) => (this.data.get(key)?.version ?? 0) !== version)
       .map(({ key }) => key);
     if (failed.length > 0) return { kind: 'conflict', failed };
-    if (changes.some((change) => this.namesEndedLease(change))) return { kind: 'no_lease' };
+    if (mutations.some((change) => this.usesExpiredLease(change))) return { kind: 'no_lease' };
     const term = this.term();
     this.revision += 1;
-    for (const change of changes) {
+    for (const change of mutations) {
       if ('put' in change) {
         const { put, value, lease = null } = change;
         this.data.set(put, { value, version: this.revision, lease });
@@ -106,7 +106,7 @@
       }
     }
     if (conditions.some(({ key, version }) => key === KEYS.leader && version === 0)) {
-      const isCandidacy = changes.some((change) => 'put' in change && change.put === KEYS.leader);
+      const isCandidacy = mutations.some((change) => 'put' in change && change.put === KEYS.leader);
       this.leaderlessWrites.push({
         at: this.sim.at,
         term,
@@ -117,12 +117,12 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  private namesEndedLease(change: Mutation): boolean {
+  private usesExpiredLease(change: Mutation): boolean {
     return 'put' in change && change.lease !== undefined && !this.leases.has(change.lease);
   }
 
   /** The store as one controller reaches it. */
-  storeOf(access: StoreAccess): LeaseStore {
+  storeOf(access: StoreAccess): ElectionStore {
     const call = <T extends { kind: string }>(
       run: () => T,
       delayMs: number | null = null,
@@ -134,10 +134,10 @@
           const entry = this.data.get(key);
           return { kind: 'ok' as const, value: entry ? { key, ...entry } : null };
         }),
-      compareAndSwap: (conditions, changes) => {
+      compareAndSwap: (conditions, mutations) => {
         const delayMs = access.delayNextTransactionMs ?? null;
         access.delayNextTransactionMs = null;
-        return call(() => this.apply(conditions, changes), delayMs);
+        return call(() => this.apply(conditions, mutations), delayMs);
       },
       grantLease: (ttlMs) =>
         call(() => {
@@ -186,13 +186,13 @@
     if (sim.at < this.outageUntil || sim.at < access.refusedUntil) return { kind: 'refused' };
     if (delayMs !== null || (access.lossy && sim.chance(0.1))) {
       sim.after(delayMs ?? sim.between(100, 8000), run);
-      await sim.pause(TIMEOUT_MS);
+      await sim.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown' };
     }
     const result = run();
-    const answerMs = access.answerMs ?? sim.between(1, access.lossy ? 900 : 20);
-    await sim.pause(Math.min(answerMs, TIMEOUT_MS));
-    if (answerMs > TIMEOUT_MS) return { kind: 'unknown' };
+    const answerDelayMs = access.answerDelayMs ?? sim.between(1, access.lossy ? 900 : 20);
+    await sim.pause(Math.min(answerDelayMs, CALL_TIMEOUT_MS));
+    if (answerDelayMs > CALL_TIMEOUT_MS) return { kind: 'unknown' };
     return access.lossy && sim.chance(0.1) ? { kind: 'unknown' } : result;
   }
 }
--- a/test/leadership/peer-leases.test.ts
+++ b/test/leadership/peer-leases.test.ts
@@ -4,23 +4,23 @@
 import { required } from '../../src/base/required.ts';
 import { SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
-import { Controllers, type Controller } from './controllers.ts';
-import { electionOnModel } from './election-fixture.ts';
+import { SimulatedCluster, type Controller } from './controllers.ts';
+import { createElection } from './election-fixture.ts';
 import { LeaseModel } from './lease-model.ts';
 
 const JOB_ID = 'req-000001';
-const LONG_MS = 60_000;
+const LONG_OUTAGE_MS = 60_000;
 const SAMPLE_MS = 20;
 
 interface StartedCluster {
-  cluster: Controllers;
+  cluster: SimulatedCluster;
   leader: Controller;
   others: [Controller, Controller];
 }
 
 /** Three controllers of which one leads, and a job. */
 async function startCluster(): Promise<StartedCluster> {
-  const cluster = new Controllers(SEED);
+  const cluster = new SimulatedCluster(SEED);
   await cluster.run(5000);
   const leader = cluster.leaderWithValidLease();
   assert.ok(leader, 'somebody leads');
@@ -30,49 +30,53 @@
   return { cluster, leader, others: [first, second] };
 }
 
-function electionOf(node: Controller): Election {
-  return required(node.election, `election of ${node.name}`);
+function electionOf(controller: Controller): Election {
+  return required(controller.election, `election of ${controller.name}`);
 }
 
-async function until(
-  cluster: Controllers,
-  what: string,
-  holds: () => boolean,
+async function waitUntil(
+  cluster: SimulatedCluster,
+  description: string,
+  isFulfilled: () => boolean,
   timeoutMs = 10_000,
 ): Promise<void> {
-  const end = cluster.sim.at + timeoutMs;
-  while (!holds() && cluster.sim.at < end) await cluster.run(SAMPLE_MS);
-  assert.ok(holds(), what);
+  const deadline = cluster.sim.at + timeoutMs;
+  while (!isFulfilled() && cluster.sim.at < deadline) await cluster.run(SAMPLE_MS);
+  assert.ok(isFulfilled(), description);
 }
 
 /** Share of the time in which a controller leads with a valid lease. */
-async function validLeaseShare(cluster: Controllers, node: Controller, ms: number): Promise<number> {
+async function validLeaseShare(
+  cluster: SimulatedCluster,
+  controller: Controller,
+  ms: number,
+): Promise<number> {
   const samples = ms / SAMPLE_MS;
   let valid = 0;
   for (let sample = 0; sample < samples; sample++) {
     await cluster.run(SAMPLE_MS);
-    if (node.election?.hasValidLease()) valid += 1;
+    if (controller.election?.hasValidLease()) valid += 1;
   }
   return valid / samples;
 }
 
 /** The store refuses the leader alone until its lease has expired; no other controller becomes a candidate. */
-async function expireLease(cluster: Controllers, leader: Controller): Promise<void> {
-  leader.refusedUntil = cluster.sim.at + LONG_MS;
-  for (const node of cluster.followers()) electionOf(node).stepDownFor(LONG_MS, 'test');
-  await until(cluster, 'the leader key is gone', () => !cluster.store.hasLeader());
+async function expireLease(cluster: SimulatedCluster, leader: Controller): Promise<void> {
+  leader.refusedUntil = cluster.sim.at + LONG_OUTAGE_MS;
+  for (const controller of cluster.followers()) electionOf(controller).stepDownFor(LONG_OUTAGE_MS, 'test');
+  await waitUntil(cluster, 'the leader key is gone', () => !cluster.store.hasLeader());
 }
 
 /** A controller confirms a cancellation to a user while nobody leads. */
-async function confirmCancellation(cluster: Controllers, canceller: Controller): Promise<void> {
+async function confirmCancellation(cluster: SimulatedCluster, canceller: Controller): Promise<void> {
   let answered: string | null = null;
   cluster.cancel(canceller, JOB_ID, (stage) => (answered = stage));
-  await until(cluster, 'the user is answered', () => answered !== null, 1000);
+  await waitUntil(cluster, 'the user is answered', () => answered !== null, 1000);
   assert.equal(answered, 'aborted');
 }
 
 /** Through a long outage the lease of the old leader is never valid, and it never reports the cancelled job as running. */
-async function assertLeaseStaysExpired(cluster: Controllers, leader: Controller): Promise<void> {
+async function assertLeaseStaysExpired(cluster: SimulatedCluster, leader: Controller): Promise<void> {
   assert.equal(await validLeaseShare(cluster, leader, 20_000), 0);
   let answered: string | null = null;
   cluster.poll(leader, JOB_ID, (stage) => (answered = stage));
@@ -86,7 +90,7 @@
   const { cluster, leader, others } = await startCluster();
   await expireLease(cluster, leader);
   await confirmCancellation(cluster, others[0]);
-  cluster.store.outage(LONG_MS);
+  cluster.store.startOutage(LONG_OUTAGE_MS);
   await assertLeaseStaysExpired(cluster, leader);
 });
 
@@ -95,7 +99,7 @@
     const { cluster, leader, others } = await startCluster();
     await expireLease(cluster, leader);
     await confirmCancellation(cluster, others[0]);
-    cluster.store.outage(LONG_MS);
+    cluster.store.startOutage(LONG_OUTAGE_MS);
     cluster.crash(others[0], restartMs);
     await assertLeaseStaysExpired(cluster, leader);
   }
@@ -109,7 +113,7 @@
     cluster.cancel(others[0], JOB_ID);
     await cluster.run(150);
     cluster.crash(others[0], restartMs);
-    cluster.store.outage(LONG_MS);
+    cluster.store.startOutage(LONG_OUTAGE_MS);
     await assertLeaseStaysExpired(cluster, leader);
     assert.equal(cluster.store.jobRecord(JOB_ID), 'terminal', 'the transaction was carried out in the end');
   }
@@ -121,17 +125,17 @@
   others[0].delayNextTransactionMs = 8000;
   cluster.cancel(others[0], JOB_ID);
   await cluster.run(150);
-  cluster.store.outage(LONG_MS);
+  cluster.store.startOutage(LONG_OUTAGE_MS);
   await assertLeaseStaysExpired(cluster, leader);
   assert.equal(cluster.store.jobRecord(JOB_ID), 'terminal', 'the transaction was carried out in the end');
 });
 
 test('... nor after a newer leader led, and all peers were restarted', async () => {
   const { cluster, leader, others } = await startCluster();
-  leader.refusedUntil = cluster.sim.at + LONG_MS;
-  electionOf(others[1]).stepDownFor(LONG_MS, 'test');
-  await until(cluster, 'another leads', () => cluster.leaderWithValidLease() === others[0]);
-  cluster.store.outage(LONG_MS);
+  leader.refusedUntil = cluster.sim.at + LONG_OUTAGE_MS;
+  electionOf(others[1]).stepDownFor(LONG_OUTAGE_MS, 'test');
+  await waitUntil(cluster, 'another leads', () => cluster.leaderWithValidLease() === others[0]);
+  cluster.store.startOutage(LONG_OUTAGE_MS);
   cluster.crash(others[0], 500);
   cluster.crash(others[1], 700);
   await assertLeaseStaysExpired(cluster, leader);
@@ -145,9 +149,9 @@
   cluster.cancel(others[0], JOB_ID);
   await cluster.run(150);
   electionOf(others[1]).stepDownFor(0, 'test');
-  await until(cluster, 'the third leads', () => cluster.leaderWithValidLease() === others[1]);
+  await waitUntil(cluster, 'the third leads', () => cluster.leaderWithValidLease() === others[1]);
   await cluster.run(1500);
-  electionOf(others[1]).stepDownFor(LONG_MS, 'test');
+  electionOf(others[1]).stepDownFor(LONG_OUTAGE_MS, 'test');
   await cluster.run(12_000);
   assert.ok(!cluster.store.hasLeader(), 'nobody leads');
   assert.equal(cluster.store.jobRecord(JOB_ID), 'open', 'the job is still open');
@@ -163,7 +167,7 @@
   await cluster.run(300);
   cluster.crash(others[0], 30);
   await cluster.run(100);
-  for (const node of cluster.nodes) node.refusedUntil = cluster.sim.at + 20_000;
+  for (const controller of cluster.controllers) controller.refusedUntil = cluster.sim.at + 20_000;
   assert.equal(await validLeaseShare(cluster, leader, 20_000), 1);
   assert.ok(!cluster.store.hasLeader(), 'the lease has expired at the store');
   assert.equal(cluster.store.jobRecord(JOB_ID), 'open', 'the job is still open');
@@ -183,8 +187,8 @@
   await cluster.run(400);
   assert.ok(!cluster.store.hasLeader(), 'the lease has expired at the store');
   assert.equal(cluster.leaderWithValidLease(), leader);
-  await until(cluster, 'another leads in the end', () =>
-    others.some((node) => node === cluster.leaderWithValidLease()),
+  await waitUntil(cluster, 'another leads in the end', () =>
+    others.some((controller) => controller === cluster.leaderWithValidLease()),
   );
   assert.deepEqual(cluster.violations, []);
 });
@@ -194,7 +198,7 @@
   const sim = new Sim(SEED);
   const access = { refusedUntil: 0, lossy: false };
   const requested: boolean[] = [];
-  const election = electionOnModel(sim, {
+  const election = createElection(sim, {
     store: new LeaseModel(sim).storeOf(access),
     requestPeerLeases: async ({ continuous }) => {
       requested.push(continuous);
@@ -217,7 +221,7 @@
 test('a leadership goes on through an outage in which a follower is restarted', async () => {
   for (const restartMs of [30, 500, 2500]) {
     const { cluster, leader, others } = await startCluster();
-    cluster.store.outage(LONG_MS);
+    cluster.store.startOutage(LONG_OUTAGE_MS);
     await cluster.run(4000);
     assert.equal(await validLeaseShare(cluster, leader, 4000), 1);
     cluster.crash(others[0], restartMs);
@@ -228,7 +232,7 @@
 
 test('a leader that was stalled in an outage goes on if nobody wrote without it', async () => {
   const { cluster, leader, others } = await startCluster();
-  cluster.store.outage(LONG_MS);
+  cluster.store.startOutage(LONG_OUTAGE_MS);
   await cluster.run(4000);
   leader.stalledUntil = cluster.sim.at + 6000;
   await cluster.run(6000);
@@ -244,23 +248,30 @@
 test('in an outage the leader of an earlier term grants its peer lease to a newer leader', async () => {
   // Refused alone, the earlier one doesn't know that its leadership has ended, and once refused its lease for as long.
   const { cluster, leader, others } = await startCluster();
-  leader.refusedUntil = cluster.sim.at + LONG_MS;
-  await until(cluster, 'another leads', () => others.some((node) => node === cluster.leaderWithValidLease()));
+  leader.refusedUntil = cluster.sim.at + LONG_OUTAGE_MS;
+  await waitUntil(cluster, 'another leads', () =>
+    others.some((controller) => controller === cluster.leaderWithValidLease()),
+  );
   const newer = required(cluster.leaderWithValidLease(), 'leader');
   await cluster.run(1000);
-  cluster.store.outage(LONG_MS);
+  cluster.store.startOutage(LONG_OUTAGE_MS);
   assert.equal(await validLeaseShare(cluster, newer, 20_000), 1);
-  assert.equal(electionOf(leader).current(), null);
+  assert.equal(electionOf(leader).currentLeadership(), null);
   assert.deepEqual(cluster.violations, []);
 });
 
 test('a candidate that wins without an answer revokes that leadership, whenever the transaction is carried out', async () => {
   for (const delayMs of [0, 500, 1490, 1600, 4000]) {
     const { cluster, leader, others } = await startCluster();
-    electionOf(others[1]).stepDownFor(LONG_MS, 'test');
+    electionOf(others[1]).stepDownFor(LONG_OUTAGE_MS, 'test');
     others[0].delayNextTransactionMs = delayMs;
-    cluster.crash(leader, LONG_MS);
-    await until(cluster, 'it leads in the end', () => cluster.leaderWithValidLease() === others[0], 15_000);
+    cluster.crash(leader, LONG_OUTAGE_MS);
+    await waitUntil(
+      cluster,
+      'it leads in the end',
+      () => cluster.leaderWithValidLease() === others[0],
+      15_000,
+    );
     await cluster.run(8000);
     assert.equal(cluster.leaderWithValidLease(), others[0]);
     assert.deepEqual(cluster.violations, []);
@@ -270,29 +281,30 @@
 test('nobody waits for the lease of a leader that was restarted at once', async () => {
   const { cluster, leader, others } = await startCluster();
   cluster.crash(leader, 30);
-  await until(
+  await waitUntil(
     cluster,
     'another leads',
-    () => others.some((node) => node === cluster.leaderWithValidLease()),
+    () => others.some((controller) => controller === cluster.leaderWithValidLease()),
     1000,
   );
   // All end, and one is back within a second: it abstains for what its earlier process may have granted, then leads.
-  for (const node of cluster.nodes) cluster.crash(node, node === leader ? 300 : LONG_MS);
-  await until(cluster, 'it leads', () => cluster.leaderWithValidLease() === leader, 6000);
+  for (const controller of cluster.controllers)
+    cluster.crash(controller, controller === leader ? 300 : LONG_OUTAGE_MS);
+  await waitUntil(cluster, 'it leads', () => cluster.leaderWithValidLease() === leader, 6000);
   assert.deepEqual(cluster.violations, []);
 });
 
 test('a leadership whose win was answered after its lease expired is not valid, and ends', async () => {
   const { cluster, leader, others } = await startCluster();
   electionOf(others[1]).stepDownFor(20_000, 'test');
-  cluster.crash(leader, LONG_MS);
-  await until(cluster, 'nobody leads', () => !cluster.store.hasLeader());
-  others[0].answerMs = 1400;
-  await until(cluster, 'it has acquired the leadership', () => cluster.store.hasLeader());
+  cluster.crash(leader, LONG_OUTAGE_MS);
+  await waitUntil(cluster, 'nobody leads', () => !cluster.store.hasLeader());
+  others[0].answerDelayMs = 1400;
+  await waitUntil(cluster, 'it has acquired the leadership', () => cluster.store.hasLeader());
   others[0].stalledUntil = cluster.sim.at + 8000;
   await cluster.run(8000);
   assert.deepEqual(cluster.violations, []);
-  others[0].answerMs = 5;
-  await until(cluster, 'somebody leads again', () => cluster.leaderWithValidLease() !== null, 30_000);
+  others[0].answerDelayMs = 5;
+  await waitUntil(cluster, 'somebody leads again', () => cluster.leaderWithValidLease() !== null, 30_000);
   assert.deepEqual(cluster.violations, []);
 });
--- a/test/sim/guards.ts
+++ b/test/sim/guards.ts
@@ -76,7 +76,7 @@
     },
     controller: (controller) => {
       const { election } = controller as unknown as { election: Election };
-      if (missing.lease === true) election.hasValidLease = () => election.current() !== null;
+      if (missing.lease === true) election.hasValidLease = () => election.currentLeadership() !== null;
     },
   };
 }
--- a/test/store/budget.test.ts
+++ b/test/store/budget.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { LEADER_WRITES, submissionBudget } from '../../src/store/budget.ts';
+import { LEADER_WRITE_SHARE, createSubmissionBudget } from '../../src/store/budget.ts';
 import { FakeClock } from '../helpers.ts';
 
 test('submissions may come in a burst, and in the long run leave the leader its writes', () => {
@@ -9,14 +9,14 @@
   const writesPerSecond = 30;
   const nodes = 5;
   const budgets = Array.from({ length: nodes }, () =>
-    submissionBudget(writesPerSecond, nodes, () => clock.now()),
+    createSubmissionBudget(writesPerSecond, nodes, () => clock.now()),
   );
   const take = (): number => {
     let taken = 0;
     for (const budget of budgets) while (budget.take()) taken += 1;
     return taken;
   };
-  const share = writesPerSecond * (1 - LEADER_WRITES);
+  const share = writesPerSecond * (1 - LEADER_WRITE_SHARE);
   assert.ok(take() >= 3 * share, 'at once');
   let taken = 0;
   for (let second = 0; second < 60; second++) {
--- a/test/store/flaky-store.ts
+++ b/test/store/flaky-store.ts
@@ -6,7 +6,7 @@
  * What becomes of one transaction: `ok`; `lost` (executed, without a response); `late` (no response, and executed only
  * when the test says so); `refused` (never executed).
  */
-export type Fate = 'ok' | 'lost' | 'late' | 'refused';
+export type TransactionOutcome = 'ok' | 'lost' | 'late' | 'refused';
 
 export interface Transaction {
   conditions: readonly Condition[];
@@ -18,12 +18,12 @@
   readonly versions = new Map<string, number>([[KEYS.leader, 5]]);
   readonly values = new Map<string, unknown>();
   /** Transactions that have not been executed yet. */
-  readonly late: Transaction[] = [];
+  readonly pending: Transaction[] = [];
   revision = 10;
   /** Transactions that were sent, retries too. */
-  sent = 0;
+  sentCount = 0;
 
-  constructor(private readonly fates: Fate[]) {}
+  constructor(private readonly outcomes: TransactionOutcome[]) {}
 
   apply({ conditions, mutations }: Transaction): CompareAndSwapResult {
     const failed = conditions
@@ -47,15 +47,15 @@
     conditions: readonly Condition[],
     mutations: readonly Mutation[],
   ): Promise<CompareAndSwapResult> {
-    this.sent += 1;
-    const fate = this.fates.shift() ?? 'ok';
-    if (fate === 'refused') return Promise.resolve({ kind: 'refused' });
-    if (fate === 'late') {
-      this.late.push({ conditions, mutations });
+    this.sentCount += 1;
+    const outcome = this.outcomes.shift() ?? 'ok';
+    if (outcome === 'refused') return Promise.resolve({ kind: 'refused' });
+    if (outcome === 'late') {
+      this.pending.push({ conditions, mutations });
       return Promise.resolve({ kind: 'unknown' });
     }
     const result = this.apply({ conditions, mutations });
-    return Promise.resolve(fate === 'lost' ? { kind: 'unknown' } : result);
+    return Promise.resolve(outcome === 'lost' ? { kind: 'unknown' } : result);
   }
 
   /** The version of a key; 0: it does not exist. */
--- a/test/store/key-value-store.test.ts
+++ b/test/store/key-value-store.test.ts
@@ -14,7 +14,7 @@
 const NO_RESPONSE: HttpResult = { kind: 'silent', sent: true, reason: 'no answer in time' };
 
 /** A client whose calls all end with the same result, and the paths that it called. */
-function storeWith(result: HttpResult): { store: KeyValueStore; clock: FakeClock; paths: string[] } {
+function createStore(result: HttpResult): { store: KeyValueStore; clock: FakeClock; paths: string[] } {
   const clock = new FakeClock();
   const paths: string[] = [];
   const http: HttpSender = {
@@ -33,34 +33,37 @@
   return { store, clock, paths };
 }
 
-const swap = (result: HttpResult) =>
-  storeWith(result).store.compareAndSwap([{ key: 'a', version: 1 }], [{ delete: 'a' }], 'lease');
+const compareAndSwap = (result: HttpResult) =>
+  createStore(result).store.compareAndSwap([{ key: 'a', version: 1 }], [{ delete: 'a' }], 'lease');
 
 test('a transaction is refused only if it can never be executed, and unknown if it may be', async () => {
-  assert.deepEqual(await swap(NOT_SENT), { kind: 'refused' });
-  assert.deepEqual(await swap(response(503)), { kind: 'refused', overLimit: false });
-  assert.deepEqual(await swap(response(429)), { kind: 'refused', overLimit: true });
-  assert.deepEqual(await swap(response(400, '{"error":"malformed"}')), { kind: 'refused', overLimit: false });
-  assert.deepEqual(await swap(NO_RESPONSE), { kind: 'unknown' });
+  assert.deepEqual(await compareAndSwap(NOT_SENT), { kind: 'refused' });
+  assert.deepEqual(await compareAndSwap(response(503)), { kind: 'refused', overLimit: false });
+  assert.deepEqual(await compareAndSwap(response(429)), { kind: 'refused', overLimit: true });
+  assert.deepEqual(await compareAndSwap(response(400, '{"error":"malformed"}')), {
+    kind: 'refused',
+    overLimit: false,
+  });
+  assert.deepEqual(await compareAndSwap(NO_RESPONSE), { kind: 'unknown' });
   // Executed, and yet no one can say at which revision.
-  assert.deepEqual(await swap(response(200, 'not JSON')), { kind: 'unknown' });
-  assert.deepEqual(await swap(response(409, '{"failed":"a"}')), { kind: 'unknown' });
+  assert.deepEqual(await compareAndSwap(response(200, 'not JSON')), { kind: 'unknown' });
+  assert.deepEqual(await compareAndSwap(response(409, '{"failed":"a"}')), { kind: 'unknown' });
 });
 
 test('a transaction tells its revision, the failed conditions, or that its lease has expired', async () => {
-  assert.deepEqual(await swap(response(200, '{"ledger":7}')), { kind: 'ok', revision: 7 });
-  assert.deepEqual(await swap(response(409, '{"failed":["a"],"ledger":7}')), {
+  assert.deepEqual(await compareAndSwap(response(200, '{"ledger":7}')), { kind: 'ok', revision: 7 });
+  assert.deepEqual(await compareAndSwap(response(409, '{"failed":["a"],"ledger":7}')), {
     kind: 'conflict',
     failed: ['a'],
   });
-  assert.deepEqual(await swap(response(400, '{"error":"no such lease"}')), { kind: 'no_lease' });
+  assert.deepEqual(await compareAndSwap(response(400, '{"error":"no such lease"}')), { kind: 'no_lease' });
 });
 
 test('a key is missing only by a 404 in the form of the store, not by that of something in between', async () => {
-  const missing = storeWith(response(404, '{"ledger":7}')).store;
-  assert.deepEqual(await missing.get('a', 'user'), { kind: 'ok', value: null });
-  const foreign = storeWith(response(404, 'not found')).store;
-  assert.deepEqual(await foreign.get('a', 'user'), { kind: 'refused' });
+  const storeWithoutKey = createStore(response(404, '{"ledger":7}')).store;
+  assert.deepEqual(await storeWithoutKey.get('a', 'user'), { kind: 'ok', value: null });
+  const storeBehindProxy = createStore(response(404, 'not found')).store;
+  assert.deepEqual(await storeBehindProxy.get('a', 'user'), { kind: 'refused' });
 });
 
 test('a list is read page by page, and starts its watch at the revision of the first page', async () => {
@@ -94,21 +97,26 @@
 
 test('calls over the budget are withheld, the least urgent first', async () => {
   // One node has half of the 10 requests a second, with a burst of one second's worth.
-  const { store, clock, paths } = storeWith(response(404, '{"ledger":7}'));
-  const admitted = async (urgency: 'lease' | 'user' | 'background' | 'poll'): Promise<number> => {
+  const { store, clock, paths } = createStore(response(404, '{"ledger":7}'));
+  const countAdmitted = async (urgency: 'lease' | 'user' | 'background' | 'poll'): Promise<number> => {
     const before = paths.length;
     while ((await store.get('a', urgency)).kind === 'ok');
     return paths.length - before;
   };
   assert.deepEqual(
-    [await admitted('poll'), await admitted('background'), await admitted('user'), await admitted('lease')],
+    [
+      await countAdmitted('poll'),
+      await countAdmitted('background'),
+      await countAdmitted('user'),
+      await countAdmitted('lease'),
+    ],
     [3, 0, 1, 1],
   );
   assert.deepEqual(await store.get('a', 'lease'), { kind: 'refused', overLimit: true });
   clock.at += 1000;
-  assert.equal(await admitted('lease'), 5);
+  assert.equal(await countAdmitted('lease'), 5);
 });
 
 test('a watch that starts before the retained changes must list the keys again', async () => {
-  assert.deepEqual(await storeWith(response(410)).store.watch('o/', 1, 1000), { kind: 'gone' });
+  assert.deepEqual(await createStore(response(410)).store.watch('o/', 1, 1000), { kind: 'gone' });
 });
--- a/test/store/leader-writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -4,29 +4,34 @@
 import { RateBudget } from '../../src/store/budget.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import { LeaderWriter } from '../../src/store/leader-writer.ts';
-import type { Write, WritePriority } from '../../src/store/write-queues.ts';
+import type { ReadyWrite, WritePriority } from '../../src/store/write-queues.ts';
 import { failTest, FakeClock, SEED, silent } from '../helpers.ts';
-import { FlakyStore, type Fate } from './flaky-store.ts';
+import { FlakyStore, type TransactionOutcome } from './flaky-store.ts';
 
-interface Setup {
+interface WriterSetup {
   /** Reasons for which the writer gave the leadership up. */
-  lost?: string[];
+  lossReasons?: string[];
   clock?: FakeClock;
   maxMutations?: number;
   mutationsPerSecond?: number;
 }
 
 /** A writer whose pauses end at once, and move the clock. */
-function writerOn(
+function createWriter(
   store: FlakyStore,
-  { lost = [], clock = new FakeClock(), maxMutations = 4, mutationsPerSecond = 1000 }: Setup = {},
+  {
+    lossReasons: lost = [],
+    clock = new FakeClock(),
+    maxMutations = 4,
+    mutationsPerSecond = 1000,
+  }: WriterSetup = {},
 ): LeaderWriter {
   return new LeaderWriter({
     onError: failTest,
     host: {
       compareAndSwap: (conditions, mutations) => store.compareAndSwap(conditions, mutations),
       readVersion: (key) => Promise.resolve({ kind: 'ok', value: store.version(key) }),
-      lost: (reason) => lost.push(reason),
+      onLeadershipLost: (reason) => lost.push(reason),
       pause: (ms) => {
         clock.at += ms;
         return Promise.resolve();
@@ -40,38 +45,38 @@
   });
 }
 
-function put(key: string, value: unknown, done: () => void): Write {
-  return { kind: 'ready', mutations: [{ put: key, value }], done };
+function put(key: string, value: unknown, done: () => void): ReadyWrite {
+  return { kind: 'ready', mutations: [{ put: key, value }], onCommitted: done };
 }
 
 /** Lets the writer run for so many turns of the event loop. */
-async function settle(turns = 1): Promise<void> {
+async function runEventLoop(turns = 1): Promise<void> {
   for (let turn = 0; turn < turns; turn++) await new Promise((resolve) => setImmediate(resolve));
 }
 
 test('writes are committed once and in order, whatever responses are lost; late copies change nothing', async () => {
-  const fate = fc.constantFrom<Fate[]>('ok', 'lost', 'late', 'refused');
+  const arbitraryOutcome = fc.constantFrom<TransactionOutcome[]>('ok', 'lost', 'late', 'refused');
   await fc.assert(
     fc.asyncProperty(
-      fc.array(fate, { maxLength: 12 }),
+      fc.array(arbitraryOutcome, { maxLength: 12 }),
       fc.integer({ min: 1, max: 8 }),
-      async (fates, writes) => {
-        const store = new FlakyStore([...fates]);
+      async (outcomes, writes) => {
+        const store = new FlakyStore([...outcomes]);
         const lost: string[] = [];
-        const writer = writerOn(store, { lost });
+        const writer = createWriter(store, { lossReasons: lost });
         const done: number[] = [];
         for (let number = 0; number < writes; number++) {
           writer.enqueue(
             put('k', number, () => done.push(number)),
             'progress',
           );
-          if (number % 2 === 1) await settle();
+          if (number % 2 === 1) await runEventLoop();
         }
-        await settle(60);
+        await runEventLoop(60);
         assert.deepEqual(lost, []);
         assert.deepEqual(done, [...Array(writes).keys()]);
         assert.equal(store.values.get('k'), writes - 1);
-        for (const transaction of store.late) store.apply(transaction);
+        for (const transaction of store.pending) store.apply(transaction);
         assert.equal(store.values.get('k'), writes - 1, 'a late copy changed the outcome');
       },
     ),
@@ -83,13 +88,13 @@
   const store = new FlakyStore([]);
   store.versions.set(KEYS.leader, 6);
   const lost: string[] = [];
-  const writer = writerOn(store, { lost });
+  const writer = createWriter(store, { lossReasons: lost });
   let done = false;
   writer.enqueue(
     put('k', 1, () => (done = true)),
     'ends',
   );
-  await settle(5);
+  await runEventLoop(5);
   assert.equal(lost.length, 1);
   assert.equal(done, false);
   assert.equal(store.values.has('k'), false);
@@ -100,22 +105,22 @@
   const store = new FlakyStore(['lost', 'late']);
   const clock = new FakeClock();
   const lost: string[] = [];
-  const writer = writerOn(store, { lost, clock });
+  const writer = createWriter(store, { lossReasons: lost, clock });
   const done: string[] = [];
   writer.enqueue(
     put('a', 1, () => done.push('a')),
     'ends',
   );
-  await settle(10);
-  assert.deepEqual([done, store.sent, clock.at], [['a'], 1, 0]);
+  await runEventLoop(10);
+  assert.deepEqual([done, store.sentCount, clock.at], [['a'], 1, 0]);
   // One that is not committed is sent again at once; its late copy changes nothing.
   writer.enqueue(
     put('a', 2, () => done.push('b')),
     'ends',
   );
-  await settle(10);
-  assert.deepEqual([done, store.sent, clock.at], [['a', 'b'], 3, 0]);
-  for (const transaction of store.late) assert.equal(store.apply(transaction).kind, 'conflict');
+  await runEventLoop(10);
+  assert.deepEqual([done, store.sentCount, clock.at], [['a', 'b'], 3, 0]);
+  for (const transaction of store.pending) assert.equal(store.apply(transaction).kind, 'conflict');
   assert.deepEqual(lost, []);
 });
 
@@ -123,7 +128,7 @@
   // The transaction is never executed; another controller becomes the leader and writes.
   const store = new FlakyStore(['late']);
   const lost: string[] = [];
-  const writer = writerOn(store, { lost });
+  const writer = createWriter(store, { lossReasons: lost });
   let done = false;
   writer.enqueue(
     put('k', 1, () => (done = true)),
@@ -132,15 +137,15 @@
   store.versions.set(KEYS.leader, 11);
   store.versions.set(KEYS.fence, 12);
   store.revision = 12;
-  await settle(10);
+  await runEventLoop(10);
   assert.equal(done, false);
   assert.equal(lost.length, 1);
-  for (const transaction of store.late) assert.equal(store.apply(transaction).kind, 'conflict');
+  for (const transaction of store.pending) assert.equal(store.apply(transaction).kind, 'conflict');
 });
 
 test('terminal states go before start watermarks, these before completions, and housekeeping goes last', async () => {
   const store = new FlakyStore([]);
-  const writer = writerOn(store, { mutationsPerSecond: 10 });
+  const writer = createWriter(store, { mutationsPerSecond: 10 });
   const order: string[] = [];
   const enqueue = (name: string, priority: WritePriority): void => {
     writer.enqueue(
@@ -151,7 +156,7 @@
   for (const priority of ['background', 'progress', 'starts', 'ends'] as const) {
     for (let number = 0; number < 5; number++) enqueue(`${priority}${number}`, priority);
   }
-  await settle(400);
+  await runEventLoop(400);
   const expected = ['ends', 'starts', 'progress', 'background'].flatMap((priority) =>
     [0, 1, 2, 3, 4].map((number) => `${priority}${number}`),
   );
@@ -161,7 +166,7 @@
 test('a write to an idle store waits for nothing; many share transactions and stay within the budget', async () => {
   const store = new FlakyStore([]);
   const clock = new FakeClock();
-  const writer = writerOn(store, { clock, maxMutations: 12, mutationsPerSecond: 15 });
+  const writer = createWriter(store, { clock, maxMutations: 12, mutationsPerSecond: 15 });
   let done = 0;
   const enqueue = (): void => {
     writer.enqueue(
@@ -170,19 +175,22 @@
     );
   };
   enqueue();
-  await settle(5);
+  await runEventLoop(5);
   assert.deepEqual([done, clock.at], [1, 0]);
   for (let number = 0; number < 110; number++) enqueue();
-  await settle(600);
+  await runEventLoop(600);
   assert.equal(done, 111);
-  assert.ok(store.sent <= 14, `${store.sent} transactions`);
+  assert.ok(store.sentCount <= 14, `${store.sentCount} transactions`);
   // 111 mutations and a fence mutation for each transaction, less the second's worth that was there.
-  assert.ok(clock.at >= ((111 + store.sent - 15) / 15) * 1000 - 1 && clock.at < 10_000, `${clock.at} ms`);
+  assert.ok(
+    clock.at >= ((111 + store.sentCount - 15) / 15) * 1000 - 1 && clock.at < 10_000,
+    `${clock.at} ms`,
+  );
 });
 
 test('a deferred write takes the value of the moment at which its transaction is put together', async () => {
   const store = new FlakyStore([]);
-  const writer = writerOn(store, { maxMutations: 3, mutationsPerSecond: 3 });
+  const writer = createWriter(store, { maxMutations: 3, mutationsPerSecond: 3 });
   let value = 0;
   for (let number = 0; number < 4; number++) {
     writer.enqueue(
@@ -191,9 +199,9 @@
     );
   }
   writer.enqueue(
-    { kind: 'deferred', maxBytes: 10, build: () => ({ put: 'page', value }), done: () => undefined },
+    { kind: 'deferred', maxBytes: 10, build: () => ({ put: 'page', value }), onCommitted: () => undefined },
     'starts',
   );
-  await settle(200);
+  await runEventLoop(200);
   assert.equal(store.values.get('page'), 4);
 });
--- a/test/store/memory.ts
+++ b/test/store/memory.ts
@@ -6,9 +6,9 @@
   readonly data = new Map<string, { value: unknown; version: number }>();
   revision = 1;
   /** Mutations that were asked for, also by transactions whose conditions failed. */
-  changes = 0;
+  mutationCount = 0;
   /** What the next transactions come to, instead of their own results. */
-  readonly fates: ('over_limit' | 'lost')[] = [];
+  readonly outcomes: ('over_limit' | 'lost')[] = [];
 
   get(key: string): Promise<StoreResult<Item | null>> {
     const found = this.data.get(key);
@@ -19,14 +19,14 @@
     conditions: readonly Condition[],
     mutations: readonly Mutation[],
   ): Promise<CompareAndSwapResult> {
-    const fate = this.fates.shift();
-    if (fate === 'over_limit') return Promise.resolve({ kind: 'refused', overLimit: true });
+    const outcome = this.outcomes.shift();
+    if (outcome === 'over_limit') return Promise.resolve({ kind: 'refused', overLimit: true });
     const result = this.apply(conditions, mutations);
-    return Promise.resolve(fate === 'lost' ? { kind: 'unknown' } : result);
+    return Promise.resolve(outcome === 'lost' ? { kind: 'unknown' } : result);
   }
 
   apply(conditions: readonly Condition[], mutations: readonly Mutation[]): CompareAndSwapResult {
-    this.changes += mutations.length;
+    this.mutationCount += mutations.length;
     const failed = conditions
       .filter(({ key, version }) => (this.data.get(key)?.version ?? 0) !== version)
       .map(({ key }) => key);
--- a/test/workers/machine-registry.test.ts
+++ b/test/workers/machine-registry.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import type { Write } from '../../src/store/write-queues.ts';
+import type { ReadyWrite } from '../../src/store/write-queues.ts';
 import type { MachineIdentity } from '../../src/workers/machine.ts';
 import { MachineRegistry } from '../../src/workers/machine-registry.ts';
 import { SEED } from '../helpers.ts';
@@ -24,10 +24,10 @@
 class SlowStore {
   /** The machines' names by the key of their page. */
   readonly pages = new Map<string, string[]>();
-  private readonly queue: Write[] = [];
+  private readonly queue: ReadyWrite[] = [];
   writes = 0;
 
-  enqueue(write: Write): void {
+  enqueue(write: ReadyWrite): void {
     this.queue.push(write);
   }
 
@@ -46,7 +46,7 @@
         );
       } else this.pages.delete(change.delete);
     }
-    write.done();
+    write.onCommitted();
   }
 
   executeAll(): void {
