--- a/src/leadership/candidacy.ts
+++ b/src/leadership/candidacy.ts
@@ -1,4 +1,4 @@
-/** Candidacy: taking the leader key while nobody holds it. */
+/** Candidacy: acquires the leader key while it is absent. */
 import type { Clock } from '../base/clock.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import { putLeader, putTerm } from './leader-record.ts';
@@ -6,19 +6,19 @@
 import type { Leadership, LeadershipState } from './leadership-state.ts';
 import { computeLeaseExpiry, type LeaseOptions } from './lease.ts';
 
-/** The longest a candidate waits because it has been up for long, before the random part. */
+/** Upper bound of the delay that grows with a candidate's uptime, without the random part. */
 const MAX_UPTIME_DELAY_MS = 120;
-/** A candidate waits this much for each second that it has been up. */
+/** Delay of a candidate for each second of its uptime. */
 const UPTIME_DELAY_MS_PER_S = 0.5;
-/** Bound of the random part of a candidate's wait, which keeps candidates apart. */
+/** Upper bound of the random part of the delay, which keeps candidates from campaigning at the same time. */
 const DELAY_JITTER_MS = 20;
-/** Pause of a controller that leaves the leadership to others. */
+/** Pause of a controller whose candidacy is suspended. */
 const SUSPENDED_PAUSE_MS = 200;
-/** Pause while a leaderless write may not begin. */
+/** Pause while the peer lease ledger forbids leaderless writes, or after one could not begin. */
 const WRITE_RETRY_MS = 50;
-/** Pause after the store granted no lease. */
+/** Pause after the store did not grant a lease. */
 const LEASE_RETRY_MS = 100;
-/** Pause after the transaction that takes the leader key was not confirmed. */
+/** Pause after the transaction that puts the leader key failed or had no response. */
 const CAMPAIGN_RETRY_MS = 30;
 
 /** What candidacy needs from the rest of the election. */
@@ -27,14 +27,14 @@
   nonce: string;
   store: Pick<KeyValueStore, 'grantLease' | 'revokeLease'>;
   clock: Clock;
-  /** When this controller was started. */
+  /** When this process was started, by `clock.now()`. */
   startedAt: number;
   random: () => number;
   options: LeaseOptions;
   state: LeadershipState;
   writes: LeaderlessWrites;
   pause: (ms: number) => Promise<void>;
-  /** This controller won a term, with a lease that is valid until then. */
+  /** This controller won a term; its lease is valid until `leaseExpiresAt`. */
   onAcquired(leadership: Leadership, leaseExpiresAt: number): void;
   /** Aborted once the election is stopped. */
   signal: AbortSignal;
@@ -44,12 +44,13 @@
 export class Candidacy {
   constructor(private readonly deps: CandidacyDeps) {}
 
-  /** The leader key was seen absent: makes one attempt to take it, or pauses while that is not allowed. */
+  /** Makes one attempt to acquire the absent leader key, or pauses while an attempt is not allowed. */
   async contend(): Promise<void> {
     const { clock, startedAt, state, writes, random, pause } = this.deps;
     if (!state.canCampaign(clock.now())) return pause(SUSPENDED_PAUSE_MS);
     if (!writes.canAttempt()) return pause(WRITE_RETRY_MS);
-    // When controllers are restarted one after the other, one that has just been is the safest choice.
+    // In a rolling restart the controller that was restarted last is the least likely to be stopped next, so a
+    // shorter uptime means a shorter delay.
     const uptimeS = (clock.now() - startedAt) / 1000;
     const uptimeDelayMs = Math.min(MAX_UPTIME_DELAY_MS, uptimeS * UPTIME_DELAY_MS_PER_S);
     await pause(uptimeDelayMs + random() * DELAY_JITTER_MS);
@@ -58,7 +59,7 @@
     else await pause(WRITE_RETRY_MS);
   }
 
-  /** Takes the leader key, attached to a new lease, and counts the term up in the same transaction. */
+  /** Puts the leader key, attached to a new lease, and increments the term in the same transaction. */
   private async campaign(write: LeaderlessWrite): Promise<void> {
     const { node, nonce, store, clock, options, pause, signal } = this.deps;
     const term = write.term + 1;
@@ -70,7 +71,7 @@
     }
     const mutations = [putLeader({ node, term, nonce }, lease.value), putTerm(term)];
     const result = await write.commit([], mutations, 'lease');
-    // A controller that was stopped meanwhile must not lead: nobody would end that leadership.
+    // After the election was stopped this controller must not become leader: nothing would end that leadership.
     if (result.kind !== 'ok' || signal.aborted) {
       await store.revokeLease(lease.value);
       return pause(CAMPAIGN_RETRY_MS);
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,7 +1,7 @@
 /**
- * Leader election by a key in the key-value store that is attached to a lease. The term is counted up in the
- * transaction that takes the key, and is the fencing token of all that the leader sends. The holder counts its lease
- * from the moment a renewal was sent.
+ * Leader election by a key in the key-value store that is attached to a lease. The transaction that puts the key also
+ * increments the term, which is the fencing token of all messages of the leader. The holder measures its lease from
+ * the time at which it sent the renewal.
  */
 import type { Clock } from '../base/clock.ts';
 import type { Logger } from '../base/log.ts';
@@ -18,7 +18,7 @@
 import { PeerLeaseLedger } from './peer-lease-ledger.ts';
 import type { PeerLeaseRequest, RequestPeerLeases } from './peer-leases.ts';
 
-/** What the election needs of the key-value store. */
+/** The calls of the key-value store that the election uses. */
 export type ElectionStore = Pick<
   KeyValueStore,
   'get' | 'compareAndSwap' | 'grantLease' | 'renewLease' | 'revokeLease' | 'watch'
@@ -26,17 +26,17 @@
 
 /** Called when this controller's leadership begins and ends. */
 export interface ElectionEvents {
-  /** This controller leads from now on. */
+  /** This controller has become leader. */
   acquired(leadership: Leadership): void;
-  /** It leads no more; the reason is for the log. */
+  /** This controller is no longer leader; the reason is for the log. */
   lost(reason: string): void;
 }
 
-/** What an election is made of. */
+/** Collaborators and settings of an election. */
 export interface ElectionDeps {
   /** Name of this controller, unique in the deployment. */
   node: string;
-  /** Unique to this process. */
+  /** Unique to this process, unlike the name, which a restarted controller keeps. */
   nonce: string;
   store: ElectionStore;
   clock: Clock;
@@ -48,11 +48,11 @@
   pause: (ms: number) => Promise<void>;
   /** null: peer leases are not used. */
   requestPeerLeases: RequestPeerLeases | null;
-  /** A background task of the election failed, which is a defect; that task has ended. */
+  /** Called when a background task of the election has ended with an error, which is a defect. */
   onFault: (error: unknown) => void;
 }
 
-/** One controller's part in the election, and owner of the election's background tasks. */
+/** One controller's participation in the election; owns the election's background tasks. */
 export class Election {
   private readonly state = new LeadershipState();
   private readonly ledger: PeerLeaseLedger;
@@ -74,7 +74,7 @@
     this.peerLeases = new PeerLeaseExtension({ clock, log, state, ledger, hasValidLease, requestPeerLeases });
   }
 
-  /** Begins to watch the leader key, and to contend for it while it is absent. */
+  /** Starts to watch the leader key, and to campaign for it while it is absent. */
   start(): void {
     const { node, nonce, store, clock, random, options, log, pause } = this.deps;
     const { state, records, leaderlessWrites: writes } = this;
@@ -100,7 +100,7 @@
     this.runInBackground(watch.run());
   }
 
-  /** Ends the background tasks. A candidacy under way goes on to its end, but gives up the lease that it wins. */
+  /** Ends the background tasks. A campaign in progress is completed, but the lease that it wins is revoked. */
   stop(): void {
     this.stopping.abort();
   }
@@ -120,23 +120,24 @@
     return this.state.msSinceLeaseExpiry(this.deps.clock.now());
   }
 
-  /** Name of the controller that leads, as far as this one knows. */
+  /** Name of the leader as last observed; null if none is known. */
   leaderName(): string | null {
     return this.state.isLeading() ? this.deps.node : this.state.knownLeader;
   }
 
-  /** Begins a write that needs the absence of a leader. null: not now, or there is a leader. */
+  /** Begins a write that requires the absence of a leader. null: there is a leader, or the write may not begin now. */
   beginLeaderlessWrite(urgency: Urgency): Promise<LeaderlessWrite | null> {
     return this.leaderlessWrites.begin(urgency);
   }
 
   /**
-   * A leader that can't reach the store asks this controller to abstain from leaderless writes for a while. Granted
-   * only if this controller can't reach the store either: where that can be reached, its lease decides.
+   * Handles the request of a leader that can't reach the store: this controller is asked to abstain from leaderless
+   * writes for a while. Granted only if this controller can't reach the store either; while the store can be reached,
+   * the leader's lease there decides.
    */
   async grantPeerLease(request: PeerLeaseRequest): Promise<boolean> {
     const { leadership } = this.state;
-    // Only who has won a term asks for it.
+    // Only the winner of a term sends requests with it, so a higher term means that a newer leader exists.
     if (leadership && request.term > leadership.term) this.stepDown('a newer leader requested a peer lease');
     if (!this.canGrantPeerLease(request)) return false;
     const read = await this.records.readLeader('lease');
@@ -149,7 +150,7 @@
     return !this.state.isLeading() && this.ledger.canGrant(request);
   }
 
-  /** Gives the leadership up, for instance because a higher fencing token was seen. */
+  /** Ends the leadership, for instance because a higher fencing token was seen, and revokes its lease. */
   stepDown(reason: string): void {
     const ended = this.state.onLeadershipEnded();
     if (!ended) return;
@@ -158,7 +159,7 @@
     this.runInBackground(this.deps.store.revokeLease(ended.lease));
   }
 
-  /** Gives the leadership up and leaves it to others for so many ms. */
+  /** Ends the leadership and suspends this controller's candidacy for `ms` milliseconds. */
   stepDownFor(ms: number, reason: string): void {
     this.state.onCandidacySuspended(this.deps.clock.now() + ms);
     this.stepDown(reason);
--- a/src/leadership/heartbeat-grace.ts
+++ b/src/leadership/heartbeat-grace.ts
@@ -1,34 +1,39 @@
-/** How long a leader whose lease has expired still answers heartbeats, by what a confirmed cancellation promises. */
+/** How long a leader may answer heartbeats after its lease has expired, derived from the bound on cancellations. */
 import { DRIFT } from '../base/clock.ts';
 
-/** Part of the time that a cancellation leaves beside the workers' lease. The rest covers what is not foreseen. */
+/** Share of the cancellation time beyond the workers' lease that the grace may use; the rest is a safety reserve. */
 const GRACE_SHARE = 0.6;
 
-/** The settings that bound the grace. */
+/** The settings that limit the grace. */
 export interface CancellationTimes {
-  /** Within this time of a confirmed cancellation every task of the job must be gone, in s. */
+  /** Time after a confirmed cancellation within which every task of the job must have ended, in s. */
   cancelS: number;
-  /** A worker kills its tasks this long after it sent its last answered heartbeat, in s. */
+  /** A worker kills its tasks this long after it sent the last heartbeat that was answered, in s. */
   leaseS: number;
 }
 
 /**
- * How long a leader answers heartbeats after its lease expired, in ms. Whoever confirms a cancellation without that
- * leader does so after its lease; the last heartbeat that the leader answers was sent within the grace of that, and
- * the worker's lease runs from there: grace + lease <= cancel, each by a clock that may be slow (docs/safety.md, "From
- * a confirmed cancellation to the last task gone").
+ * How long a leader answers heartbeats after its lease has expired, in ms.
+ *
+ * Another controller can confirm a cancellation without the leader only after the leader's lease has expired. The last
+ * heartbeat that the leader then answers is sent at most the grace later, and the worker's lease runs from the sending
+ * of that heartbeat. So the grace plus the worker's lease must not exceed the cancellation time, each measured by a
+ * clock that may be slow (docs/safety.md, "From a confirmed cancellation to the last task gone").
  */
 export function computeHeartbeatGraceMs(configuredS: number, times: CancellationTimes): number {
   const availableS = times.cancelS / (1 + DRIFT) - times.leaseS;
   return Math.max(0, Math.min(configuredS, availableS * GRACE_SHARE)) * 1000;
 }
 
-/** The longest time from a confirmed cancellation until its last task is gone, in s. */
+/** The longest time from a confirmed cancellation until the last task of the job has ended, in s. */
 export function computeCancellationBoundS(graceMs: number, times: CancellationTimes): number {
   return (graceMs / 1000 + times.leaseS) * (1 + DRIFT);
 }
 
-/** False: the settings give tasks less time after a cancellation than a worker that reaches nobody keeps them. */
+/**
+ * Whether the cancellation time can be met even without a grace. False: a worker that reaches no controller keeps its
+ * tasks for longer than the settings allow after a cancellation.
+ */
 export function canMeetCancellationTime(times: CancellationTimes): boolean {
   return computeCancellationBoundS(0, times) <= times.cancelS;
 }
--- a/src/leadership/leader-record.ts
+++ b/src/leadership/leader-record.ts
@@ -9,51 +9,51 @@
 const leaderRecordSchema = z.object({ node: z.string(), term: z.int(), nonce: z.string() });
 const termRecordSchema = z.object({ n: z.int() });
 
-/** Who leads; stored under the leader key, which is attached to the leader's lease and goes with it. */
+/** The current leader; stored under the leader key, which is deleted when the leader's lease ends. */
 export type LeaderRecord = z.infer<typeof leaderRecordSchema>;
 
 type StoreFailure = Exclude<StoreResult<unknown>, { kind: 'ok' }>;
 
-/** What a read of the leader key found. `unavailable`: the store refused the read, or gave no usable answer. */
+/** Result of a read of the leader key. `unavailable`: the store refused the read, or gave no usable response. */
 export type LeaderRead =
   | { kind: 'absent' }
   | { kind: 'held'; record: LeaderRecord; version: number; lease: number | null }
   | { kind: 'malformed' }
   | { kind: 'unavailable'; failure: StoreFailure };
 
-/** What a read of the term key found: the last term that was won, 0 before the first, and its record's version. */
+/** Result of a read of the term key: the last term that was won (0 before the first) and the record's version. */
 export type TermRead =
   | { kind: 'known'; term: number; version: number }
   | { kind: 'malformed' }
   | { kind: 'unavailable'; failure: StoreFailure };
 
-/** Is told each term as soon as it is read. */
+/** Notified of each term as soon as it is read. */
 export interface TermObserver {
-  /** A term that the leader key held. */
+  /** The leader key held this term. */
   observeLeaderTerm(term: number): void;
-  /** The last term that was won, by the term key. */
+  /** The term key held this term, the last one that was won. */
   observeTermRecord(term: number): void;
 }
 
-/** The condition that nobody holds the leader key. */
+/** The condition that the leader key does not exist. */
 export const LEADER_ABSENT: Condition = { key: KEYS.leader, version: 0 };
 
-/** The condition that no other term was won since the term key was read. */
+/** The condition that no other term has been won since the term key was read at this version. */
 export function termUnchanged(version: number): Condition {
   return { key: KEYS.term, version };
 }
 
-/** Writes the leader key, attached to a lease. */
+/** The mutation that puts the leader key, attached to a lease. */
 export function putLeader({ node, term, nonce }: LeaderRecord, lease: number): Mutation {
   return { put: KEYS.leader, value: { node, term, nonce }, lease };
 }
 
-/** Writes the term key. */
+/** The mutation that puts the term key. */
 export function putTerm(term: number): Mutation {
   return { put: KEYS.term, value: { n: term } };
 }
 
-/** Reads the records of leadership; an observer is told the terms that they hold. */
+/** Reads the leader key and the term key, and notifies an observer of the terms that they hold. */
 export class LeadershipRecords {
   constructor(
     private readonly store: Pick<KeyValueStore, 'get'>,
@@ -61,7 +61,7 @@
     private readonly log: Logger,
   ) {}
 
-  /** The leader key as the store has it now. */
+  /** Reads the leader key. */
   async readLeader(urgency: Urgency): Promise<LeaderRead> {
     const found = await this.store.get(KEYS.leader, urgency);
     if (found.kind !== 'ok') return { kind: 'unavailable', failure: found };
@@ -73,7 +73,7 @@
     return { kind: 'held', record: decoded.data, version, lease };
   }
 
-  /** The term key as the store has it now. */
+  /** Reads the term key. */
   async readTerm(urgency: Urgency): Promise<TermRead> {
     const found = await this.store.get(KEYS.term, urgency);
     if (found.kind !== 'ok') return { kind: 'unavailable', failure: found };
--- a/src/leadership/leader-watch.ts
+++ b/src/leadership/leader-watch.ts
@@ -1,22 +1,24 @@
-/** Watches the leader key: follows whoever holds it, and lets this controller contend while nobody does. */
+/** Watches the leader key: follows its holder, and starts a candidacy of this controller while the key is absent. */
 import type { Logger } from '../base/log.ts';
 import { KEYS } from '../store/keys.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import type { LeaderRead, LeaderRecord, LeadershipRecords } from './leader-record.ts';
 import type { LeadershipState } from './leadership-state.ts';
 
-/** A leader looks this often whether it still leads. */
+/** Interval at which the leader checks whether it still leads. */
 const LEADING_RECHECK_MS = 200;
-/** First and longest delay before the leader key is read again after the store failed to answer. */
+/** First and longest delay before the leader key is read again after a failed read; doubled with each failure. */
 const MIN_RETRY_MS = 100;
 const MAX_RETRY_MS = 800;
-/** Bound of the random part of delays after the store failed. */
+/** Upper bound of the random part of the delays after a failed read or watch. */
 const RETRY_JITTER_MS = 100;
+/** Pause after the leader record was malformed. */
 const MALFORMED_PAUSE_MS = 500;
-/** Pause after the lease of an earlier process was revoked. */
+/** Pause after a stale lease of this controller was revoked. */
 const REVOKED_PAUSE_MS = 20;
-/** How long the store holds a watch open. */
+/** How long the store may hold a watch open without a change. */
 const MAX_WATCH_MS = 20_000;
+/** Delay after a failed watch, without the random part. */
 const WATCH_RETRY_MS = 150;
 
 /** What the watch of the leader key needs from the rest of the election. */
@@ -28,13 +30,13 @@
   state: LeadershipState;
   records: LeadershipRecords;
   pause: (ms: number) => Promise<void>;
-  /** The leader key is absent. */
+  /** Called when the leader key is absent; tries to acquire it. */
   contend(): Promise<void>;
   /** Aborted once the election is stopped. */
   signal: AbortSignal;
 }
 
-/** What a controller that doesn't lead does next, by what it read in the leader key. */
+/** The next action of a controller that is not the leader, derived from a read of the leader key. */
 type NextAction =
   | { kind: 'retry' }
   | { kind: 'contend' }
@@ -52,18 +54,19 @@
       return { kind: 'reportMalformed' };
     case 'held': {
       const { record, version, lease } = read;
-      // An earlier process of this controller: it is gone, or this is the answer to a transaction we gave up on.
+      // The key was put by an earlier process of this controller, or by a transaction of this process that got no
+      // response. In both cases no process leads by it.
       if (record.node === node) return { kind: 'revokeStaleLease', term: record.term, lease };
       return { kind: 'follow', leader: record, version };
     }
   }
 }
 
-/** The loop that watches the leader key, as long as the election runs. */
+/** The loop that watches the leader key until the election is stopped. */
 export class LeaderWatch {
   constructor(private readonly deps: LeaderWatchDeps) {}
 
-  /** Ends once the signal is aborted and the step under way (a read, a watch, a pause or a candidacy) is over. */
+  /** Ends once the signal is aborted and the current step (a read, a watch, a pause or a candidacy) has ended. */
   async run(): Promise<void> {
     const { node, store, state, records, log, pause, signal } = this.deps;
     let retryMs = MIN_RETRY_MS;
--- a/src/leadership/leaderless-write.ts
+++ b/src/leadership/leaderless-write.ts
@@ -1,4 +1,4 @@
-/** Leaderless writes: transactions that the store carries out only while nobody holds the leader key. */
+/** Leaderless writes: transactions that the store executes only while the leader key is absent. */
 import type { Clock } from '../base/clock.ts';
 import type { Urgency } from '../store/call-budget.ts';
 import type { CompareAndSwapResult, KeyValueStore } from '../store/key-value-store.ts';
@@ -7,11 +7,11 @@
 import type { LeaderlessWriteOutcome, PeerLeaseLedger } from './peer-lease-ledger.ts';
 
 /**
- * A write that needs the absence of a leader, begun but not sent. It must be ended by one of the two calls; meanwhile
- * this controller grants no peer lease.
+ * A write that requires the absence of a leader, begun but not sent yet. It must be ended by either `commit` or
+ * `abandon`; until then this controller grants no peer lease.
  */
 export interface LeaderlessWrite {
-  /** The last term that was won. */
+  /** The last term that was won when the write began. */
   readonly term: number;
   /** Sends the transaction, conditional on the absence of a leader and on the write's term, and ends the write. */
   commit(
@@ -33,11 +33,11 @@
   isLeading(): boolean;
 }
 
-/** Begins leaderless writes, and notes in the ledger what became of them. */
+/** Begins leaderless writes, and records their outcomes in the ledger. */
 export class LeaderlessWrites {
   constructor(private readonly deps: LeaderlessWritesDeps) {}
 
-  /** False while an attempt would be pointless: a lease granted to a leader, or a recent start, forbids it. */
+  /** False while a granted peer lease or the abstention after a start certainly forbids a leaderless write. */
   canAttempt(): boolean {
     const { ledger, clock } = this.deps;
     const now = clock.now();
@@ -45,9 +45,11 @@
   }
 
   /**
-   * Begins a leaderless write. null: not now, or there is a leader. The term is read before the leader key is seen
-   * absent, so a write that is sent belongs to a term whose lease has expired for good; and its transaction can't be
-   * carried out once another term has begun.
+   * Begins a leaderless write. null: there is a leader, or the write may not begin now.
+   *
+   * The term is read first and the leader key second. If the key is then absent, the lease of that term has expired
+   * for good. The transaction is conditional on the term record as well, so it can't be executed once another term has
+   * begun.
    */
   async begin(urgency: Urgency): Promise<LeaderlessWrite | null> {
     const { ledger, records } = this.deps;
--- a/src/leadership/leadership-state.ts
+++ b/src/leadership/leadership-state.ts
@@ -1,18 +1,18 @@
-/** The state machine of the election: what one controller knows about who leads. It does no I/O. */
+/** The state machine of the election: one controller's knowledge of the leader and of its own leases. Does no I/O. */
 import { HeldPeerLeases } from './peer-leases.ts';
 
 /** A leadership that this controller won. */
 export interface Leadership {
   term: number;
-  /** Version of the leader key: the condition of every write. */
+  /** Version of the leader key; every write of the leader is conditional on it. */
   version: number;
   /** The lease that the leader key is attached to. */
   lease: number;
 }
 
 /**
- * Whether this controller leads, until when its lease is valid, and whom it follows otherwise. One method for each
- * event. Times are milliseconds on the steady clock of this process.
+ * Whether this controller is the leader, when its lease expires, and which leader it follows otherwise. Each event has
+ * one method. Times are milliseconds on the steady clock of this process.
  */
 export class LeadershipState {
   private heldLeadership: Leadership | null = null;
@@ -21,12 +21,12 @@
   private observedLeader: string | null = null;
   private candidacySuspendedUntil = -Infinity;
 
-  /** The leadership that is held; null: this controller doesn't lead. */
+  /** The leadership that this controller holds; null: it is not the leader. */
   get leadership(): Leadership | null {
     return this.heldLeadership;
   }
 
-  /** The other controller that was last seen to lead, if any. */
+  /** The other controller that was last observed as leader, if any. */
   get knownLeader(): string | null {
     return this.observedLeader;
   }
@@ -35,7 +35,7 @@
     return this.heldLeadership !== null;
   }
 
-  /** Whether that leadership has not ended meanwhile. */
+  /** Whether this leadership has not ended yet. */
   isHeld(leadership: Leadership): boolean {
     return this.heldLeadership === leadership;
   }
@@ -50,25 +50,25 @@
     return Math.max(0, now - this.expiresAt());
   }
 
-  /** False while this controller leaves the leadership to others. */
+  /** False while this controller's candidacy is suspended. */
   canCampaign(now: number): boolean {
     return now >= this.candidacySuspendedUntil;
   }
 
-  /** This controller won a term, with a lease that is valid until then. */
+  /** This controller won a term; its lease is valid until `leaseExpiresAt`. */
   onLeadershipAcquired(leadership: Leadership, leaseExpiresAt: number): void {
     this.heldLeadership = leadership;
     this.leaseExpiresAt = leaseExpiresAt;
   }
 
-  /** The lease was renewed. Renewals overlap, so their answers may come out of order. */
+  /** The lease was renewed. Renewals overlap, so their responses may arrive out of order. */
   onLeaseRenewed(expiresAt: number): void {
     this.leaseExpiresAt = Math.max(this.leaseExpiresAt, expiresAt);
   }
 
   /**
-   * Peers answered a request for peer leases. Returns true if the own lease has expired and no peer leases outlasted
-   * it before: the leadership is valid from now on only by these, if at all.
+   * The peers have answered a request for peer leases. Returns true if the leader's own lease has expired and the
+   * peer leases held before did not outlast it: from now on the leadership can be valid only by the peer leases.
    */
   onPeerLeasesAnswered(granted: readonly boolean[], expiresAt: number, now: number): boolean {
     const previousExpiry = this.peerLeases.expiresAt;
@@ -76,7 +76,7 @@
     return now >= this.leaseExpiresAt && previousExpiry < this.leaseExpiresAt;
   }
 
-  /** The leadership ends; returns the one that was held, if any. */
+  /** Ends the leadership; returns the one that was held, if any. */
   onLeadershipEnded(): Leadership | null {
     const ended = this.heldLeadership;
     if (!ended) return null;
@@ -87,19 +87,19 @@
     return ended;
   }
 
-  /** The leadership is left to others until then. */
+  /** This controller must not become a candidate before that time. */
   onCandidacySuspended(until: number): void {
     this.candidacySuspendedUntil = until;
   }
 
-  /** Another controller was seen to lead; returns false if that was known. */
+  /** Another controller was observed as leader; returns false if it was known already. */
   onLeaderObserved(node: string): boolean {
     const isNew = this.observedLeader !== node;
     this.observedLeader = node;
     return isNew;
   }
 
-  /** The leader key was seen absent. */
+  /** The leader key was observed to be absent. */
   onLeaderAbsent(): void {
     this.observedLeader = null;
   }
--- a/src/leadership/lease-renewal.ts
+++ b/src/leadership/lease-renewal.ts
@@ -1,12 +1,12 @@
-/** Keeps the lease of one leadership alive, by renewals at the store or else by peer leases. */
+/** Keeps the lease of one leadership valid by renewals at the store, or by peer leases while the store fails. */
 import type { Clock } from '../base/clock.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import type { Leadership, LeadershipState } from './leadership-state.ts';
 import { computeLeaseExpiry, type LeaseOptions } from './lease.ts';
 
-/** More renewals than this are never in flight at once. */
+/** Upper bound of the renewals in flight at once. */
 const MAX_RENEWALS_IN_FLIGHT = 4;
-/** After failures the next renewal is sent sooner: after this long for each failure in a row, up to the maximum. */
+/** After a failure the next renewal is sent after this delay for each consecutive failure, up to the maximum. */
 const RETRY_STEP_MS = 100;
 const MAX_RETRY_DELAY_MS = 500;
 
@@ -17,16 +17,16 @@
   options: LeaseOptions;
   state: LeadershipState;
   pause: (ms: number) => Promise<void>;
-  /** Asks the peers for leases that stand in for a renewal. */
+  /** Requests peer leases in place of a renewal. */
   extendByPeerLeases(leadership: Leadership): Promise<void>;
   stepDown(reason: string): void;
-  /** Runs a task that nobody waits for; its failure is handled there. */
+  /** Runs a task without waiting for it, and reports its failure. */
   runInBackground: (task: Promise<unknown>) => void;
   /** Aborted once the election is stopped. */
   signal: AbortSignal;
 }
 
-/** The renewal of the lease of one leadership, until that ends. */
+/** Renews the lease of one leadership until the leadership ends. */
 export class LeaseRenewal {
   private renewalsInFlight = 0;
   private consecutiveFailures = 0;
@@ -38,8 +38,8 @@
   ) {}
 
   /**
-   * Sends renewals one after the other without waiting for answers: on a busy controller answers are read late, and a
-   * renewal that waited for the one before it once came too late for a lease of several seconds.
+   * Sends renewals at intervals without waiting for responses. A busy controller reads responses late, so a renewal
+   * that waits for the response to the previous one can miss the expiry of a lease of several seconds.
    */
   async run(): Promise<void> {
     const { state, signal, pause, runInBackground } = this.deps;
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -1,10 +1,10 @@
 /**
- * The leader's lease in the key-value store: its time to live, and how long its holder may count on it. All times
- * are milliseconds on the steady clock of the process that holds the lease.
+ * The leader's lease in the key-value store: its time to live, and its expiry as the holder has to assume it. All
+ * times are milliseconds on the steady clock of the process that holds the lease.
  */
 import { DRIFT } from '../base/clock.ts';
 
-/** Times of the leader's lease. */
+/** Duration and renewal interval of the leader's lease. */
 export interface LeaseOptions {
   /** Time to live of the lease, in ms. */
   ttlMs: number;
@@ -12,16 +12,16 @@
   renewMs: number;
 }
 
-/** A controller with less of a core than this reads answers late; its lease is longer in proportion. */
+/** A controller with a smaller share of a core reads responses late; its lease is lengthened in proportion. */
 const FULL_SPEED_CORES = 0.14;
-/** However small the share of a core, the lease is at most this many times as long. */
+/** Upper bound of the factor by which a small share of a core lengthens the lease. */
 const MAX_LEASE_FACTOR = 2;
-/** Kept beside the drift of the clocks, in ms. */
+/** Subtracted from the expiry in addition to clock drift, in ms. */
 const SAFETY_MARGIN_MS = 20;
 
 /**
- * The time to live of the lease, in ms, on controllers with such a share of a core; it must be the same on all of
- * them.
+ * The time to live of the lease, in ms, on controllers with `cores` CPU cores (a fraction of one core or more). All
+ * controllers must have the same share.
  */
 export function scaleLeaseTtlMs(configuredTtlMs: number, cores: number): number {
   const factor = cores > 0 ? FULL_SPEED_CORES / cores : 1;
@@ -29,8 +29,9 @@
 }
 
 /**
- * Until when the holder of a lease may count on a renewal. It counts from the moment the renewal was sent, since the
- * store can only have carried it out later, and ends early rather than late.
+ * When a renewed lease expires for its holder. The time is measured from the sending of the renewal, since the store
+ * can only have executed it later, and clock drift and a margin are subtracted: the holder must stop relying on the
+ * lease before the store ends it.
  */
 export function computeLeaseExpiry(sentAt: number, ttlMs: number): number {
   return sentAt + ttlMs * (1 - DRIFT) - SAFETY_MARGIN_MS;
--- a/src/leadership/peer-lease-extension.ts
+++ b/src/leadership/peer-lease-extension.ts
@@ -1,4 +1,4 @@
-/** Peer leases in place of the leader's own lease, which it can't renew in an outage of the key-value store. */
+/** Extends a leadership by peer leases while an outage of the key-value store prevents renewals of its own lease. */
 import type { Clock } from '../base/clock.ts';
 import type { Logger } from '../base/log.ts';
 import type { Leadership, LeadershipState } from './leadership-state.ts';
@@ -16,13 +16,14 @@
   requestPeerLeases: RequestPeerLeases | null;
 }
 
-/** Extends leaderships by peer leases. */
+/** Requests peer leases for a leadership and records the granted ones. */
 export class PeerLeaseExtension {
   constructor(private readonly deps: PeerLeaseExtensionDeps) {}
 
   /**
-   * Asks all peers once. A leadership whose lease is still valid when they have answered goes on without a gap; after
-   * a gap its lease becomes valid again only if the peers can tell that nobody wrote without a leader meanwhile.
+   * Sends one request to all peers. If the lease is still valid when all have answered, the leadership continues
+   * without a gap. After a gap the lease becomes valid again only if every peer can rule out that it executed a
+   * leaderless write in the meantime.
    */
   async extend(leadership: Leadership): Promise<void> {
     const { clock, state, ledger, requestPeerLeases } = this.deps;
--- a/src/leadership/peer-lease-ledger.ts
+++ b/src/leadership/peer-lease-ledger.ts
@@ -1,39 +1,40 @@
-/** What this controller granted to leaders and wrote without one: the two exclude each other. */
+/** Record of the peer leases and leaderless writes of this controller, which exclude each other. */
 import { computeAbstentionEnd, MAX_PEER_LEASE_MS, type PeerLeaseRequest } from './peer-leases.ts';
 
-/**
- * What became of a leaderless write. `unknown`: its transaction had no answer; it may have been carried out, or may
- * be later.
- */
+/** Outcome of a leaderless write. `unknown`: no response; the transaction may have been or may yet be executed. */
 export type LeaderlessWriteOutcome = 'not_executed' | 'executed' | 'unknown';
 
 /**
- * The abstention leases that one controller granted to leaders, and the writes it made that need the absence of a
- * leader ("leaderless writes": candidacy, and cancelling a job without a leader). A write belongs to the term that the
- * store named when it began. Times are milliseconds on the steady clock of this process. docs/safety.md, "Peer
- * leases in an outage", has the rules.
+ * Decides when this controller may grant a peer lease and when it may begin a leaderless write. A peer lease obliges
+ * this controller to abstain from leaderless writes. Leaderless writes require the absence of a leader: candidacy, and
+ * the cancellation of a job without a leader. Such a write belongs to the term that the term record held when the
+ * write began. Times are milliseconds on the steady clock of this process. The rules are in docs/safety.md, "Peer
+ * leases in an outage".
  */
 export class PeerLeaseLedger {
   private grantAbstentionUntil = -Infinity;
   private startupAbstentionUntil: number;
   private termRecordRead = false;
   private writesInFlight = 0;
-  /** The highest term that this process has read in the leader key. */
+  /** The highest term that this process has read from the leader key. */
   private highestLeaderTerm = 0;
-  /** The highest term in which a write of this process was, or may yet be, carried out. */
+  /** The highest term in which a leaderless write of this process was or may yet be executed. */
   private highestWriteTerm = -1;
 
-  /** A process knows of no lease that an earlier one granted under its name, so it abstains for the longest one. */
+  /**
+   * A process does not know the leases that an earlier process of the same controller granted, so after its start it
+   * abstains for the longest possible lease.
+   */
   constructor(startedAt: number) {
     this.startupAbstentionUntil = computeAbstentionEnd(startedAt, MAX_PEER_LEASE_MS);
   }
 
-  /** The leader key was read while it held this term. */
+  /** The leader key was read and held this term. */
   observeLeaderTerm(term: number): void {
     this.highestLeaderTerm = Math.max(this.highestLeaderTerm, term);
   }
 
-  /** The last term that was won, as the store names it. Before the first one nobody can have granted a lease. */
+  /** The term record was read. If it is 0, no leader has existed yet, so no controller can have granted a lease. */
   observeTermRecord(term: number): void {
     this.termRecordRead = true;
     if (term === 0) this.startupAbstentionUntil = -Infinity;
@@ -44,32 +45,33 @@
     return now >= this.grantAbstentionUntil && now >= this.startupAbstentionUntil;
   }
 
-  /** True if the term record in the store could allow a write that otherwise has to wait. */
+  /** Whether a read of the term record could end the abstention after the start early, by showing that it is 0. */
   shouldReadTermRecord(now: number): boolean {
     return !this.termRecordRead && now >= this.grantAbstentionUntil;
   }
 
-  /** Begins a leaderless write; false: not now. Until it ends no lease is granted. */
+  /** Begins a leaderless write; false: it may not begin now. No lease is granted until the write has ended. */
   beginWrite(now: number): boolean {
     if (!this.canBeginWrite(now)) return false;
     this.writesInFlight += 1;
     return true;
   }
 
-  /** Ends a leaderless write of that term. */
+  /** Ends a leaderless write that belongs to that term. */
   endWrite(term: number, outcome: LeaderlessWriteOutcome): void {
     this.writesInFlight -= 1;
     if (outcome !== 'not_executed') this.highestWriteTerm = Math.max(this.highestWriteTerm, term);
   }
 
-  /** True if no write of this process can take effect in that term, neither one in flight nor one sent before. */
+  /** True if no leaderless write of this process, in flight or sent before, can be executed in that term. */
   hasNoWriteIn(term: number): boolean {
     return this.writesInFlight === 0 && term > this.highestWriteTerm;
   }
 
   /**
-   * Whether a leader of that term may be granted a lease. One that asks after a gap needs more: this process must
-   * have read its term in the leader key, so that nothing its own earlier processes sent in that term can be left.
+   * Whether the leader that sent the request may be granted a lease. After a gap in the leader's lease this process
+   * must also have read the leader's term from the leader key. The key was present then, so no earlier process of this
+   * controller can have sent a leaderless write in that term.
    */
   canGrant(request: PeerLeaseRequest): boolean {
     if (request.ms > MAX_PEER_LEASE_MS || request.term < this.highestLeaderTerm) return false;
@@ -77,7 +79,7 @@
     return request.continuous || this.highestLeaderTerm === request.term;
   }
 
-  /** Grants a lease of so many ms. */
+  /** Records a granted lease with this time to live. */
   grant(ttlMs: number, now: number): void {
     this.grantAbstentionUntil = Math.max(this.grantAbstentionUntil, computeAbstentionEnd(now, ttlMs));
   }
--- a/src/store/budget.ts
+++ b/src/store/budget.ts
@@ -1,18 +1,19 @@
-/** Rate limits on an injected clock, and this node's share of the writes that the key-value store accepts. */
+/** Rate limits on an injected clock, and the shares of the key-value store's write rate that they enforce. */
 
 /**
- * The leader's part of the mutations that the key-value store accepts per second. The rest is for submissions, which
- * every node writes by itself: they never use up what terminal states and start watermarks need.
+ * Share of the key-value store's mutations per second that is reserved for the leader. The rest is for submissions,
+ * which every controller writes by itself, so that submissions never use up what terminal states and start watermarks
+ * need.
  */
 export const LEADER_WRITE_SHARE = 0.6;
-/** Sum of all nodes' shares of the submissions, as a multiple of their part: few nodes have all users. */
+/** Sum of all controllers' shares as a multiple of the submission rate: a few controllers can have all users. */
 const SUBMISSION_OVERCOMMIT_FACTOR = 1.5;
-/** Submissions come in bursts: so many seconds' worth of a node's share may be used at once. */
+/** Submissions arrive in bursts: a controller may use this many seconds' worth of its rate at once. */
 const SUBMISSION_BURST_S = 3;
 
 /**
- * The new jobs that one node may write: its share of the mutations that the leader leaves.
- * `writesPerSecond`: the limit of the service for all nodes together; `now`: steady milliseconds.
+ * The rate at which one controller may write new jobs: its share of the mutations that are not reserved for the leader.
+ * `writesPerSecond`: the limit of the service for all controllers together; `now`: steady milliseconds.
  */
 export function createSubmissionBudget(
   writesPerSecond: number,
@@ -24,7 +25,7 @@
   return new RateBudget(perSecond, now, Math.max(1, perSecond * SUBMISSION_BURST_S));
 }
 
-/** A token bucket: permits are added at a steady rate and pile up to a burst. */
+/** A token bucket: permits are added at a steady rate, up to the size of a burst. */
 export class RateBudget {
   private permits: number;
   private refilledAt: number;
@@ -34,14 +35,14 @@
     readonly perSecond: number,
     /** Steady milliseconds. */
     readonly now: () => number,
-    /** Most permits that pile up; one second's worth unless given. */
+    /** Capacity of the bucket in permits; one second's worth by default. */
     private readonly burst = Math.max(1, perSecond),
   ) {
     this.permits = burst;
     this.refilledAt = now();
   }
 
-  /** Takes permits if they are there, keeping `reserve` of them back for more urgent callers. */
+  /** Takes permits if enough are available; `reserve` permits are kept for more urgent callers. */
   take(amount = 1, reserve = 0): boolean {
     this.refill();
     if (this.permits - reserve < amount) return false;
@@ -49,24 +50,24 @@
     return true;
   }
 
-  /** Permits that are there now; below 1 while the bucket is blocked, and negative early in a long block. */
+  /** Available permits; below 1 while the bucket is blocked, and negative early in a long block. */
   available(): number {
     this.refill();
     return this.permits;
   }
 
-  /** The part of the bucket that is full, from 0 to 1. */
+  /** Available permits as a share of the capacity, at most 1. */
   fullness(): number {
     return this.available() / this.burst;
   }
 
-  /** Grants nothing for so long. */
+  /** Grants no permits for this time. */
   blockFor(ms: number): void {
     this.refill();
     this.permits = Math.min(this.permits, 1 - (ms / 1000) * this.perSecond);
   }
 
-  /** Milliseconds until so many permits are there. */
+  /** Milliseconds until this many permits are available. */
   waitMs(amount = 1): number {
     this.refill();
     return this.permits >= amount ? 0 : Math.ceil(((amount - this.permits) / this.perSecond) * 1000);
--- a/src/store/fenced-transactions.ts
+++ b/src/store/fenced-transactions.ts
@@ -8,35 +8,35 @@
 /** Mutations that fencing adds to each transaction. */
 export const FENCE_MUTATIONS = 1;
 
-/** Time for the first response. A retry is harmless, so it is short at first, and longer while the service is slow. */
+/** Timeout of a transaction. It is short at first, since a retry is harmless, and doubled while the service is slow. */
 const MIN_TIMEOUT_MS = 400;
 const MAX_TIMEOUT_MS = 2000;
 const MIN_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 800;
 
-/** What fenced transactions need of the key-value store and of the clock. */
+/** The calls of the key-value store and of the clock that fenced transactions use. */
 export interface TransactionHost {
   compareAndSwap(
     conditions: readonly Condition[],
     mutations: readonly Mutation[],
     timeoutMs: number,
   ): Promise<CompareAndSwapResult>;
-  /** Reads the current version of a key (0: it does not exist). */
+  /** Reads the current version of a key (0: the key does not exist). */
   readVersion(key: string): Promise<StoreResult<number>>;
   pause(ms: number): Promise<void>;
 }
 
-/** Everything that the transactions of one leadership share. */
+/** Collaborators and state shared by the transactions of one leadership. */
 export interface FencedTransactionsDeps {
   host: TransactionHost;
   pacer: TransactionPacer;
   /** Version of the leader key for as long as this leadership holds it. */
   leaderVersion: number;
-  /** Version of the fence key before the first transaction (0: it does not exist). */
+  /** Version of the fence key before the first transaction (0: the key does not exist). */
   fenceVersion: number;
-  /** Aborted once nothing more is to be written. */
+  /** Aborted once nothing more may be written. */
   signal: AbortSignal;
-  /** Another leadership has taken over, or may do so; aborts the signal. */
+  /** Called when another controller has become leader or may become leader; aborts the signal. */
   onLeadershipLost: (reason: string) => void;
   log: Logger;
 }
@@ -47,12 +47,12 @@
 }
 
 /**
- * What a read-back says of an in-doubt transaction: `committed`, `notCommitted` (so far), `superseded` by another
- * leader, or `unresolved` since a key could not be read.
+ * Result of the read-back of an in-doubt transaction: `committed`, `notCommitted` (so far), `superseded` by another
+ * leader, or `unresolved` because a key could not be read.
  */
 type Resolution = 'committed' | 'notCommitted' | 'superseded' | 'unresolved';
 
-/** Time-outs and pauses of one transaction: both grow with failures, by doubling, up to a limit. */
+/** Timeout and backoff of one transaction; both are doubled after failures, up to a limit. */
 class RetrySchedule {
   timeoutMs = MIN_TIMEOUT_MS;
   private backoffMs = MIN_BACKOFF_MS;
@@ -70,7 +70,7 @@
     return backoffMs;
   }
 
-  /** True the first time: a transaction that is known not to be committed is retried once without a pause. */
+  /** True on the first call: a transaction known not to be committed is retried once without a pause. */
   takeImmediateRetry(): boolean {
     if (this.retriedImmediately) return false;
     this.retriedImmediately = true;
@@ -82,12 +82,13 @@
  * Commits transactions under optimistic concurrency control with a fence key. Each transaction is conditional on two
  * versions, and writes the fence key itself:
  *
- * - the leader key's: it stands for as long as this leadership holds its lease, so a former leader's transactions fail;
- * - the fence key's: it changes with each commit, so of several copies of one transaction at most one is committed, and
- *   a copy that the service executes minutes late fails.
+ * - the leader key's, which is unchanged for as long as this leadership holds its lease, so the transactions of a
+ *   former leader fail;
+ * - the fence key's, which changes with each commit, so at most one of several copies of a transaction is committed,
+ *   and a copy that the service executes minutes late fails.
  *
- * So a transaction without a response (in doubt) can be sent again unchanged, or resolved by reading the fence key
- * back. Only one transaction may be in flight at a time.
+ * A transaction without a response (in doubt) can therefore be sent again unchanged, or resolved by reading the fence
+ * key back. Only one transaction may be in flight at a time.
  */
 export class FencedTransactions {
   private readonly host: TransactionHost;
@@ -100,7 +101,7 @@
     this.fenceVersion = deps.fenceVersion;
   }
 
-  /** Retries until the mutations are durable (true), or until the signal is aborted or the leadership lost (false). */
+  /** Retries until the mutations are durable (true), or the signal is aborted or the leadership is lost (false). */
   async commit(mutations: readonly Mutation[]): Promise<boolean> {
     const transaction = this.withFence(mutations);
     const schedule = new RetrySchedule();
@@ -116,7 +117,7 @@
         if (result.failed.includes(KEYS.leader) || !inDoubt) {
           return this.reportLeadershipLost('a transaction conflicts with another leader');
         }
-        // The leader key still stood, so only an earlier copy of this transaction can have changed the fence key.
+        // The leader key was unchanged, so only an earlier copy of this transaction can have changed the fence key.
         const fence = await this.host.readVersion(KEYS.fence);
         if (fence.kind === 'ok') return this.recordCommit(fence.value);
       }
@@ -155,9 +156,9 @@
   }
 
   /**
-   * What came of a transaction without a response. While the leader key stands as it was, nobody but this leadership
-   * changes the fence key, and only this one transaction is in flight: a fence key that has changed shows that it was
-   * committed, provided that the leader key is read unchanged *after* that.
+   * Determines the outcome of a transaction without a response. While the leader key is unchanged, only this leadership
+   * changes the fence key, and only this transaction is in flight. So a changed fence key shows that the transaction
+   * was committed, provided that the leader key is read *after* the fence key and is unchanged.
    */
   private async resolveInDoubt(): Promise<Resolution> {
     const fence = await this.host.readVersion(KEYS.fence);
@@ -185,7 +186,7 @@
     return false;
   }
 
-  /** A method, since the type checker takes `signal.aborted` for unchanged across an `await`. */
+  /** A method, because the type checker assumes that `signal.aborted` does not change across an `await`. */
   private isAborted(): boolean {
     return this.deps.signal.aborted;
   }
--- a/src/store/key-value-store.ts
+++ b/src/store/key-value-store.ts
@@ -1,6 +1,6 @@
 /**
  * Client of the key-value store (the "state service" of PROTOCOL): reads, watches, compare-and-swap transactions and
- * leases. A call is never repeated here; its result says whether the caller may do so.
+ * leases. The client never retries a call; the result says whether the caller may retry it.
  */
 import type { HttpResult, HttpSender } from '../http/client.ts';
 import type { Logger } from '../base/log.ts';
@@ -9,38 +9,38 @@
 import { CallBudget, type StoreLimits, type Urgency } from './call-budget.ts';
 
 /**
- * The call was not executed and never will be: this node's budget withheld it, the connection was refused before it
- * was sent, or the service answered that it did not execute it.
+ * The call was not executed and never will be: this controller's budget withheld it, the connection was refused before
+ * the call was sent, or the service answered that it did not execute the call.
  */
 interface Refused {
   kind: 'refused';
-  /** True if it was refused for its rate: by the service (429) or by this node's own budget. A watch doesn't say. */
+  /** True if a rate limit refused the call: the service's (429) or the own budget. Unset if the budget withheld a watch. */
   overLimit?: boolean;
 }
 
 /**
- * No usable response: the call may have been executed, or may yet be executed, even minutes later. Only a read of
- * what it would have changed can tell.
+ * No usable response: the call may have been executed, or may yet be executed, even minutes later. Only a read of the
+ * keys that it changes can tell.
  */
 interface Unknown {
   kind: 'unknown';
 }
 
-/** Outcome of a call that has no other failures than these. `ok`: it was executed. */
+/** Outcome of a call that can fail only in these two ways. `ok`: the call was executed. */
 export type StoreResult<T> = { kind: 'ok'; value: T } | Refused | Unknown;
 
 /** Outcome of a transaction. */
 export type CompareAndSwapResult =
   /** All conditions held and all mutations are durable; they share this revision as their version. */
   | { kind: 'ok'; revision: number }
-  /** Not executed, since the keys in `failed` have other versions than the conditions state. */
+  /** Not executed, because the keys in `failed` have other versions than the conditions require. */
   | { kind: 'conflict'; failed: string[] }
-  /** Not executed, since a key was to be attached to a lease that has expired. */
+  /** Not executed, because a key was to be attached to a lease that has expired. */
   | { kind: 'no_lease' }
   | Refused
   | Unknown;
 
-/** Outcome of a watch. `gone`: the start revision is no longer retained, so the keys must be listed again. */
+/** Outcome of a watch. `gone`: the start revision is no longer retained, so the caller must list the keys again. */
 export type WatchResult = StoreResult<{ revision: number; events: wire.WatchEvent[] }> | { kind: 'gone' };
 
 interface StoreRequest {
@@ -50,38 +50,38 @@
   body: string | null;
   timeoutMs: number;
   urgency: Urgency;
-  /** Connections to use in place of the common ones. */
+  /** Client to use in place of the shared one. */
   http?: HttpSender;
 }
 
 const READ_TIMEOUT_MS = 1500;
 const WRITE_TIMEOUT_MS = 2000;
-/** Time for the response to a watch beyond the time that the service may hold it. */
+/** Timeout of a watch beyond the time for which the service may hold it open. */
 const WATCH_GRACE_MS = 5000;
-/** Items of one page of a list. */
+/** Maximum number of items in one page of a list. */
 const PAGE_SIZE = 500;
-/** Length to which the text of a rejected transaction is cut in the log. */
+/** Length in characters to which the response to a rejected transaction is truncated in the log. */
 const MAX_LOGGED_BODY_LENGTH = 200;
 
 const CONNECTIONS = 16;
 const WATCH_CONNECTIONS = 4;
 const LEASE_CONNECTIONS = 4;
 
-/** Client of the key-value store by its published protocol, within this node's share of its request limit. */
+/** Client of the key-value store that stays within this controller's share of the request limit. */
 export class KeyValueStore {
   private readonly http: HttpSender;
   private readonly watchHttp: HttpSender;
-  /** Connections of their own, so that lease renewals queue behind nothing else. */
+  /** Separate connections, so that lease renewals don't queue behind other calls. */
   private readonly leaseHttp: HttpSender;
   private readonly budget: CallBudget;
   /**
-   * When the service last served this node, in milliseconds of the injected clock: with a response that is neither a
-   * rate limit nor an outage's.
+   * When the service last served this controller, in milliseconds of the injected clock. A response counts unless it is
+   * a 429 or a server error (5xx).
    */
   lastServedAt: number;
 
   constructor(
-    /** Makes a client of the service with so many connections. */
+    /** Creates an HTTP client of the service with this many connections. */
     connect: (connections: number) => HttpSender,
     limits: StoreLimits,
     /** Steady milliseconds. */
@@ -95,7 +95,7 @@
     this.budget = new CallBudget(limits, now);
   }
 
-  /** Reads one key; `ok` with null: the key does not exist. */
+  /** Reads one key; the value null means that the key does not exist. */
   async get(key: string, urgency: Urgency): Promise<StoreResult<wire.Item | null>> {
     const result = await this.call({
       method: 'GET',
@@ -105,13 +105,13 @@
       urgency,
     });
     if (result.kind === 'answer' && result.status === 404) {
-      // Only a 404 in the store's own form says that a key is missing.
+      // A 404 means that the key is missing only if the body has the store's own format; a proxy may send others.
       return wire.decodeRevision(result.body).ok ? { kind: 'ok', value: null } : { kind: 'refused' };
     }
     return this.toStoreResult(result, wire.decodeItem);
   }
 
-  /** Reads all keys with a prefix, page by page; `revision` is that of the first page, to start a watch from. */
+  /** Reads all keys with a prefix, page by page; `revision` is that of the first page, where a watch has to start. */
   async list(
     prefix: string,
     urgency: Urgency,
@@ -164,7 +164,7 @@
     return written.kind === 'ok' ? { kind: 'ok', revision: written.value } : written;
   }
 
-  /** Obtains a lease of so many milliseconds; the value is its id. */
+  /** Obtains a lease with this time to live; the value is the lease's id. */
   async grantLease(ttlMs: number): Promise<StoreResult<number>> {
     const result = await this.call({
       method: 'POST',
@@ -176,7 +176,7 @@
     return this.toStoreResult(result, wire.decodeGrant);
   }
 
-  /** Extends a lease by its full time; `ok` with false: the lease has expired. */
+  /** Renews a lease for its full time to live; the value false means that the lease has expired. */
   async renewLease(lease: number, timeoutMs: number): Promise<StoreResult<boolean>> {
     const result = await this.call({
       method: 'POST',
@@ -190,7 +190,7 @@
     return this.toStoreResult(result, () => ({ ok: true, value: true }));
   }
 
-  /** Ends a lease and deletes the keys attached to it; true once the service says that it has ended. */
+  /** Ends a lease and deletes the keys attached to it; true if the service confirms that the lease has ended. */
   async revokeLease(lease: number): Promise<boolean> {
     const result = await this.call({
       method: 'DELETE',
@@ -202,11 +202,11 @@
     return result.kind === 'answer' && (result.status < 300 || result.status === 404);
   }
 
-  /** Waits up to `waitMs` for changes of keys with a prefix after a revision. */
+  /** Waits up to `waitMs` for changes of keys with a prefix after the revision `after`. */
   async watch(prefix: string, after: number, waitMs: number): Promise<WatchResult> {
     if (!this.budget.take('lease')) return { kind: 'refused' };
     const path = wire.STATE_PATHS.watch(prefix, after, waitMs);
-    // During an outage an open watch stays open, so its own time-out is generous.
+    // The service keeps an open watch open during an outage, so the client's timeout is longer than `waitMs`.
     const result = await this.watchHttp.send('GET', path, null, waitMs + WATCH_GRACE_MS);
     if (result.kind === 'answer' && result.status === 410) return { kind: 'gone' };
     return this.toStoreResult(result, wire.decodeEvents);
@@ -219,7 +219,7 @@
     this.leaseHttp.close();
   }
 
-  /** Sends a request within the budget. One that the budget withholds ends like one that the service refuses. */
+  /** Sends a request within the budget. A request that the budget withholds has the same result as a 429. */
   private async call(request: StoreRequest): Promise<HttpResult> {
     if (!this.budget.take(request.urgency)) {
       return { kind: 'answer', status: 429, body: '', retryAfterS: null };
--- a/src/store/leader-writer.ts
+++ b/src/store/leader-writer.ts
@@ -1,47 +1,47 @@
-/** All writes of one leadership: gathered by priority, paced, and committed one fenced transaction at a time. */
+/** All writes of one leadership: queued by priority, paced, and committed in one fenced transaction at a time. */
 import type { Logger } from '../base/log.ts';
 import type { RateBudget } from './budget.ts';
 import { FENCE_MUTATIONS, FencedTransactions, type TransactionHost } from './fenced-transactions.ts';
 import { TransactionPacer } from './transaction-pacer.ts';
 import { WriteQueues, type QueuedWrite, type WritePriority } from './write-queues.ts';
 
-/** How often a transaction that waits for its permits checks whether something more urgent has been queued. */
+/** Interval at which a transaction that waits for permits checks whether a more urgent write has been queued. */
 const RECHECK_MS = 100;
 
-/** What the writer needs of the controller that leads. */
+/** The functions of the leading controller that the writer uses. */
 export interface WriterHost extends TransactionHost {
-  /** The leadership has ended, or is no longer certain; nothing more will be written. */
+  /** The leadership has ended or may have ended; nothing more will be written. */
   onLeadershipLost(reason: string): void;
 }
 
 /** Limits of one transaction. */
 export interface TransactionLimits {
-  /** Puts and deletes, with the one that fencing adds. */
+  /** Puts and deletes, including the one that fencing adds. */
   maxMutations: number;
-  /** Size of the writes' mutations as JSON text. */
+  /** Size of the writes' mutations as JSON text, without the one that fencing adds. */
   maxBytes: number;
 }
 
-/** Everything that a writer is made of. */
+/** Collaborators and settings of a writer. */
 export interface LeaderWriterDeps {
   host: WriterHost;
   /** Version of the leader key for as long as this leadership holds it. */
   leaderVersion: number;
-  /** Version of the fence key when the leadership begins (0: it does not exist). */
+  /** Version of the fence key when the leadership begins (0: the key does not exist). */
   fenceVersion: number;
   limits: TransactionLimits;
   /** Mutations that the leader may write per second. */
   budget: RateBudget;
   log: Logger;
-  /** Writing failed by a defect; nothing more is written in this leadership. */
+  /** Called when writing has failed by a defect; nothing more is written in this leadership. */
   onError: (error: unknown) => void;
 }
 
 /**
  * Owns the writes of one leadership until it is stopped or the leadership is lost.
  *
- * What is due together shares a transaction. While the service is idle nothing waits; the more is written, the
- * more goes into each transaction, since both the budget and the pace of transactions make the next one wait.
+ * Writes that are queued at the same time share a transaction. At a low rate no write waits. At a higher rate the
+ * budget of mutations and the pace of transactions delay the next transaction, so each one carries more writes.
  */
 export class LeaderWriter {
   private readonly host: WriterHost;
@@ -72,31 +72,31 @@
     });
   }
 
-  /** Queues a write. It is committed after those of its own and of higher priorities that were queued before it. */
+  /** Queues a write. It is committed after the writes of the same and of higher priorities that are queued already. */
   enqueue(write: QueuedWrite, priority: WritePriority): void {
     this.queues.enqueue(write, priority);
-    // It ends by itself once nothing is queued, and failures are results: only a defect can make it reject.
+    // The loop ends once the queues are empty, and failed transactions are results, so only a defect rejects.
     if (!this.running) this.run().catch(this.onError);
   }
 
-  /** Ends all writing. A transaction in flight is not sent again, yet may still be committed. */
+  /** Ends all writing. A transaction in flight is not retried, but may still be committed. */
   stop(): void {
     this.stopping.abort();
   }
 
-  /** Writes that wait to be put into a transaction. */
+  /** Number of writes that are not in a transaction yet. */
   get backlog(): number {
     return this.queues.length;
   }
 
-  /** Nothing is being written and the budget is nearly full: a time for housekeeping. */
+  /** True if no write is queued or in flight and the budget is nearly full, so housekeeping may be queued. */
   get idle(): boolean {
     return !this.running && this.backlog === 0 && this.pacer.idle;
   }
 
   private async run(): Promise<void> {
     this.running = true;
-    // Whatever is queued in the same turn shares the transaction.
+    // Writes that are queued in the same turn of the event loop share the transaction.
     await Promise.resolve();
     while (!this.isStopped() && this.backlog > 0) {
       await this.waitForTurn();
@@ -108,13 +108,13 @@
     this.running = false;
   }
 
-  /** Waits until the next transaction may begin; meanwhile more writes are queued for it. */
+  /** Waits until the next transaction may begin. Writes that are queued while it waits can join it. */
   private async waitForTurn(): Promise<void> {
     while (!this.isStopped()) {
       const due = this.queues.countDueMutations(this.limits.maxMutations - FENCE_MUTATIONS);
       const waitMs = this.pacer.beginWaitMs(due.count + FENCE_MUTATIONS, due.urgent);
       if (waitMs === 0) break;
-      // Something more urgent may come meanwhile.
+      // An urgent write that is queued during the pause can shorten the wait.
       await this.host.pause(Math.min(waitMs, RECHECK_MS));
     }
     this.pacer.begin();
@@ -124,7 +124,7 @@
     return Math.min(this.limits.maxMutations, this.pacer.affordableMutations()) - FENCE_MUTATIONS;
   }
 
-  /** A method, since the type checker takes `signal.aborted` for unchanged across an `await`. */
+  /** A method, because the type checker assumes that `signal.aborted` does not change across an `await`. */
   private isStopped(): boolean {
     return this.stopping.signal.aborted;
   }
--- a/src/store/transaction-pacer.ts
+++ b/src/store/transaction-pacer.ts
@@ -1,21 +1,21 @@
-/** Paces the transactions of a leader, so that they and their mutations stay within its budget of writes. */
+/** Paces the transactions of a leader, so that their number and their mutations stay within the write budget. */
 import { RateBudget } from './budget.ts';
 
 /**
- * Share of the budget that the fence mutations may cost: transactions per second, after a burst that waits for
- * nothing.
+ * Share of the write budget that fence mutations may use. Each transaction adds one, so this limits the transactions
+ * per second once the initial burst is used up.
  */
 const FENCE_SHARE = 0.08;
 const MIN_TRANSACTIONS_PER_SECOND = 1;
 const TRANSACTION_BURST = 4;
-/** Transactions without urgent writes leave so many of the burst to those that have some. */
+/** Transactions that a transaction without urgent writes leaves in the bucket for ones with urgent writes. */
 const RESERVED_URGENT_TRANSACTIONS = 2;
-/** A transaction carries at least one mutation of a write beside the fence mutation, however little is left. */
+/** However few permits are left, a transaction may carry the fence mutation and one mutation of a write. */
 const MIN_TRANSACTION_MUTATIONS = 2;
-/** Above this fullness of both buckets the store counts as idle. */
+/** The store counts as idle if both buckets are fuller than this share. */
 const MIN_IDLE_FULLNESS = 0.9;
 
-/** Two token buckets: one permit per transaction, and one per mutation. */
+/** Two token buckets: one holds a permit per transaction, the other one per mutation. */
 export class TransactionPacer {
   private readonly transactions: RateBudget;
 
@@ -27,28 +27,28 @@
     this.transactions = new RateBudget(perSecond, mutations.now, Math.max(TRANSACTION_BURST, perSecond));
   }
 
-  /** Both buckets are nearly full. */
+  /** True if both buckets are nearly full. */
   get idle(): boolean {
     return this.mutations.fullness() > MIN_IDLE_FULLNESS && this.transactions.fullness() > MIN_IDLE_FULLNESS;
   }
 
-  /** Milliseconds until a transaction of so many mutations may begin; `urgent`: it has urgent writes. */
+  /** Milliseconds until a transaction with this many mutations may begin; `urgent`: it contains urgent writes. */
   beginWaitMs(mutations: number, urgent: boolean): number {
     const transactions = urgent ? 1 : 1 + RESERVED_URGENT_TRANSACTIONS;
     return Math.max(this.transactions.waitMs(transactions), this.sendWaitMs(mutations));
   }
 
-  /** Takes the permit of a transaction; its mutations are paid each time it is sent. */
+  /** Takes the permit of a transaction. The permits of its mutations are taken each time that it is sent. */
   begin(): void {
     this.transactions.take();
   }
 
-  /** Most mutations of a transaction that begins now. */
+  /** Maximum number of mutations of a transaction that begins now. */
   affordableMutations(): number {
     return Math.max(MIN_TRANSACTION_MUTATIONS, Math.floor(this.mutations.available()));
   }
 
-  /** Milliseconds until so many mutations may be sent. */
+  /** Milliseconds until this many mutations may be sent. */
   sendWaitMs(mutations: number): number {
     return this.mutations.waitMs(this.countPermits(mutations));
   }
@@ -58,7 +58,7 @@
     this.mutations.take(this.countPermits(mutations));
   }
 
-  /** With small limits a transaction can have more mutations than the bucket ever holds permits. */
+  /** With a small budget a transaction can have more mutations than the bucket can hold permits. */
   private countPermits(mutations: number): number {
     return Math.min(mutations, Math.max(1, Math.floor(this.mutations.perSecond)));
   }
--- a/src/store/write-queues.ts
+++ b/src/store/write-queues.ts
@@ -1,19 +1,20 @@
-/** The writes of one leadership that wait for a transaction, by priority. */
+/** Queues, by priority, for the writes of one leadership that wait for a transaction. */
 import type { Mutation } from '../wire/state.ts';
 
 /**
- * What a write is for, the most urgent first: terminal states of jobs (cancellations too), what must be durable before
- * a task starts (start watermarks, the machine registry), completions of tasks, and housekeeping. A less urgent write
- * takes only what the more urgent ones leave of a transaction and of the budget. The lease is renewed apart from them.
+ * The priorities of writes, the most urgent first: terminal states of jobs (including cancellations), records that must
+ * be durable before a task starts (start watermarks, the machine registry), completions of tasks, and housekeeping. A
+ * write gets only the room in the transaction and the budget that more urgent writes leave. Lease renewals are not
+ * queued here.
  */
 const WRITE_PRIORITIES = ['ends', 'starts', 'progress', 'background'] as const;
-/** The priorities that something outside waits for: users, or tasks that are to start. */
+/** The priorities whose writes a user, or a task that is to start, waits for. */
 const URGENT_PRIORITIES: readonly WritePriority[] = ['ends', 'starts'];
 
-/** How urgent a write is. */
+/** Priority of a write. */
 export type WritePriority = (typeof WRITE_PRIORITIES)[number];
 
-/** Mutations that are known when the write is queued. They share one transaction. */
+/** A write whose mutations are known when it is queued. They are committed in one transaction. */
 export interface ReadyWrite {
   kind: 'ready';
   mutations: Mutation[];
@@ -22,20 +23,20 @@
 }
 
 /**
- * A write of one key whose value is taken only when its transaction is put together, so that whatever changes until
- * then is in it.
+ * A write of one key whose value is read only when its transaction is built, so that the value includes all changes up
+ * to then.
  */
 export interface DeferredWrite {
   kind: 'deferred';
   /** Upper bound of the value's size as JSON text. */
   maxBytes: number;
-  /** Called once, when the transaction is put together. */
+  /** Called once, when the transaction is built. */
   build(): Mutation;
   /** Called once the mutation is durable. */
   onCommitted: () => void;
 }
 
-/** A write that waits for its transaction. */
+/** A write that waits for a transaction. */
 export type QueuedWrite = ReadyWrite | DeferredWrite;
 
 /** The writes that share a transaction, with their mutations in the same order. */
@@ -44,10 +45,10 @@
   mutations: Mutation[];
 }
 
-/** What the next transaction should carry at least. */
+/** The mutations whose permits the next transaction waits for. */
 export interface DueMutations {
   count: number;
-  /** True if some of the queued writes are urgent; only these are counted then. */
+  /** True if some of the queued writes are urgent; then only their mutations are counted. */
   urgent: boolean;
 }
 
@@ -74,7 +75,7 @@
     background: [],
   };
 
-  /** Writes in all queues. */
+  /** Number of writes in all queues. */
   get length(): number {
     let count = 0;
     for (const priority of WRITE_PRIORITIES) count += this.queues[priority].length;
@@ -85,7 +86,7 @@
     this.queues[priority].push(write);
   }
 
-  /** The mutations that the next transaction should wait for permits for, at most `maxMutations`. */
+  /** Counts the mutations whose permits the next transaction waits for, at most `maxMutations`. */
   countDueMutations(maxMutations: number): DueMutations {
     const urgent = this.countMutations(URGENT_PRIORITIES, maxMutations);
     if (urgent > 0) return { count: urgent, urgent: true };
@@ -93,8 +94,8 @@
   }
 
   /**
-   * Removes the writes of the next transaction, the most urgent first, as long as they stay within both limits. The
-   * first one is taken however large it is.
+   * Removes the writes of the next transaction, the most urgent first, up to the first one that exceeds either limit.
+   * The very first write is taken even if it exceeds a limit by itself.
    */
   takeBatch(maxMutations: number, maxBytes: number): WriteBatch {
     const batch: WriteBatch = { writes: [], mutations: [] };
--- a/test/leadership/faults.ts
+++ b/test/leadership/faults.ts
@@ -20,7 +20,7 @@
   at: number;
   kind: FaultKind;
   /** The controller it strikes, unless it strikes the leader. */
-  controllerIndex: number;
+  target: number;
   targetsLeader: boolean;
   durationMs: number;
 }
@@ -44,7 +44,7 @@
     fc.record({
       at: fc.integer({ min: time.from, max: time.to }),
       kind: fc.constantFrom(...kinds),
-      controllerIndex: fc.nat(4),
+      target: fc.nat(4),
       targetsLeader: fc.boolean(),
       durationMs: arbitraryDurationMs,
     }),
@@ -98,9 +98,7 @@
 
 function selectTarget(cluster: SimulatedCluster, fault: Fault): Controller {
   const leader = fault.targetsLeader ? cluster.leader() : null;
-  return (
-    leader ?? required(cluster.controllers[fault.controllerIndex % cluster.controllers.length], 'controller')
-  );
+  return leader ?? required(cluster.controllers[fault.target % cluster.controllers.length], 'controller');
 }
 
 function crashAll(cluster: SimulatedCluster, maxRestartMs: number): void {
