--- a/src/leadership/candidacy.ts
+++ b/src/leadership/candidacy.ts
@@ -45,7 +45,7 @@
   constructor(private readonly deps: CandidacyDeps) {}
 
   /** Makes one attempt to acquire the absent leader key, or pauses while an attempt is not allowed. */
-  async contend(): Promise<void> {
+  async campaign(): Promise<void> {
     const { clock, startedAt, state, writes, random, pause } = this.deps;
     if (!state.canCampaign(clock.now())) return pause(SUSPENDED_PAUSE_MS);
     if (!writes.canAttempt()) return pause(WRITE_RETRY_MS);
@@ -55,12 +55,12 @@
     const uptimeDelayMs = Math.min(MAX_UPTIME_DELAY_MS, uptimeS * UPTIME_DELAY_MS_PER_S);
     await pause(uptimeDelayMs + random() * DELAY_JITTER_MS);
     const write = await writes.begin('lease');
-    if (write) await this.campaign(write);
+    if (write) await this.acquireLeaderKey(write);
     else await pause(WRITE_RETRY_MS);
   }
 
   /** Puts the leader key, attached to a new lease, and increments the term in the same transaction. */
-  private async campaign(write: LeaderlessWrite): Promise<void> {
+  private async acquireLeaderKey(write: LeaderlessWrite): Promise<void> {
     const { node, nonce, store, clock, options, pause, signal } = this.deps;
     const term = write.term + 1;
     const sentAt = clock.now();
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -95,8 +95,8 @@
         this.becomeLeader(leadership, leaseValidUntil);
       },
     });
-    const contend = (): Promise<void> => candidacy.contend();
-    const watch = new LeaderWatch({ node, store, random, log, state, records, pause, contend, signal });
+    const campaign = (): Promise<void> => candidacy.campaign();
+    const watch = new LeaderWatch({ node, store, random, log, state, records, pause, campaign, signal });
     this.runInBackground(watch.run());
   }
 
--- a/src/leadership/leader-watch.ts
+++ b/src/leadership/leader-watch.ts
@@ -31,7 +31,7 @@
   records: LeadershipRecords;
   pause: (ms: number) => Promise<void>;
   /** Called when the leader key is absent; tries to acquire it. */
-  contend(): Promise<void>;
+  campaign(): Promise<void>;
   /** Aborted once the election is stopped. */
   signal: AbortSignal;
 }
@@ -39,7 +39,7 @@
 /** The next action of a controller that is not the leader, derived from a read of the leader key. */
 type NextAction =
   | { kind: 'retry' }
-  | { kind: 'contend' }
+  | { kind: 'campaign' }
   | { kind: 'reportMalformed' }
   | { kind: 'revokeStaleLease'; term: number; lease: number | null }
   | { kind: 'follow'; leader: LeaderRecord; version: number };
@@ -49,7 +49,7 @@
     case 'unavailable':
       return { kind: 'retry' };
     case 'absent':
-      return { kind: 'contend' };
+      return { kind: 'campaign' };
     case 'malformed':
       return { kind: 'reportMalformed' };
     case 'held': {
@@ -83,9 +83,9 @@
       }
       retryMs = MIN_RETRY_MS;
       switch (action.kind) {
-        case 'contend':
+        case 'campaign':
           state.onLeaderAbsent();
-          await this.deps.contend();
+          await this.deps.campaign();
           break;
         case 'reportMalformed':
           log.error('leader record is malformed');
--- a/src/store/key-value-store.ts
+++ b/src/store/key-value-store.ts
@@ -14,7 +14,7 @@
  */
 interface Refused {
   kind: 'refused';
-  /** True if a rate limit refused the call: the service's (429) or the own budget. Unset if the budget withheld a watch. */
+  /** True if a rate limit refused the call: the service's (429) or this controller's. Unset for a withheld watch. */
   overLimit?: boolean;
 }
 
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -1,4 +1,4 @@
-/** A cluster of controllers in simulated time, with checks of what elections guarantee. */
+/** A cluster of controllers in simulated time, with checks of the guarantees of the election. */
 import assert from 'node:assert/strict';
 import { defaultOptions } from '../../src/config/options.ts';
 import type { LocalLeader } from '../../src/jobs/user-request-deps.ts';
@@ -17,42 +17,43 @@
 import { RateBudget } from '../../src/store/budget.ts';
 import { failTest } from '../helpers.ts';
 
-/** One controller, whose process may end and start again. */
+/** One controller, whose process may crash and restart. */
 export interface Controller extends StoreAccess {
   index: number;
   name: string;
-  /** Counts its processes. */
+  /** Increased whenever a process of this controller starts or ends. */
   incarnation: number;
-  /** Its process is stalled until then. */
+  /** The process is stalled until this time. */
   stalledUntil: number;
-  /** It is partitioned from the other controllers until then. */
+  /** The controller is partitioned from the other controllers until this time. */
   partitionedUntil: number;
   election: Election | null;
   userRequests: UserRequests | null;
 }
 
-/** How many controllers, and how bad their network is. */
+/** Size of the cluster and faults of its network. */
 export interface SimulatedClusterOptions {
   count?: number;
-  /** Their calls of the store are carried out late, or lose their answers. */
+  /** Some calls of the store are executed late, and some responses are lost. */
   lossy?: boolean;
-  /** Share of lost messages between controllers. */
+  /** Share of the messages between controllers that are lost. */
   messageLossRatio?: number;
 }
 
 /** How long a leader whose lease has expired still answers heartbeats, in ms. */
 export const GRACE_MS = 6000;
-/** How long a leader waits for a peer's answer, in ms. */
+/** How long a leader waits for a peer's reply, in ms. */
 const PEER_TIMEOUT_MS = 900;
-/** Time between two checks, in ms. */
+/** Interval of the checks, in ms. */
 const SAMPLE_MS = 20;
-/** Clocks of controllers run faster or slower by up to this share. */
+/** The clocks of controllers run faster or slower by up to this ratio. */
 const MAX_DRIFT_RATIO = 0.0005;
 const RUNNING: JobStatus = { stage: 'running', done: 0, running: 1 };
 
 /**
- * Controllers with the real election and the real user requests, on the modelled store in simulated time. What must
- * hold between leaderships and leaderless writes is checked all the time; `violations` lists what did not.
+ * Controllers with the real election and the real user requests, on the modelled store in simulated time. The
+ * invariants between leaderships and leaderless writes are checked at intervals and at each leaderless write;
+ * `violations` lists the failed checks.
  */
 export class SimulatedCluster {
   readonly sim: Sim;
@@ -61,7 +62,7 @@
   readonly violations: string[] = [];
   /** Terms in the order in which they were acquired. */
   readonly acquiredTerms: number[] = [];
-  /** Samples at which a leader had a valid lease during an outage. */
+  /** Number of checks during an outage at which a leader had a valid lease. */
   validLeaseSamplesInOutage = 0;
   private readonly messageLossRatio: number;
 
@@ -102,7 +103,7 @@
     return this.sim.run(this.sim.at + ms);
   }
 
-  /** The controller whose lease as leader is valid, if any. */
+  /** The leader whose lease is valid, if any. */
   leaderWithValidLease(): Controller | null {
     return this.controllers.find((controller) => controller.election?.hasValidLease()) ?? null;
   }
@@ -124,7 +125,7 @@
     this.store.put(KEYS.open(id), openValue(decoded.value, this.sim.at));
   }
 
-  /** A user's cancellation at one controller, which answers with the job's stage or with an error (null). */
+  /** Sends a user's cancellation to one controller; `onAnswer` gets the job's stage, or null for an error. */
   cancel(
     controller: Controller,
     id: string,
@@ -135,14 +136,14 @@
     });
   }
 
-  /** A user's poll at one controller, which answers with the job's stage or with an error (null). */
+  /** Sends a user's poll to one controller; `onAnswer` gets the job's stage, or null for an error. */
   poll(controller: Controller, id: string, onAnswer: (stage: string | null) => void): void {
     controller.userRequests?.poll(id, (answer) => {
       onAnswer(answer.status === 200 ? stageOf(answer.body) : null);
     });
   }
 
-  /** Ends the controller's process; another starts after so long, or never (null). */
+  /** Ends the controller's process; a new one starts after `restartMs`, or never if that is null. */
   crash(controller: Controller, restartMs: number | null): void {
     controller.election = null;
     controller.userRequests = null;
@@ -196,10 +197,10 @@
   }
 
   private onAcquired(controller: Controller, term: number): void {
-    // A process that stood still may learn late of what it won.
-    const termBefore = this.acquiredTerms.at(-1) ?? 0;
-    if (term <= termBefore && controller.stalledUntil === 0) {
-      this.recordViolation(`term ${term} acquired after ${termBefore}`);
+    // A process that was stalled may learn late that it won a term.
+    const previousTerm = this.acquiredTerms.at(-1) ?? 0;
+    if (term <= previousTerm && controller.stalledUntil === 0) {
+      this.recordViolation(`term ${term} acquired after ${previousTerm}`);
     }
     this.acquiredTerms.push(term);
   }
@@ -221,7 +222,7 @@
     return this.sim.at >= from.partitionedUntil && this.sim.at >= to.partitionedUntil;
   }
 
-  /** A message to another controller and its answer, each delayed or lost; a dead process doesn't answer. */
+  /** Sends a request to another controller. Request and reply can be delayed or lost; a dead process doesn't reply. */
   private async call(from: Controller, to: Controller, request: PeerRequest): Promise<PeerReply | null> {
     const delay = (): Promise<void> =>
       this.sim.pause(this.sim.between(1, this.messageLossRatio > 0 ? 400 : 20));
@@ -251,14 +252,15 @@
       return Promise.race([this.call(controller, other, { kind: 'grantPeerLease', ...request }), timeout]);
     });
     const answers = await Promise.all(replies);
-    // A stalled process reads the answers once it goes on.
+    // A stalled process reads the replies when the stall ends.
     await this.pause(controller, isAlive, 0);
     return answers.map((reply) => reply?.kind === 'granted');
   }
 
   /**
-   * The lease of term T may be valid only while no leaderless write of T or later was carried out; and its leader
-   * answers heartbeats no longer than the grace after a cancellation that was confirmed without it.
+   * Checks that at most one lease is valid, that the lease of term T is valid only while no leaderless write of T or
+   * later has been executed, and that the leader of T answers heartbeats at most for the grace after a cancellation
+   * that was confirmed without the leader.
    */
   private check(): void {
     const leadersWithValidLease = this.controllers.filter((controller) =>
@@ -328,7 +330,7 @@
   }
 }
 
-/** What user requests see of the leadership on their controller: every job runs, while the lease is valid. */
+/** The leader as the user requests of its controller see it: every job is running while the lease is valid. */
 function toLocalLeader(election: Election): LocalLeader | null {
   const leadership = election.currentLeadership();
   if (!leadership) return null;
--- a/test/leadership/election-fixture.ts
+++ b/test/leadership/election-fixture.ts
@@ -1,4 +1,4 @@
-/** Elections in simulated time, as the tests of this directory make them. */
+/** Elections in simulated time for the tests of this directory. */
 import type { Clock } from '../../src/base/clock.ts';
 import { defaultOptions } from '../../src/config/options.ts';
 import { Election, type ElectionEvents, type ElectionStore } from '../../src/leadership/election.ts';
@@ -6,7 +6,7 @@
 import { failTest, silent } from '../helpers.ts';
 import type { Sim } from '../model/sim.ts';
 
-/** What a test gives an election; the rest has defaults. */
+/** The collaborators of an election that a test can replace; all but the store have defaults. */
 export interface ElectionSetup {
   store: ElectionStore;
   node?: string;
@@ -18,8 +18,10 @@
   onFault?: (error: unknown) => void;
 }
 
-/** Thrown where nobody waits, an error becomes an unhandled rejection, which fails the test. */
-/** An election with the default options. Unless the test handles it, a failed background task fails the test. */
+/**
+ * Creates an election with the default options. Without `onFault` a failed background task becomes an unhandled
+ * rejection, which fails the test.
+ */
 export function createElection(sim: Sim, setup: ElectionSetup): Election {
   const { leadership } = defaultOptions();
   return new Election({
--- a/test/leadership/election-lifecycle.test.ts
+++ b/test/leadership/election-lifecycle.test.ts
@@ -1,4 +1,4 @@
-/** Start and end of an election, and the owner of its background tasks. */
+/** Start and stop of an election, and failures of its background tasks. */
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import type { Election, ElectionStore } from '../../src/leadership/election.ts';
@@ -21,7 +21,7 @@
 
 const rejectWith = (name: string) => (): Promise<never> => Promise.reject(new Error(name));
 
-/** An election whose calls of some kinds fail, and the faults that reach the owner of its background tasks. */
+/** Creates an election on a store with failing calls; `faults` lists the errors that are reported to `onFault`. */
 function failingElection(sim: Sim, store: ElectionStore): { election: Election; faults: string[] } {
   const faults: string[] = [];
   const onFault = (error: unknown): void => {
@@ -30,7 +30,7 @@
   return { election: createElection(sim, { store, onFault }), faults };
 }
 
-test('the failure of the watch of the leader key is reported to the owner of the background tasks', async () => {
+test('a failed watch of the leader key is reported to the owner of the background tasks', async () => {
   const { sim, store } = createHarness();
   const { election, faults } = failingElection(sim, { ...store, get: rejectWith('get') });
   election.start();
@@ -39,29 +39,29 @@
   assert.deepEqual(faults, ['Error: get']);
 });
 
-test('the failure of a renewal is reported, and renewals go on', async () => {
+test('a failed renewal is reported, and renewals continue', async () => {
   const { sim, store } = createHarness();
   const { election, faults } = failingElection(sim, { ...store, renewLease: rejectWith('renewLease') });
   election.start();
   await sim.run(6000);
-  assert.ok(election.currentLeadership(), 'it leads');
+  assert.ok(election.currentLeadership(), 'the controller leads');
   assert.ok(faults.length > 1, `${faults.length} faults`);
   assert.deepEqual([...new Set(faults)], ['Error: renewLease']);
 });
 
-test('the failure to revoke the lease of a leadership that ended is reported', async () => {
+test('a failed revocation of the lease of an ended leadership is reported', async () => {
   const { sim, store } = createHarness();
   const { election, faults } = failingElection(sim, { ...store, revokeLease: rejectWith('revokeLease') });
   election.start();
   await sim.run(5000);
-  assert.ok(election.currentLeadership(), 'it leads');
+  assert.ok(election.currentLeadership(), 'the controller leads');
   election.stop();
   election.stepDown('stopped');
   await sim.run(6000);
   assert.deepEqual(faults, ['Error: revokeLease']);
 });
 
-test('a stopped election sends nothing more, and its leadership ends with the step down', async () => {
+test('a stopped election sends no more requests, and its leadership ends when it steps down', async () => {
   const { sim, model, store } = createHarness();
   let calls = 0;
   const countingStore: ElectionStore = {
@@ -88,7 +88,7 @@
   assert.equal(model.hasLeader(), false);
 });
 
-test('an election that is stopped during its candidacy does not lead, and revokes the lease', async () => {
+test('an election that is stopped during its candidacy does not become leader, and revokes the lease', async () => {
   const { sim, model, store } = createHarness();
   const acquired: number[] = [];
   const election = createElection(sim, {
@@ -100,7 +100,7 @@
   assert.equal(
     election.currentLeadership(),
     null,
-    'the transaction is carried out, and its answer under way',
+    'the transaction is executed, and its response not received yet',
   );
   election.stop();
   await sim.run(sim.at + 1000);
--- a/test/leadership/election.test.ts
+++ b/test/leadership/election.test.ts
@@ -18,17 +18,17 @@
 
 const { leadership } = defaultOptions();
 
-test('two controllers never hold a valid lease, terms only rise, and without faults somebody leads', async () => {
+test('at most one lease is valid, terms only increase, and a leader exists once all faults have ended', async () => {
   let acquired = 0;
   let extended = 0;
-  const day = fc.record({
+  const scenario = fc.record({
     seed: fc.integer({ min: 1 }),
     lossy: fc.boolean(),
     count: fc.constantFrom(3, 5),
     faults: arbitraryFaults(['refuse', 'outage', 'crash'], { from: 2000, to: 50_000 }, { min: 0, max: 6 }),
   });
   await fc.assert(
-    fc.asyncProperty(day, async ({ seed, lossy, count, faults }) => {
+    fc.asyncProperty(scenario, async ({ seed, lossy, count, faults }) => {
       const cluster = new SimulatedCluster(seed, { count, lossy, messageLossRatio: 0.05 });
       scheduleFaults(cluster, faults);
       keepCancelling(cluster, 1500, 60_000);
@@ -36,18 +36,19 @@
       assert.deepEqual(cluster.violations, []);
       acquired += cluster.acquiredTerms.length;
       extended += cluster.validLeaseSamplesInOutage;
-      if (!lossy) assert.ok(cluster.leaderWithValidLease(), 'somebody leads in the end');
+      if (!lossy) assert.ok(cluster.leaderWithValidLease(), 'there is a leader in the end');
     }),
     { seed: SEED, numRuns: 30, endOnFailure: true, includeErrorInReport: true },
   );
   assert.ok(acquired >= 25, `${acquired}`);
-  // Outages that all controllers see don't end a leadership.
+  // An outage that affects all controllers does not end a leadership.
   assert.ok(extended > 1000, `${extended}`);
 });
 
-test('leaders that change ten times in two minutes, also inside an outage, keep the guarantees', async () => {
-  // Handing over and back, all ending with one back within a second, stalls, transactions carried out late, a leader
-  // without store and peers: the combinations in which a leadership whose lease had expired once went on.
+test('the guarantees hold through ten changes of the leader in two minutes, also during an outage', async () => {
+  // Guards against a leadership that continues after its lease has expired. Such a fault needs combinations of handing
+  // over and back, crashes of all controllers of which one restarts within a second, stalls, transactions that are
+  // executed late, and a leader that reaches neither the store nor its peers.
   const kinds: FaultKind[] = [
     'refuse',
     'outage',
@@ -62,7 +63,7 @@
   let acquired = 0;
   let cancellations = 0;
   let extended = 0;
-  const day = fc.record({
+  const scenario = fc.record({
     seed: fc.integer({ min: 1 }),
     lossy: fc.boolean(),
     faults: arbitraryFaults(kinds, { from: 3000, to: 120_000 }, { min: 20, max: 40 }),
@@ -70,7 +71,7 @@
     handOverMs: fc.constantFrom(null, 9000),
   });
   await fc.assert(
-    fc.asyncProperty(day, async ({ seed, lossy, faults, outageAt, handOverMs }) => {
+    fc.asyncProperty(scenario, async ({ seed, lossy, faults, outageAt, handOverMs }) => {
       const cluster = new SimulatedCluster(seed, { lossy, messageLossRatio: 0.02 });
       scheduleFaults(cluster, faults);
       cluster.sim.after(outageAt, () => {
@@ -83,7 +84,7 @@
       acquired = Math.max(acquired, cluster.acquiredTerms.length);
       cancellations += cluster.store.leaderlessWrites.filter(({ kind }) => kind === 'cancellation').length;
       extended += cluster.validLeaseSamplesInOutage;
-      if (!lossy) assert.ok(cluster.leaderWithValidLease(), 'somebody leads in the end');
+      if (!lossy) assert.ok(cluster.leaderWithValidLease(), 'there is a leader in the end');
     }),
     { seed: SEED, numRuns: 12, endOnFailure: true, includeErrorInReport: true },
   );
@@ -92,8 +93,8 @@
   assert.ok(extended > 300, `${extended}`);
 });
 
-test('a leader that reads answers late keeps its lease valid', async () => {
-  // Renewals that waited for each other came too late on a busy controller, and each lost lease cost a failover.
+test('a leader that reads responses late keeps its lease valid', async () => {
+  // If each renewal waits for the one before, a busy controller sends them too late and loses its lease: a failover.
   const sim = new Sim(SEED);
   const access = { refusedUntil: 0, lossy: false, answerDelayMs: 0 };
   let acquired = 0;
--- a/test/leadership/faults.ts
+++ b/test/leadership/faults.ts
@@ -1,9 +1,9 @@
-/** Faults and load that the generated days of the election tests are made of. */
+/** Faults and load of the generated scenarios of the election tests. */
 import fc from 'fast-check';
 import { required } from '../../src/base/required.ts';
 import type { Controller, SimulatedCluster } from './controllers.ts';
 
-/** Kinds of faults; `hand_over` is the one that operators and leaders cause on purpose. */
+/** Kinds of faults; `hand_over` is the planned one, in which the leader steps down for some time. */
 export type FaultKind =
   | 'refuse'
   | 'outage'
@@ -15,26 +15,26 @@
   | 'delay_transaction'
   | 'slow';
 
-/** A fault at a moment of simulated time. */
+/** A fault that is injected at `at` in simulated time. */
 export interface Fault {
   at: number;
   kind: FaultKind;
-  /** The controller it strikes, unless it strikes the leader. */
+  /** Index of the affected controller, unless the fault affects the leader. */
   target: number;
   targetsLeader: boolean;
   durationMs: number;
 }
 
-/** A crashed controller is back after this long at most. */
+/** A crashed controller restarts after this time at most. */
 const MAX_RESTART_MS = 6000;
 
-// Back within a fraction of a second, or after long.
+// Either a fraction of a second or many seconds.
 const arbitraryDurationMs = fc.oneof(
   fc.integer({ min: 20, max: 400 }),
   fc.integer({ min: 400, max: 20_000 }),
 );
 
-/** Lists of faults of some kinds, within a time and a length. */
+/** Generates lists of faults of the given kinds, with bounds for their times and their number. */
 export function arbitraryFaults(
   kinds: FaultKind[],
   time: { from: number; to: number },
@@ -52,7 +52,7 @@
   );
 }
 
-/** Has each fault strike at its moment. */
+/** Schedules the injection of each fault at its time. */
 export function scheduleFaults(cluster: SimulatedCluster, faults: readonly Fault[]): void {
   for (const fault of faults) {
     cluster.sim.after(fault.at, () => {
@@ -116,7 +116,7 @@
   }
 }
 
-/** Users cancel a job every so often, each time at several controllers. */
+/** Cancels a new job about every `everyMs`, each time at several controllers. */
 export function keepCancelling(cluster: SimulatedCluster, everyMs: number, untilMs: number): void {
   const { sim } = cluster;
   let count = 0;
@@ -130,7 +130,7 @@
   sim.after(everyMs, next);
 }
 
-/** Whoever leads hands the leadership over, again and again. */
+/** Lets the current leader step down every `everyMs`. */
 export function keepHandingOver(cluster: SimulatedCluster, everyMs: number, untilMs: number): void {
   const next = (): void => {
     cluster.leader()?.election?.stepDownFor(3000, 'hands over');
--- a/test/leadership/heartbeat-grace.test.ts
+++ b/test/leadership/heartbeat-grace.test.ts
@@ -8,8 +8,8 @@
 } from '../../src/leadership/heartbeat-grace.ts';
 import { SEED } from '../helpers.ts';
 
-test('grace and worker lease together stay within the time of a cancellation, whatever the settings', () => {
-  // Counted without drift, a lease nearly as long as that time left none for slow clocks.
+test('grace and worker lease together stay within the cancellation time for all settings', () => {
+  // Without the drift in the formula, a lease nearly as long as that time leaves no reserve for slow clocks.
   const seconds = fc.double({ min: 0.5, max: 4000, noNaN: true });
   fc.assert(
     fc.property(seconds, seconds, seconds, (wantedS, leaseS, beyondS) => {
--- a/test/leadership/leader-record.test.ts
+++ b/test/leadership/leader-record.test.ts
@@ -8,11 +8,11 @@
 interface Reads {
   leader: LeaderRead;
   term: TermRead;
-  /** The terms that the observer was told of. */
+  /** The notifications of the observer. */
   observed: string[];
 }
 
-/** What both reads make of one answer of the store. */
+/** Reads both records from a store that always gives this answer. */
 async function readBoth(answer: StoreResult<Item | null>): Promise<Reads> {
   const observed: string[] = [];
   const observer = {
@@ -29,7 +29,7 @@
   return { kind: 'ok', value: { key: 'key', value, version: 7, lease: 3 } };
 }
 
-test('a store that refuses or does not answer leaves the records unavailable, with the failure', async () => {
+test('a read that is refused or has no response leaves the record unavailable, with the failure', async () => {
   for (const failure of [{ kind: 'refused', overLimit: true }, { kind: 'unknown' }] as const) {
     assert.deepEqual(await readBoth(failure), {
       leader: { kind: 'unavailable', failure },
@@ -39,7 +39,7 @@
   }
 });
 
-test('without records there is no leader, and no term was won', async () => {
+test('without records there is no leader, and the term is 0', async () => {
   assert.deepEqual(await readBoth({ kind: 'ok', value: null }), {
     leader: { kind: 'absent' },
     term: { kind: 'known', term: 0, version: 0 },
@@ -60,7 +60,7 @@
   assert.deepEqual(observed, ['term 4']);
 });
 
-test('records of another form are malformed, and no term is observed', async () => {
+test('records of another format are malformed, and no term is observed', async () => {
   assert.deepEqual(await readBoth(foundItem({ n: '4', node: 'n1' })), {
     leader: { kind: 'malformed' },
     term: { kind: 'malformed' },
--- a/test/leadership/leadership-state.test.ts
+++ b/test/leadership/leadership-state.test.ts
@@ -11,14 +11,14 @@
   return state;
 }
 
-test('a controller that does not lead has no valid lease, and none that expired a finite time ago', () => {
+test('a controller that does not lead has no valid lease, and its time since lease expiry is infinite', () => {
   const state = new LeadershipState();
   assert.equal(state.hasValidLease(0), false);
   assert.equal(state.msSinceLeaseExpiry(0), Infinity);
   assert.equal(state.leadership, null);
 });
 
-test('a lease is valid until its end, and longer once renewed', () => {
+test('a lease is valid until it expires, and a renewal extends it', () => {
   const state = createLeadingState(1000);
   assert.equal(state.hasValidLease(999), true);
   assert.equal(state.msSinceLeaseExpiry(999), 0);
@@ -28,14 +28,14 @@
   assert.equal(state.hasValidLease(1999), true);
 });
 
-test('the answer of an earlier renewal that comes late does not shorten the lease', () => {
+test('a late response to an earlier renewal does not shorten the lease', () => {
   const state = createLeadingState(1000);
   state.onLeaseRenewed(3000);
   state.onLeaseRenewed(2000);
   assert.equal(state.hasValidLease(2999), true);
 });
 
-test('peer leases keep the leadership valid until the first of them ends', () => {
+test('peer leases keep the leadership valid until the first of them expires', () => {
   const state = createLeadingState(1000);
   state.onPeerLeasesAnswered([true, true], 2000, 900);
   state.onPeerLeasesAnswered([true, false], 3000, 1500);
@@ -49,18 +49,18 @@
   assert.equal(state.hasValidLease(1000), false);
 });
 
-test('a leader without peers is its own only peer', () => {
+test('a leader without peers is extended by every request for peer leases', () => {
   const state = createLeadingState(1000);
   state.onPeerLeasesAnswered([], 2000, 900);
   assert.equal(state.hasValidLease(1999), true);
 });
 
-test('a leadership comes to rest on peer leases once for each expiry of its own lease', () => {
+test('the change to peer leases is reported once for each expiry of the own lease', () => {
   const state = createLeadingState(1000);
   assert.equal(state.onPeerLeasesAnswered([true], 2000, 900), false, 'its own lease is still valid');
   state.onLeaseRenewed(2500);
   assert.equal(state.onPeerLeasesAnswered([true], 4000, 2500), true, 'its own lease has just expired');
-  assert.equal(state.onPeerLeasesAnswered([true], 5000, 3000), false, 'it rested on peer leases before');
+  assert.equal(state.onPeerLeasesAnswered([true], 5000, 3000), false, 'it relied on peer leases before');
 });
 
 test('the end of a leadership ends its lease and its peer leases, and is reported once', () => {
@@ -72,10 +72,10 @@
   state.onLeadershipAcquired(SECOND_LEADERSHIP, 500);
   assert.equal(state.isHeld(FIRST_LEADERSHIP), false);
   assert.equal(state.isHeld(SECOND_LEADERSHIP), true);
-  assert.equal(state.hasValidLease(500), false, 'nothing is left of the leases of the term before');
+  assert.equal(state.hasValidLease(500), false, 'no lease of the previous term is left');
 });
 
-test('a leader is reported as observed once until another is, or its key is absent', () => {
+test('a leader is reported as new once, until another leader is observed or the leader key is absent', () => {
   const state = new LeadershipState();
   assert.deepEqual([state.onLeaderObserved('n1'), state.onLeaderObserved('n1')], [true, false]);
   assert.equal(state.knownLeader, 'n1');
--- a/test/leadership/lease-model.ts
+++ b/test/leadership/lease-model.ts
@@ -1,4 +1,4 @@
-/** The key-value store with leases, in simulated time. */
+/** Model of the key-value store with leases, in simulated time. */
 import type { ElectionStore } from '../../src/leadership/election.ts';
 import { readTerminal } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
@@ -14,30 +14,30 @@
 
 /** The connection of one controller to the store. */
 export interface StoreAccess {
-  /** The store refuses this controller alone until then. */
+  /** The store refuses this controller's calls, but not those of the others, until this time. */
   refusedUntil: number;
-  /** A tenth of its calls is carried out late, and a tenth of its answers is lost. */
+  /** A tenth of the calls is executed late, and a tenth of the responses is lost. */
   lossy: boolean;
-  /** Its answers take so long; a client doesn't wait longer than `TIMEOUT_MS`. */
+  /** How long responses take; a client waits no longer than `CALL_TIMEOUT_MS`. */
   answerDelayMs?: number | undefined;
-  /** The next transaction gets no answer and is carried out after so long. */
+  /** The next transaction gets no response and is executed after this time. */
   delayNextTransactionMs?: number | null;
 }
 
-/** A carried-out transaction that required the leader key to be absent. */
+/** An executed transaction that required the absence of the leader key. */
 export interface ExecutedLeaderlessWrite {
   at: number;
-  /** Term in the store just before the transaction. */
+  /** Term in the store immediately before the transaction. */
   term: number;
   kind: 'candidacy' | 'cancellation';
 }
 
 type Failed = { kind: 'refused' } | { kind: 'unknown' };
 
-/** How long a client waits for an answer, in ms. */
+/** How long a client waits for a response, in ms. */
 const CALL_TIMEOUT_MS = 1500;
 
-/** Keys and leases in simulated time; each controller's calls can be refused, or their answers lost. */
+/** Keys and leases in simulated time; the calls of each controller can be refused, and their responses lost. */
 export class LeaseModel {
   readonly leaderlessWrites: ExecutedLeaderlessWrite[] = [];
   onLeaderlessWrite: () => void = () => undefined;
@@ -59,7 +59,7 @@
     for (const [key, entry] of this.data) if (entry.lease === id) this.data.delete(key);
   }
 
-  /** The store refuses everybody for so long; once that ends, every lease has its full time again. */
+  /** Refuses all calls for this time. When the outage ends, every lease has its full time to live again. */
   startOutage(ms: number): void {
     this.expire();
     this.outageUntil = Math.max(this.outageUntil, this.sim.at + ms);
@@ -121,7 +121,7 @@
     return 'put' in change && change.lease !== undefined && !this.leases.has(change.lease);
   }
 
-  /** The store as one controller reaches it. */
+  /** The store as accessed over one controller's connection. */
   storeOf(access: StoreAccess): ElectionStore {
     const call = <T extends { kind: string }>(
       run: () => T,
--- a/test/leadership/peer-leases.test.ts
+++ b/test/leadership/peer-leases.test.ts
@@ -9,7 +9,7 @@
 import { LeaseModel } from './lease-model.ts';
 
 const JOB_ID = 'req-000001';
-const LONG_OUTAGE_MS = 60_000;
+const LONG_DURATION_MS = 60_000;
 const SAMPLE_MS = 20;
 
 interface StartedCluster {
@@ -18,15 +18,15 @@
   others: [Controller, Controller];
 }
 
-/** Three controllers of which one leads, and a job. */
+/** Starts three controllers, waits until one of them leads, and opens a job. */
 async function startCluster(): Promise<StartedCluster> {
   const cluster = new SimulatedCluster(SEED);
   await cluster.run(5000);
   const leader = cluster.leaderWithValidLease();
-  assert.ok(leader, 'somebody leads');
+  assert.ok(leader, 'there is a leader');
   cluster.openJob(JOB_ID);
   const [first, second] = cluster.followers();
-  assert.ok(first && second, 'the two others follow');
+  assert.ok(first && second, 'there are two followers');
   return { cluster, leader, others: [first, second] };
 }
 
@@ -45,8 +45,8 @@
   assert.ok(isFulfilled(), description);
 }
 
-/** Share of the time in which a controller leads with a valid lease. */
-async function validLeaseShare(
+/** Lets time pass and returns the share of it in which the controller is leader with a valid lease. */
+async function measureValidLeaseShare(
   cluster: SimulatedCluster,
   controller: Controller,
   ms: number,
@@ -60,52 +60,53 @@
   return valid / samples;
 }
 
-/** The store refuses the leader alone until its lease has expired; no other controller becomes a candidate. */
+/** Lets the store refuse only the leader until its lease has expired; no other controller becomes a candidate. */
 async function expireLease(cluster: SimulatedCluster, leader: Controller): Promise<void> {
-  leader.refusedUntil = cluster.sim.at + LONG_OUTAGE_MS;
-  for (const controller of cluster.followers()) electionOf(controller).stepDownFor(LONG_OUTAGE_MS, 'test');
+  leader.refusedUntil = cluster.sim.at + LONG_DURATION_MS;
+  for (const controller of cluster.followers()) electionOf(controller).stepDownFor(LONG_DURATION_MS, 'test');
   await waitUntil(cluster, 'the leader key is gone', () => !cluster.store.hasLeader());
 }
 
-/** A controller confirms a cancellation to a user while nobody leads. */
+/** Lets a controller confirm a user's cancellation while there is no leader. */
 async function confirmCancellation(cluster: SimulatedCluster, canceller: Controller): Promise<void> {
-  let answered: string | null = null;
-  cluster.cancel(canceller, JOB_ID, (stage) => (answered = stage));
-  await waitUntil(cluster, 'the user is answered', () => answered !== null, 1000);
-  assert.equal(answered, 'aborted');
+  let answeredStage: string | null = null;
+  cluster.cancel(canceller, JOB_ID, (stage) => (answeredStage = stage));
+  await waitUntil(cluster, 'the user is answered', () => answeredStage !== null, 1000);
+  assert.equal(answeredStage, 'aborted');
 }
 
-/** Through a long outage the lease of the old leader is never valid, and it never reports the cancelled job as running. */
+/** Checks that in a long outage the old leader's lease is never valid and the cancelled job not reported as running. */
 async function assertLeaseStaysExpired(cluster: SimulatedCluster, leader: Controller): Promise<void> {
-  assert.equal(await validLeaseShare(cluster, leader, 20_000), 0);
-  let answered: string | null = null;
-  cluster.poll(leader, JOB_ID, (stage) => (answered = stage));
+  assert.equal(await measureValidLeaseShare(cluster, leader, 20_000), 0);
+  let answeredStage: string | null = null;
+  cluster.poll(leader, JOB_ID, (stage) => (answeredStage = stage));
   await cluster.run(3000);
-  assert.notEqual(answered, 'running');
+  assert.notEqual(answeredStage, 'running');
   assert.deepEqual(cluster.violations, []);
 }
 
-test('an expired lease does not become valid again after a peer confirmed a cancellation', async () => {
-  // By peer leases it once did: the leader reported the job as running and started its tasks all through the outage.
+test('an expired lease stays expired after a peer confirmed a cancellation', async () => {
+  // Guards against peer leases that revive the lease: the leader would report the job as running and start its tasks
+  // throughout the outage.
   const { cluster, leader, others } = await startCluster();
   await expireLease(cluster, leader);
   await confirmCancellation(cluster, others[0]);
-  cluster.store.startOutage(LONG_OUTAGE_MS);
+  cluster.store.startOutage(LONG_DURATION_MS);
   await assertLeaseStaysExpired(cluster, leader);
 });
 
-test('... nor after the peer that confirmed it was restarted', async () => {
+test('an expired lease stays expired after the peer that confirmed a cancellation was restarted', async () => {
   for (const restartMs of [30, 900, 5000]) {
     const { cluster, leader, others } = await startCluster();
     await expireLease(cluster, leader);
     await confirmCancellation(cluster, others[0]);
-    cluster.store.startOutage(LONG_OUTAGE_MS);
+    cluster.store.startOutage(LONG_DURATION_MS);
     cluster.crash(others[0], restartMs);
     await assertLeaseStaysExpired(cluster, leader);
   }
 });
 
-test('... nor after the peer was restarted before the answer to its transaction, which is carried out later', async () => {
+test('an expired lease stays expired if a transaction of a restarted peer is executed late', async () => {
   for (const restartMs of [30, 400]) {
     const { cluster, leader, others } = await startCluster();
     await expireLease(cluster, leader);
@@ -113,54 +114,55 @@
     cluster.cancel(others[0], JOB_ID);
     await cluster.run(150);
     cluster.crash(others[0], restartMs);
-    cluster.store.startOutage(LONG_OUTAGE_MS);
+    cluster.store.startOutage(LONG_DURATION_MS);
     await assertLeaseStaysExpired(cluster, leader);
     assert.equal(cluster.store.jobRecord(JOB_ID), 'terminal', 'the transaction was carried out in the end');
   }
 });
 
-test('... nor while a transaction of the peer may yet be carried out', async () => {
+test('an expired lease stays expired while a transaction of a peer may yet be executed', async () => {
   const { cluster, leader, others } = await startCluster();
   await expireLease(cluster, leader);
   others[0].delayNextTransactionMs = 8000;
   cluster.cancel(others[0], JOB_ID);
   await cluster.run(150);
-  cluster.store.startOutage(LONG_OUTAGE_MS);
+  cluster.store.startOutage(LONG_DURATION_MS);
   await assertLeaseStaysExpired(cluster, leader);
   assert.equal(cluster.store.jobRecord(JOB_ID), 'terminal', 'the transaction was carried out in the end');
 });
 
-test('... nor after a newer leader led, and all peers were restarted', async () => {
+test('an expired lease stays expired after a newer leader was elected and all peers were restarted', async () => {
   const { cluster, leader, others } = await startCluster();
-  leader.refusedUntil = cluster.sim.at + LONG_OUTAGE_MS;
-  electionOf(others[1]).stepDownFor(LONG_OUTAGE_MS, 'test');
-  await waitUntil(cluster, 'another leads', () => cluster.leaderWithValidLease() === others[0]);
-  cluster.store.startOutage(LONG_OUTAGE_MS);
+  leader.refusedUntil = cluster.sim.at + LONG_DURATION_MS;
+  electionOf(others[1]).stepDownFor(LONG_DURATION_MS, 'test');
+  await waitUntil(cluster, 'another controller leads', () => cluster.leaderWithValidLease() === others[0]);
+  cluster.store.startOutage(LONG_DURATION_MS);
   cluster.crash(others[0], 500);
   cluster.crash(others[1], 700);
   await assertLeaseStaysExpired(cluster, leader);
 });
 
 test('a cancellation without a leader fails once another term has begun', async () => {
-  // Carried out later, when that leader's lease had expired too, it once ended a job that the leader still reported.
+  // Otherwise the cancellation, if it is executed after the next leader's lease has expired too, ends a job that the
+  // next leader still reports.
   const { cluster, leader, others } = await startCluster();
   await expireLease(cluster, leader);
   others[0].delayNextTransactionMs = 12_000;
   cluster.cancel(others[0], JOB_ID);
   await cluster.run(150);
   electionOf(others[1]).stepDownFor(0, 'test');
-  await waitUntil(cluster, 'the third leads', () => cluster.leaderWithValidLease() === others[1]);
+  await waitUntil(cluster, 'the third controller leads', () => cluster.leaderWithValidLease() === others[1]);
   await cluster.run(1500);
-  electionOf(others[1]).stepDownFor(LONG_OUTAGE_MS, 'test');
+  electionOf(others[1]).stepDownFor(LONG_DURATION_MS, 'test');
   await cluster.run(12_000);
-  assert.ok(!cluster.store.hasLeader(), 'nobody leads');
+  assert.ok(!cluster.store.hasLeader(), 'there is no leader');
   assert.equal(cluster.store.jobRecord(JOB_ID), 'open', 'the job is still open');
   assert.deepEqual(cluster.violations, []);
 });
 
-test('no leaderless write is sent while the leader key is there', async () => {
-  // The store refuses all one by one, so its lease expires while peer leases keep the leadership valid. What a
-  // follower that has ended since had sent while the key was there would then be carried out.
+test('no leaderless write is sent while the leader key exists', async () => {
+  // The store refuses each controller separately, so the leader's lease expires at the store while peer leases keep the
+  // leadership valid. A write that a crashed follower had sent while the key existed would then be executed.
   const { cluster, leader, others } = await startCluster();
   others[0].delayNextTransactionMs = 9000;
   cluster.cancel(others[0], JOB_ID);
@@ -168,33 +170,33 @@
   cluster.crash(others[0], 30);
   await cluster.run(100);
   for (const controller of cluster.controllers) controller.refusedUntil = cluster.sim.at + 20_000;
-  assert.equal(await validLeaseShare(cluster, leader, 20_000), 1);
+  assert.equal(await measureValidLeaseShare(cluster, leader, 20_000), 1);
   assert.ok(!cluster.store.hasLeader(), 'the lease has expired at the store');
   assert.equal(cluster.store.jobRecord(JOB_ID), 'open', 'the job is still open');
   await cluster.run(20_000);
   assert.deepEqual(cluster.violations, []);
 });
 
-test('a restarted follower abstains for the lease that its earlier process granted', async () => {
-  // The store refuses all one by one, so its lease expires while peer leases keep the leadership valid; then a
-  // follower is restarted and reaches the store.
+test('a restarted follower abstains for the peer lease that its earlier process granted', async () => {
+  // The store refuses each controller separately, so the leader's lease expires at the store while peer leases keep the
+  // leadership valid. Then a follower is restarted and reaches the store.
   const { cluster, leader, others } = await startCluster();
   leader.refusedUntil = cluster.sim.at + 20_000;
   others[1].refusedUntil = cluster.sim.at + 8000;
   others[0].refusedUntil = cluster.sim.at + 4000;
-  assert.equal(await validLeaseShare(cluster, leader, 3800), 1);
+  assert.equal(await measureValidLeaseShare(cluster, leader, 3800), 1);
   cluster.crash(others[0], 30);
   await cluster.run(400);
   assert.ok(!cluster.store.hasLeader(), 'the lease has expired at the store');
   assert.equal(cluster.leaderWithValidLease(), leader);
-  await waitUntil(cluster, 'another leads in the end', () =>
+  await waitUntil(cluster, 'another controller leads in the end', () =>
     others.some((controller) => controller === cluster.leaderWithValidLease()),
   );
   assert.deepEqual(cluster.violations, []);
 });
 
-test('peer leases granted to a leader with a valid lease do not count once that has expired', async () => {
-  // They may come from followers that just started, and whose earlier processes wrote in between.
+test('peer leases requested with a valid lease do not count if they are granted after it has expired', async () => {
+  // They may come from followers that have just been restarted and whose earlier processes wrote in the meantime.
   const sim = new Sim(SEED);
   const access = { refusedUntil: 0, lossy: false };
   const requested: boolean[] = [];
@@ -218,57 +220,58 @@
   assert.equal(requested.at(-1), false);
 });
 
-test('a leadership goes on through an outage in which a follower is restarted', async () => {
+test('a leadership continues through an outage in which a follower is restarted', async () => {
   for (const restartMs of [30, 500, 2500]) {
     const { cluster, leader, others } = await startCluster();
-    cluster.store.startOutage(LONG_OUTAGE_MS);
+    cluster.store.startOutage(LONG_DURATION_MS);
     await cluster.run(4000);
-    assert.equal(await validLeaseShare(cluster, leader, 4000), 1);
+    assert.equal(await measureValidLeaseShare(cluster, leader, 4000), 1);
     cluster.crash(others[0], restartMs);
-    assert.equal(await validLeaseShare(cluster, leader, 40_000), 1);
+    assert.equal(await measureValidLeaseShare(cluster, leader, 40_000), 1);
     assert.deepEqual(cluster.violations, []);
   }
 });
 
-test('a leader that was stalled in an outage goes on if nobody wrote without it', async () => {
+test('a leader that was stalled in an outage continues if no leaderless write was executed', async () => {
   const { cluster, leader, others } = await startCluster();
-  cluster.store.startOutage(LONG_OUTAGE_MS);
+  cluster.store.startOutage(LONG_DURATION_MS);
   await cluster.run(4000);
   leader.stalledUntil = cluster.sim.at + 6000;
   await cluster.run(6000);
   assert.equal(electionOf(leader).hasValidLease(), false);
   await cluster.run(1000);
-  assert.equal(await validLeaseShare(cluster, leader, 10_000), 1);
-  // Nor does a leaderless write that was certainly not carried out end its lease.
+  assert.equal(await measureValidLeaseShare(cluster, leader, 10_000), 1);
+  // A leaderless write that certainly was not executed does not end the lease either.
   cluster.cancel(others[0], JOB_ID);
-  assert.equal(await validLeaseShare(cluster, leader, 10_000), 1);
+  assert.equal(await measureValidLeaseShare(cluster, leader, 10_000), 1);
   assert.deepEqual(cluster.violations, []);
 });
 
-test('in an outage the leader of an earlier term grants its peer lease to a newer leader', async () => {
-  // Refused alone, the earlier one doesn't know that its leadership has ended, and once refused its lease for as long.
+test('in an outage the leader of an earlier term grants a peer lease to the newer leader', async () => {
+  // The earlier leader, the only one that the store refuses, does not know that its leadership has ended. It must not
+  // refuse the peer lease because of that.
   const { cluster, leader, others } = await startCluster();
-  leader.refusedUntil = cluster.sim.at + LONG_OUTAGE_MS;
-  await waitUntil(cluster, 'another leads', () =>
+  leader.refusedUntil = cluster.sim.at + LONG_DURATION_MS;
+  await waitUntil(cluster, 'another controller leads', () =>
     others.some((controller) => controller === cluster.leaderWithValidLease()),
   );
   const newer = required(cluster.leaderWithValidLease(), 'leader');
   await cluster.run(1000);
-  cluster.store.startOutage(LONG_OUTAGE_MS);
-  assert.equal(await validLeaseShare(cluster, newer, 20_000), 1);
+  cluster.store.startOutage(LONG_DURATION_MS);
+  assert.equal(await measureValidLeaseShare(cluster, newer, 20_000), 1);
   assert.equal(electionOf(leader).currentLeadership(), null);
   assert.deepEqual(cluster.violations, []);
 });
 
-test('a candidate that wins without an answer revokes that leadership, whenever the transaction is carried out', async () => {
+test('a candidate whose transaction has no response revokes the lease, however late it is executed', async () => {
   for (const delayMs of [0, 500, 1490, 1600, 4000]) {
     const { cluster, leader, others } = await startCluster();
-    electionOf(others[1]).stepDownFor(LONG_OUTAGE_MS, 'test');
+    electionOf(others[1]).stepDownFor(LONG_DURATION_MS, 'test');
     others[0].delayNextTransactionMs = delayMs;
-    cluster.crash(leader, LONG_OUTAGE_MS);
+    cluster.crash(leader, LONG_DURATION_MS);
     await waitUntil(
       cluster,
-      'it leads in the end',
+      'the candidate leads in the end',
       () => cluster.leaderWithValidLease() === others[0],
       15_000,
     );
@@ -278,33 +281,34 @@
   }
 });
 
-test('nobody waits for the lease of a leader that was restarted at once', async () => {
+test('a leader that is restarted immediately is replaced before its lease would expire', async () => {
   const { cluster, leader, others } = await startCluster();
   cluster.crash(leader, 30);
   await waitUntil(
     cluster,
-    'another leads',
+    'another controller leads',
     () => others.some((controller) => controller === cluster.leaderWithValidLease()),
     1000,
   );
-  // All end, and one is back within a second: it abstains for what its earlier process may have granted, then leads.
+  // All crash, and one restarts within a second: it abstains for the leases that its earlier process may have granted,
+  // and then becomes leader.
   for (const controller of cluster.controllers)
-    cluster.crash(controller, controller === leader ? 300 : LONG_OUTAGE_MS);
-  await waitUntil(cluster, 'it leads', () => cluster.leaderWithValidLease() === leader, 6000);
+    cluster.crash(controller, controller === leader ? 300 : LONG_DURATION_MS);
+  await waitUntil(cluster, 'the controller leads', () => cluster.leaderWithValidLease() === leader, 6000);
   assert.deepEqual(cluster.violations, []);
 });
 
-test('a leadership whose win was answered after its lease expired is not valid, and ends', async () => {
+test('a leadership whose acquisition is confirmed after its lease has expired is not valid, and ends', async () => {
   const { cluster, leader, others } = await startCluster();
   electionOf(others[1]).stepDownFor(20_000, 'test');
-  cluster.crash(leader, LONG_OUTAGE_MS);
-  await waitUntil(cluster, 'nobody leads', () => !cluster.store.hasLeader());
+  cluster.crash(leader, LONG_DURATION_MS);
+  await waitUntil(cluster, 'there is no leader', () => !cluster.store.hasLeader());
   others[0].answerDelayMs = 1400;
-  await waitUntil(cluster, 'it has acquired the leadership', () => cluster.store.hasLeader());
+  await waitUntil(cluster, 'the candidate has put the leader key', () => cluster.store.hasLeader());
   others[0].stalledUntil = cluster.sim.at + 8000;
   await cluster.run(8000);
   assert.deepEqual(cluster.violations, []);
   others[0].answerDelayMs = 5;
-  await waitUntil(cluster, 'somebody leads again', () => cluster.leaderWithValidLease() !== null, 30_000);
+  await waitUntil(cluster, 'there is a leader again', () => cluster.leaderWithValidLease() !== null, 30_000);
   assert.deepEqual(cluster.violations, []);
 });
--- a/test/store/budget.test.ts
+++ b/test/store/budget.test.ts
@@ -3,8 +3,8 @@
 import { LEADER_WRITE_SHARE, createSubmissionBudget } from '../../src/store/budget.ts';
 import { FakeClock } from '../helpers.ts';
 
-test('submissions may come in a burst, and in the long run leave the leader its writes', () => {
-  // With a burst of one second's share, jobs that came together were refused by a service that had nothing to do.
+test('submissions may arrive in a burst, and their average rate leaves the leader its share of writes', () => {
+  // A burst of only one second's share would refuse jobs that arrive together while the service is idle.
   const clock = new FakeClock();
   const writesPerSecond = 30;
   const nodes = 5;
--- a/test/store/flaky-store.ts
+++ b/test/store/flaky-store.ts
@@ -3,8 +3,8 @@
 import type { Condition, Mutation } from '../../src/wire/state.ts';
 
 /**
- * What becomes of one transaction: `ok`; `lost` (executed, without a response); `late` (no response, and executed only
- * when the test says so); `refused` (never executed).
+ * Outcome of one transaction: `ok`; `lost` (executed, without a response); `late` (no response, executed only when the
+ * test applies it); `refused` (never executed).
  */
 export type TransactionOutcome = 'ok' | 'lost' | 'late' | 'refused';
 
@@ -13,14 +13,14 @@
   mutations: readonly Mutation[];
 }
 
-/** A store that loses responses and executes transactions late, by a script of fates. */
+/** A store that loses responses and executes transactions late, by a given list of outcomes. */
 export class FlakyStore {
   readonly versions = new Map<string, number>([[KEYS.leader, 5]]);
   readonly values = new Map<string, unknown>();
   /** Transactions that have not been executed yet. */
   readonly pending: Transaction[] = [];
   revision = 10;
-  /** Transactions that were sent, retries too. */
+  /** Number of transactions that were sent, including retries. */
   sentCount = 0;
 
   constructor(private readonly outcomes: TransactionOutcome[]) {}
--- a/test/store/key-value-store.test.ts
+++ b/test/store/key-value-store.test.ts
@@ -13,7 +13,7 @@
 const NOT_SENT: HttpResult = { kind: 'silent', sent: false, reason: 'ECONNREFUSED' };
 const NO_RESPONSE: HttpResult = { kind: 'silent', sent: true, reason: 'no answer in time' };
 
-/** A client whose calls all end with the same result, and the paths that it called. */
+/** Creates a client whose calls all have the same result, and records the paths that it called. */
 function createStore(result: HttpResult): { store: KeyValueStore; clock: FakeClock; paths: string[] } {
   const clock = new FakeClock();
   const paths: string[] = [];
@@ -36,7 +36,7 @@
 const compareAndSwap = (result: HttpResult) =>
   createStore(result).store.compareAndSwap([{ key: 'a', version: 1 }], [{ delete: 'a' }], 'lease');
 
-test('a transaction is refused only if it can never be executed, and unknown if it may be', async () => {
+test('a transaction is refused only if it will never be executed, and unknown if it may be', async () => {
   assert.deepEqual(await compareAndSwap(NOT_SENT), { kind: 'refused' });
   assert.deepEqual(await compareAndSwap(response(503)), { kind: 'refused', overLimit: false });
   assert.deepEqual(await compareAndSwap(response(429)), { kind: 'refused', overLimit: true });
@@ -45,12 +45,12 @@
     overLimit: false,
   });
   assert.deepEqual(await compareAndSwap(NO_RESPONSE), { kind: 'unknown' });
-  // Executed, and yet no one can say at which revision.
+  // The transaction was executed, but its revision is not known.
   assert.deepEqual(await compareAndSwap(response(200, 'not JSON')), { kind: 'unknown' });
   assert.deepEqual(await compareAndSwap(response(409, '{"failed":"a"}')), { kind: 'unknown' });
 });
 
-test('a transaction tells its revision, the failed conditions, or that its lease has expired', async () => {
+test('a transaction returns its revision, the failed conditions, or that its lease has expired', async () => {
   assert.deepEqual(await compareAndSwap(response(200, '{"ledger":7}')), { kind: 'ok', revision: 7 });
   assert.deepEqual(await compareAndSwap(response(409, '{"failed":["a"],"ledger":7}')), {
     kind: 'conflict',
@@ -59,14 +59,14 @@
   assert.deepEqual(await compareAndSwap(response(400, '{"error":"no such lease"}')), { kind: 'no_lease' });
 });
 
-test('a key is missing only by a 404 in the form of the store, not by that of something in between', async () => {
+test('a key is missing only if the 404 has the format of the store, not if a proxy sent it', async () => {
   const storeWithoutKey = createStore(response(404, '{"ledger":7}')).store;
   assert.deepEqual(await storeWithoutKey.get('a', 'user'), { kind: 'ok', value: null });
   const storeBehindProxy = createStore(response(404, 'not found')).store;
   assert.deepEqual(await storeBehindProxy.get('a', 'user'), { kind: 'refused' });
 });
 
-test('a list is read page by page, and starts its watch at the revision of the first page', async () => {
+test('a list is read page by page and returns the revision of the first page', async () => {
   const pages = [
     '{"rows":[{"k":"o/1","data":1,"stamp":2}],"hasNext":true,"ledger":8}',
     '{"rows":[{"k":"o/2","data":2,"stamp":9}],"hasNext":false,"ledger":9}',
@@ -96,7 +96,7 @@
 });
 
 test('calls over the budget are withheld, the least urgent first', async () => {
-  // One node has half of the 10 requests a second, with a burst of one second's worth.
+  // A single controller may send half of the 10 requests per second, with a burst of one second's worth.
   const { store, clock, paths } = createStore(response(404, '{"ledger":7}'));
   const countAdmitted = async (urgency: 'lease' | 'user' | 'background' | 'poll'): Promise<number> => {
     const before = paths.length;
@@ -117,6 +117,6 @@
   assert.equal(await countAdmitted('lease'), 5);
 });
 
-test('a watch that starts before the retained changes must list the keys again', async () => {
+test('a watch from a revision that is no longer retained is gone', async () => {
   assert.deepEqual(await createStore(response(410)).store.watch('o/', 1, 1000), { kind: 'gone' });
 });
--- a/test/store/leader-writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -9,14 +9,14 @@
 import { FlakyStore, type TransactionOutcome } from './flaky-store.ts';
 
 interface WriterSetup {
-  /** Reasons for which the writer gave the leadership up. */
+  /** Collects the reasons with which the writer reports the loss of the leadership. */
   lossReasons?: string[];
   clock?: FakeClock;
   maxMutations?: number;
   mutationsPerSecond?: number;
 }
 
-/** A writer whose pauses end at once, and move the clock. */
+/** Creates a writer whose pauses end immediately and advance the clock. */
 function createWriter(
   store: FlakyStore,
   {
@@ -49,12 +49,12 @@
   return { kind: 'ready', mutations: [{ put: key, value }], onCommitted: done };
 }
 
-/** Lets the writer run for so many turns of the event loop. */
+/** Waits for this many turns of the event loop. */
 async function runEventLoop(turns = 1): Promise<void> {
   for (let turn = 0; turn < turns; turn++) await new Promise((resolve) => setImmediate(resolve));
 }
 
-test('writes are committed once and in order, whatever responses are lost; late copies change nothing', async () => {
+test('writes are committed once and in order although responses are lost; late copies change nothing', async () => {
   const arbitraryOutcome = fc.constantFrom<TransactionOutcome[]>('ok', 'lost', 'late', 'refused');
   await fc.assert(
     fc.asyncProperty(
@@ -100,8 +100,8 @@
   assert.equal(store.values.has('k'), false);
 });
 
-test('a transaction whose response is lost is resolved by read-back, and not sent again', async () => {
-  // It was sent again after 2 s, again and again, while others read from the store what it had written.
+test('a transaction whose response is lost is resolved by read-back, and not retried', async () => {
+  // Without the read-back it is sent again every 2 s, although other clients can read its mutations from the store.
   const store = new FlakyStore(['lost', 'late']);
   const clock = new FakeClock();
   const lost: string[] = [];
@@ -113,7 +113,7 @@
   );
   await runEventLoop(10);
   assert.deepEqual([done, store.sentCount, clock.at], [['a'], 1, 0]);
-  // One that is not committed is sent again at once; its late copy changes nothing.
+  // A transaction that is not committed is retried immediately; its late copy changes nothing.
   writer.enqueue(
     put('a', 2, () => done.push('b')),
     'ends',
@@ -125,7 +125,7 @@
 });
 
 test('a fence key that another leader has changed does not confirm a write', async () => {
-  // The transaction is never executed; another controller becomes the leader and writes.
+  // The transaction is not executed before another controller becomes leader and writes.
   const store = new FlakyStore(['late']);
   const lost: string[] = [];
   const writer = createWriter(store, { lossReasons: lost });
@@ -143,7 +143,7 @@
   for (const transaction of store.pending) assert.equal(store.apply(transaction).kind, 'conflict');
 });
 
-test('terminal states go before start watermarks, these before completions, and housekeeping goes last', async () => {
+test('terminal states are committed first, then start watermarks, completions and housekeeping', async () => {
   const store = new FlakyStore([]);
   const writer = createWriter(store, { mutationsPerSecond: 10 });
   const order: string[] = [];
@@ -163,7 +163,7 @@
   assert.deepEqual(order, expected);
 });
 
-test('a write to an idle store waits for nothing; many share transactions and stay within the budget', async () => {
+test('a write to an idle store does not wait; many writes share transactions and stay within the budget', async () => {
   const store = new FlakyStore([]);
   const clock = new FakeClock();
   const writer = createWriter(store, { clock, maxMutations: 12, mutationsPerSecond: 15 });
@@ -181,14 +181,14 @@
   await runEventLoop(600);
   assert.equal(done, 111);
   assert.ok(store.sentCount <= 14, `${store.sentCount} transactions`);
-  // 111 mutations and a fence mutation for each transaction, less the second's worth that was there.
+  // 111 mutations and a fence mutation for each transaction, less the initial burst of one second's worth.
   assert.ok(
     clock.at >= ((111 + store.sentCount - 15) / 15) * 1000 - 1 && clock.at < 10_000,
     `${clock.at} ms`,
   );
 });
 
-test('a deferred write takes the value of the moment at which its transaction is put together', async () => {
+test('a deferred write has the value at the time when its transaction is built', async () => {
   const store = new FlakyStore([]);
   const writer = createWriter(store, { maxMutations: 3, mutationsPerSecond: 3 });
   let value = 0;
--- a/test/store/memory.ts
+++ b/test/store/memory.ts
@@ -1,13 +1,13 @@
 import type { CompareAndSwapResult, StoreResult } from '../../src/store/key-value-store.ts';
 import type { Condition, Item, Mutation } from '../../src/wire/state.ts';
 
-/** The key-value store as the protocol has it, in memory. */
+/** An in-memory key-value store with the semantics of the protocol. */
 export class MemoryStore {
   readonly data = new Map<string, { value: unknown; version: number }>();
   revision = 1;
-  /** Mutations that were asked for, also by transactions whose conditions failed. */
+  /** Number of mutations in all transactions, including those whose conditions failed. */
   mutationCount = 0;
-  /** What the next transactions come to, instead of their own results. */
+  /** Outcomes of the next transactions, in place of their actual results. */
   readonly outcomes: ('over_limit' | 'lost')[] = [];
 
   get(key: string): Promise<StoreResult<Item | null>> {
--- a/test/store/write-queues.test.ts
+++ b/test/store/write-queues.test.ts
@@ -4,7 +4,7 @@
 
 const onCommitted = (): void => undefined;
 
-/** A write of so many mutations, each of a few bytes. */
+/** Creates a write with this many mutations of a few bytes each. */
 function createWrite(name: string, mutations: number): QueuedWrite {
   return {
     kind: 'ready',
@@ -18,7 +18,7 @@
   return mutations.map((mutation) => ('put' in mutation ? mutation.put : mutation.delete));
 }
 
-test('a batch holds the most urgent writes first, and no write in parts', () => {
+test('a batch holds the most urgent writes first, and never a part of a write', () => {
   const queues = new WriteQueues();
   queues.enqueue(createWrite('progress', 1), 'progress');
   queues.enqueue(createWrite('start', 2), 'starts');
@@ -29,7 +29,7 @@
   assert.equal(queues.length, 0);
 });
 
-test('a write that is larger than a transaction may be is taken alone', () => {
+test('a write that exceeds the limits of a transaction is taken alone', () => {
   const queues = new WriteQueues();
   queues.enqueue(createWrite('large', 3), 'ends');
   queues.enqueue(createWrite('small', 1), 'ends');
@@ -37,7 +37,7 @@
   assert.deepEqual(takeKeys(queues, 2), ['small0']);
 });
 
-test('a batch ends before the write that exceeds its bytes; a deferred write counts with its upper bound', () => {
+test('a batch ends before the write that exceeds its byte limit; a deferred write counts with its upper bound', () => {
   const queues = new WriteQueues();
   const deferred = (key: string): QueuedWrite => ({
     kind: 'deferred',
@@ -51,7 +51,7 @@
   assert.deepEqual(takeKeys(queues, 10), ['b']);
 });
 
-test('a transaction waits for permits for its urgent writes alone, if there are any', () => {
+test('a transaction waits only for the permits of its urgent writes, if there are any', () => {
   const queues = new WriteQueues();
   queues.enqueue(createWrite('background', 2), 'background');
   queues.enqueue(createWrite('progress', 1), 'progress');
