--- a/src/leadership/lease-renewal.ts
+++ b/src/leadership/lease-renewal.ts
@@ -6,7 +6,7 @@
 
 /** Upper bound of the renewals in flight at once. */
 const MAX_RENEWALS_IN_FLIGHT = 4;
-/** After a failure the next renewal is sent after this delay for each consecutive failure, up to the maximum. */
+/** After failures the next renewal is sent sooner: after this delay for each consecutive failure, up to the maximum. */
 const RETRY_STEP_MS = 100;
 const MAX_RETRY_DELAY_MS = 500;
 
--- a/test/leadership/peer-leases.test.ts
+++ b/test/leadership/peer-leases.test.ts
@@ -248,8 +248,8 @@
 });
 
 test('in an outage the leader of an earlier term grants a peer lease to the newer leader', async () => {
-  // The earlier leader, the only one that the store refuses, does not know that its leadership has ended. It must not
-  // refuse the peer lease because of that.
+  // The earlier leader, the only one that the store refuses, does not know that its leadership has ended. While it
+  // still believes that it leads, it must not refuse the peer lease.
   const { cluster, leader, others } = await startCluster();
   leader.refusedUntil = cluster.sim.at + LONG_DURATION_MS;
   await waitUntil(cluster, 'another controller leads', () =>
--- a/test/store/leader-writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -125,7 +125,7 @@
 });
 
 test('a fence key that another leader has changed does not confirm a write', async () => {
-  // The transaction is not executed before another controller becomes leader and writes.
+  // The transaction is never executed; another controller becomes leader and writes.
   const store = new FlakyStore(['late']);
   const lost: string[] = [];
   const writer = createWriter(store, { lossReasons: lost });
