--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -85,7 +85,7 @@
     const teams = createTeamQuotas(context);
     const zones = new NameIndex(settings.settings.zones);
     const heartbeatGraceMs = resolveHeartbeatGraceMs(context);
-    const peerCalls = createPeerCalls(context, () => this.election.leader());
+    const peerCalls = createPeerCalls(context, () => this.election.leaderName());
     const leader = (): Leader | null => this.leader;
     this.connectivity = createConnectivity(context, store, peerCalls);
     this.election = createElection(context, store, peerCalls, {
@@ -175,7 +175,7 @@
 
   /** True while this controller doesn't lead and knows another one that does. */
   isFollowing(): boolean {
-    return !this.leader && this.election.leader() !== null;
+    return !this.leader && this.election.leaderName() !== null;
   }
 
   private get leader(): Leader | null {
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,7 +1,7 @@
 /**
- * Leader election by a key in the key-value store that is attached to a lease. The term is counted up in the
- * transaction that takes the key, and is the fencing token of all that the leader sends. The holder counts its lease
- * from the moment a renewal was sent.
+ * Leader election by a key in the key-value store that is attached to a lease. The transaction that puts the key also
+ * increments the term, which is the fencing token of all messages of the leader. The holder measures its lease from
+ * the time at which it sent the renewal.
  */
 import type { Clock } from '../base/clock.ts';
 import type { Logger } from '../base/log.ts';
@@ -18,27 +18,27 @@
 import { PeerLeaseLedger } from './peer-lease-ledger.ts';
 import type { PeerLeaseRequest, RequestPeerLeases } from './peer-leases.ts';
 
-/** What the election needs of the key-value store. */
-export type LeaseStore = Pick<
+/** The calls of the key-value store that the election uses. */
+export type ElectionStore = Pick<
   KeyValueStore,
   'get' | 'compareAndSwap' | 'grantLease' | 'renewLease' | 'revokeLease' | 'watch'
 >;
 
 /** Called when this controller's leadership begins and ends. */
 export interface ElectionEvents {
-  /** This controller leads from now on. */
+  /** This controller has become leader. */
   acquired(leadership: Leadership): void;
-  /** It leads no more; the reason is for the log. */
+  /** This controller is no longer leader; the reason is for the log. */
   lost(reason: string): void;
 }
 
-/** What an election is made of. */
-export interface ElectionDependencies {
+/** Collaborators and settings of an election. */
+export interface ElectionDeps {
   /** Name of this controller, unique in the deployment. */
   node: string;
-  /** Unique to this process. */
+  /** Unique to this process, unlike the name, which a restarted controller keeps. */
   nonce: string;
-  store: LeaseStore;
+  store: ElectionStore;
   clock: Clock;
   /** Random numbers from 0 to below 1. */
   random: () => number;
@@ -48,11 +48,11 @@
   pause: (ms: number) => Promise<void>;
   /** null: peer leases are not used. */
   requestPeerLeases: RequestPeerLeases | null;
-  /** A background task of the election failed, which is a defect; that task has ended. */
+  /** Called when a background task of the election has ended with an error, which is a defect. */
   onFault: (error: unknown) => void;
 }
 
-/** One controller's part in the election, and owner of the election's background tasks. */
+/** One controller's participation in the election; owns the election's background tasks. */
 export class Election {
   private readonly state = new LeadershipState();
   private readonly ledger: PeerLeaseLedger;
@@ -61,7 +61,7 @@
   private readonly peerLeases: PeerLeaseExtension;
   private readonly stopping = new AbortController();
 
-  constructor(private readonly deps: ElectionDependencies) {
+  constructor(private readonly deps: ElectionDeps) {
     const { clock, store, log, requestPeerLeases } = deps;
     const { state } = this;
     const ledger = new PeerLeaseLedger(clock.now());
@@ -74,7 +74,7 @@
     this.peerLeases = new PeerLeaseExtension({ clock, log, state, ledger, hasValidLease, requestPeerLeases });
   }
 
-  /** Begins to watch the leader key, and to contend for it while it is absent. */
+  /** Starts to watch the leader key, and to campaign for it while it is absent. */
   start(): void {
     const { node, nonce, store, clock, random, options, log, pause } = this.deps;
     const { state, records, leaderlessWrites: writes } = this;
@@ -91,22 +91,22 @@
       writes,
       pause,
       signal,
-      won: (leadership, leaseValidUntil) => {
-        this.lead(leadership, leaseValidUntil);
+      onAcquired: (leadership, leaseValidUntil) => {
+        this.becomeLeader(leadership, leaseValidUntil);
       },
     });
-    const contend = (): Promise<void> => candidacy.contend();
-    const watch = new LeaderWatch({ node, store, random, log, state, records, pause, contend, signal });
+    const campaign = (): Promise<void> => candidacy.campaign();
+    const watch = new LeaderWatch({ node, store, random, log, state, records, pause, campaign, signal });
     this.runInBackground(watch.run());
   }
 
-  /** Ends the background tasks. A candidacy under way goes on to its end, but gives up the lease that it wins. */
+  /** Ends the background tasks. A campaign in progress is completed, but the lease that it wins is revoked. */
   stop(): void {
     this.stopping.abort();
   }
 
   /** The leadership that this controller holds, whether or not its lease is valid. */
-  current(): Leadership | null {
+  currentLeadership(): Leadership | null {
     return this.state.leadership;
   }
 
@@ -120,58 +120,59 @@
     return this.state.msSinceLeaseExpiry(this.deps.clock.now());
   }
 
-  /** Name of the controller that leads, as far as this one knows. */
-  leader(): string | null {
+  /** Name of the leader as last observed; null if none is known. */
+  leaderName(): string | null {
     return this.state.isLeading() ? this.deps.node : this.state.knownLeader;
   }
 
-  /** Begins a write that needs the absence of a leader. null: not now, or there is a leader. */
+  /** Begins a write that requires the absence of a leader. null: there is a leader, or the write may not begin now. */
   beginLeaderlessWrite(urgency: Urgency): Promise<LeaderlessWrite | null> {
     return this.leaderlessWrites.begin(urgency);
   }
 
   /**
-   * A leader that can't reach the store asks this controller to abstain from leaderless writes for a while. Granted
-   * only if this controller can't reach the store either: where that can be reached, its lease decides.
+   * Handles the request of a leader that can't reach the store: this controller is asked to abstain from leaderless
+   * writes for a while. Granted only if this controller can't reach the store either; while the store can be reached,
+   * the leader's lease there decides.
    */
   async grantPeerLease(request: PeerLeaseRequest): Promise<boolean> {
     const { leadership } = this.state;
-    // Only who has won a term asks for it.
+    // Only the winner of a term sends requests with it, so a higher term means that a newer leader exists.
     if (leadership && request.term > leadership.term) this.stepDown('a newer leader requested a peer lease');
-    if (!this.mayGrantPeerLease(request)) return false;
+    if (!this.canGrantPeerLease(request)) return false;
     const read = await this.records.readLeader('lease');
-    if (read.kind !== 'unavailable' || !this.mayGrantPeerLease(request)) return false;
+    if (read.kind !== 'unavailable' || !this.canGrantPeerLease(request)) return false;
     this.ledger.grant(request.ms, this.deps.clock.now());
     return true;
   }
 
-  private mayGrantPeerLease(request: PeerLeaseRequest): boolean {
-    return !this.state.isLeading() && this.ledger.mayGrant(request);
+  private canGrantPeerLease(request: PeerLeaseRequest): boolean {
+    return !this.state.isLeading() && this.ledger.canGrant(request);
   }
 
-  /** Gives the leadership up, for instance because a higher fencing token was seen. */
+  /** Ends the leadership, for instance because a higher fencing token was seen, and revokes its lease. */
   stepDown(reason: string): void {
-    const ended = this.state.leadershipEnded();
+    const ended = this.state.onLeadershipEnded();
     if (!ended) return;
     this.deps.log.info({ term: ended.term, reason }, 'leadership lost');
     this.deps.events.lost(reason);
     this.runInBackground(this.deps.store.revokeLease(ended.lease));
   }
 
-  /** Gives the leadership up and leaves it to others for so many ms. */
+  /** Ends the leadership and suspends this controller's candidacy for `ms` milliseconds. */
   stepDownFor(ms: number, reason: string): void {
-    this.state.candidacySuspended(this.deps.clock.now() + ms);
+    this.state.onCandidacySuspended(this.deps.clock.now() + ms);
     this.stepDown(reason);
   }
 
-  private lead(leadership: Leadership, leaseValidUntil: number): void {
-    this.state.leadershipAcquired(leadership, leaseValidUntil);
+  private becomeLeader(leadership: Leadership, leaseExpiresAt: number): void {
+    this.state.onLeadershipAcquired(leadership, leaseExpiresAt);
     this.deps.log.info({ term: leadership.term }, 'leadership acquired');
-    this.runInBackground(this.renewalOf(leadership).run());
+    this.runInBackground(this.createLeaseRenewal(leadership).run());
     this.deps.events.acquired(leadership);
   }
 
-  private renewalOf(leadership: Leadership): LeaseRenewal {
+  private createLeaseRenewal(leadership: Leadership): LeaseRenewal {
     const { store, clock, options, pause } = this.deps;
     return new LeaseRenewal(leadership, {
       store,
@@ -180,7 +181,7 @@
       state: this.state,
       pause,
       signal: this.stopping.signal,
-      extendByPeers: (held) => this.peerLeases.extend(held),
+      extendByPeerLeases: (held) => this.peerLeases.extend(held),
       stepDown: (reason) => {
         this.stepDown(reason);
       },
--- a/src/store/fenced-transactions.ts
+++ b/src/store/fenced-transactions.ts
@@ -8,35 +8,35 @@
 /** Mutations that fencing adds to each transaction. */
 export const FENCE_MUTATIONS = 1;
 
-/** Time for the first response. A retry is harmless, so it is short at first, and longer while the service is slow. */
+/** Timeout of a transaction. It is short at first, since a retry is harmless, and doubled while the service is slow. */
 const MIN_TIMEOUT_MS = 400;
 const MAX_TIMEOUT_MS = 2000;
 const MIN_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 800;
 
-/** What fenced transactions need of the key-value store and of the clock. */
+/** The calls of the key-value store and of the clock that fenced transactions use. */
 export interface TransactionHost {
   compareAndSwap(
     conditions: readonly Condition[],
     mutations: readonly Mutation[],
     timeoutMs: number,
   ): Promise<CompareAndSwapResult>;
-  /** Reads the current version of a key (0: it does not exist). */
+  /** Reads the current version of a key (0: the key does not exist). */
   readVersion(key: string): Promise<StoreResult<number>>;
   pause(ms: number): Promise<void>;
 }
 
-/** Everything that the transactions of one leadership share. */
+/** Collaborators and state shared by the transactions of one leadership. */
 export interface FencedTransactionsDeps {
   host: TransactionHost;
   pacer: TransactionPacer;
   /** Version of the leader key for as long as this leadership holds it. */
   leaderVersion: number;
-  /** Version of the fence key before the first transaction (0: it does not exist). */
+  /** Version of the fence key before the first transaction (0: the key does not exist). */
   fenceVersion: number;
-  /** Aborted once nothing more is to be written. */
+  /** Aborted once nothing more may be written. */
   signal: AbortSignal;
-  /** Another leadership has taken over, or may do so; aborts the signal. */
+  /** Called when another controller has become leader or may become leader; aborts the signal. */
   onLeadershipLost: (reason: string) => void;
   log: Logger;
 }
@@ -47,16 +47,16 @@
 }
 
 /**
- * What a read-back says of an in-doubt transaction: `committed`, `notCommitted` (so far), `superseded` by another
- * leader, or `unresolved` since a key could not be read.
+ * Result of the read-back of an in-doubt transaction: `committed`, `notCommitted` (so far), `superseded` by another
+ * leader, or `unresolved` because a key could not be read.
  */
 type Resolution = 'committed' | 'notCommitted' | 'superseded' | 'unresolved';
 
-/** Time-outs and pauses of one transaction: both grow with failures, by doubling, up to a limit. */
+/** Timeout and backoff of one transaction; both are doubled after failures, up to a limit. */
 class RetrySchedule {
   timeoutMs = MIN_TIMEOUT_MS;
   private backoffMs = MIN_BACKOFF_MS;
-  private retriedAtOnce = false;
+  private retriedImmediately = false;
 
   /** No response came in time. */
   extendTimeout(): void {
@@ -70,10 +70,10 @@
     return backoffMs;
   }
 
-  /** True the first time: a transaction that is known not to be committed is retried once without a pause. */
+  /** True on the first call: a transaction known not to be committed is retried once without a pause. */
   takeImmediateRetry(): boolean {
-    if (this.retriedAtOnce) return false;
-    this.retriedAtOnce = true;
+    if (this.retriedImmediately) return false;
+    this.retriedImmediately = true;
     return true;
   }
 }
@@ -82,12 +82,13 @@
  * Commits transactions under optimistic concurrency control with a fence key. Each transaction is conditional on two
  * versions, and writes the fence key itself:
  *
- * - the leader key's: it stands for as long as this leadership holds its lease, so a former leader's transactions fail;
- * - the fence key's: it changes with each commit, so of several copies of one transaction at most one is committed, and
- *   a copy that the service executes minutes late fails.
+ * - the leader key's, which is unchanged for as long as this leadership holds its lease, so the transactions of a
+ *   former leader fail;
+ * - the fence key's, which changes with each commit, so at most one of several copies of a transaction is committed,
+ *   and a copy that the service executes minutes late fails.
  *
- * So a transaction without a response (in doubt) can be sent again unchanged, or resolved by reading the fence key
- * back. Only one transaction may be in flight at a time.
+ * A transaction without a response (in doubt) can therefore be sent again unchanged, or resolved by reading the fence
+ * key back. Only one transaction may be in flight at a time.
  */
 export class FencedTransactions {
   private readonly host: TransactionHost;
@@ -100,9 +101,9 @@
     this.fenceVersion = deps.fenceVersion;
   }
 
-  /** Retries until the mutations are durable (true), or until the signal is aborted or the leadership lost (false). */
+  /** Retries until the mutations are durable (true), or the signal is aborted or the leadership is lost (false). */
   async commit(mutations: readonly Mutation[]): Promise<boolean> {
-    const transaction = this.fenced(mutations);
+    const transaction = this.withFence(mutations);
     const schedule = new RetrySchedule();
     let inDoubt = false;
     while (!this.isAborted()) {
@@ -110,15 +111,15 @@
       if (waitMs > 0) await this.host.pause(waitMs);
       const result = await this.send(transaction, schedule.timeoutMs);
       if (this.isAborted()) return false;
-      if (result.kind === 'ok') return this.committedAt(result.revision);
-      if (result.kind === 'no_lease') return this.leadershipLost('lease expired');
+      if (result.kind === 'ok') return this.recordCommit(result.revision);
+      if (result.kind === 'no_lease') return this.reportLeadershipLost('lease expired');
       if (result.kind === 'conflict') {
         if (result.failed.includes(KEYS.leader) || !inDoubt) {
-          return this.leadershipLost('a transaction conflicts with another leader');
+          return this.reportLeadershipLost('a transaction conflicts with another leader');
         }
-        // The leader key still stood, so only an earlier copy of this transaction can have changed the fence key.
+        // The leader key was unchanged, so only an earlier copy of this transaction can have changed the fence key.
         const fence = await this.host.readVersion(KEYS.fence);
-        if (fence.kind === 'ok') return this.committedAt(fence.value);
+        if (fence.kind === 'ok') return this.recordCommit(fence.value);
       }
       if (result.kind === 'unknown') {
         inDoubt = true;
@@ -126,7 +127,7 @@
         const resolution = await this.resolveInDoubt();
         this.logResolution(resolution);
         if (resolution === 'committed') return true;
-        if (resolution === 'superseded') return this.leadershipLost('another leader was observed');
+        if (resolution === 'superseded') return this.reportLeadershipLost('another leader was observed');
         if (resolution === 'notCommitted' && schedule.takeImmediateRetry()) continue;
       }
       await this.backOff(result.kind, schedule.nextBackoffMs());
@@ -134,7 +135,7 @@
     return false;
   }
 
-  private fenced(mutations: readonly Mutation[]): Transaction {
+  private withFence(mutations: readonly Mutation[]): Transaction {
     return {
       conditions: [
         { key: KEYS.leader, version: this.deps.leaderVersion },
@@ -145,7 +146,7 @@
   }
 
   private send({ conditions, mutations }: Transaction, timeoutMs: number): Promise<CompareAndSwapResult> {
-    this.pacer.takeForSend(mutations.length);
+    this.pacer.takeSendPermits(mutations.length);
     return this.host.compareAndSwap(conditions, mutations, timeoutMs);
   }
 
@@ -155,9 +156,9 @@
   }
 
   /**
-   * What came of a transaction without a response. While the leader key stands as it was, nobody but this leadership
-   * changes the fence key, and only this one transaction is in flight: a fence key that has changed shows that it was
-   * committed, provided that the leader key is read unchanged *after* that.
+   * Determines the outcome of a transaction without a response. While the leader key is unchanged, only this leadership
+   * changes the fence key, and only this transaction is in flight. So a changed fence key shows that the transaction
+   * was committed, provided that the leader key is read *after* the fence key and is unchanged.
    */
   private async resolveInDoubt(): Promise<Resolution> {
     const fence = await this.host.readVersion(KEYS.fence);
@@ -175,17 +176,17 @@
     this.deps.log.info({ resolution }, 'store: in-doubt transaction resolved by read-back');
   }
 
-  private committedAt(fenceVersion: number): true {
+  private recordCommit(fenceVersion: number): true {
     this.fenceVersion = fenceVersion;
     return true;
   }
 
-  private leadershipLost(reason: string): false {
+  private reportLeadershipLost(reason: string): false {
     this.deps.onLeadershipLost(reason);
     return false;
   }
 
-  /** A method, since the type checker takes `signal.aborted` for unchanged across an `await`. */
+  /** A method, because the type checker assumes that `signal.aborted` does not change across an `await`. */
   private isAborted(): boolean {
     return this.deps.signal.aborted;
   }
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -1,4 +1,4 @@
-/** A cluster of controllers in simulated time, with checks of what elections guarantee. */
+/** A cluster of controllers in simulated time, with checks of the guarantees of the election. */
 import assert from 'node:assert/strict';
 import { defaultOptions } from '../../src/config/options.ts';
 import type { LocalLeader } from '../../src/jobs/user-request-deps.ts';
@@ -13,74 +13,78 @@
 import { Sim } from '../model/sim.ts';
 import { JOB } from '../wire/sample.ts';
 import { LeaseModel, type StoreAccess } from './lease-model.ts';
-import { electionOnModel } from './election-fixture.ts';
+import { createElection } from './election-fixture.ts';
 import { RateBudget } from '../../src/store/budget.ts';
 import { failTest } from '../helpers.ts';
 
-/** One controller, whose process may end and start again. */
+/** One controller, whose process may crash and restart. */
 export interface Controller extends StoreAccess {
   index: number;
   name: string;
-  /** Counts its processes. */
-  life: number;
-  /** Its process is stalled until then. */
+  /** Increased whenever a process of this controller starts or ends. */
+  incarnation: number;
+  /** The process is stalled until this time. */
   stalledUntil: number;
-  /** It is partitioned from the other controllers until then. */
+  /** The controller is partitioned from the other controllers until this time. */
   partitionedUntil: number;
   election: Election | null;
   userRequests: UserRequests | null;
 }
 
-/** How many controllers, and how bad their network is. */
-export interface ControllersOptions {
+/** Size of the cluster and faults of its network. */
+export interface SimulatedClusterOptions {
   count?: number;
-  /** Their calls of the store are carried out late, or lose their answers. */
+  /** Some calls of the store are executed late, and some responses are lost. */
   lossy?: boolean;
-  /** Share of lost messages between controllers. */
-  loss?: number;
+  /** Share of the messages between controllers that are lost. */
+  messageLossRatio?: number;
 }
 
 /** How long a leader whose lease has expired still answers heartbeats, in ms. */
 export const GRACE_MS = 6000;
-/** How long a leader waits for a peer's answer, in ms. */
+/** How long a leader waits for a peer's reply, in ms. */
 const PEER_TIMEOUT_MS = 900;
-/** Time between two checks, in ms. */
+/** Interval of the checks, in ms. */
 const SAMPLE_MS = 20;
-/** Clocks of controllers run faster or slower by up to this share. */
-const MAX_DRIFT = 0.0005;
+/** The clocks of controllers run faster or slower by up to this ratio. */
+const MAX_DRIFT_RATIO = 0.0005;
 const RUNNING: JobStatus = { stage: 'running', done: 0, running: 1 };
 
 /**
- * Controllers with the real election and the real user requests, on the modelled store in simulated time. What must
- * hold between leaderships and leaderless writes is checked all the time; `violations` lists what did not.
+ * Controllers with the real election and the real user requests, on the modelled store in simulated time. The
+ * invariants between leaderships and leaderless writes are checked at intervals and at each leaderless write;
+ * `violations` lists the failed checks.
  */
-export class Controllers {
+export class SimulatedCluster {
   readonly sim: Sim;
   readonly store: LeaseModel;
-  readonly nodes: Controller[];
+  readonly controllers: Controller[];
   readonly violations: string[] = [];
   /** Terms in the order in which they were acquired. */
   readonly acquiredTerms: number[] = [];
-  /** Samples at which a leader had a valid lease during an outage. */
+  /** Number of checks during an outage at which a leader had a valid lease. */
   validLeaseSamplesInOutage = 0;
-  private readonly loss: number;
+  private readonly messageLossRatio: number;
 
-  constructor(seed: number, { count = 3, lossy = false, loss = 0 }: ControllersOptions = {}) {
+  constructor(
+    seed: number,
+    { count = 3, lossy = false, messageLossRatio = 0 }: SimulatedClusterOptions = {},
+  ) {
     this.sim = new Sim(seed);
     this.store = new LeaseModel(this.sim);
-    this.loss = loss;
-    this.nodes = Array.from({ length: count }, (_, index) => ({
+    this.messageLossRatio = messageLossRatio;
+    this.controllers = Array.from({ length: count }, (_, index) => ({
       index,
       name: `n${index}`,
       refusedUntil: 0,
       stalledUntil: 0,
       partitionedUntil: 0,
       lossy,
-      life: 0,
+      incarnation: 0,
       election: null,
       userRequests: null,
     }));
-    for (const node of this.nodes) this.boot(node);
+    for (const controller of this.controllers) this.startProcess(controller);
     this.store.onLeaderlessWrite = () => {
       this.check();
     };
@@ -99,18 +103,20 @@
     return this.sim.run(this.sim.at + ms);
   }
 
-  /** The controller whose lease as leader is valid, if any. */
+  /** The leader whose lease is valid, if any. */
   leaderWithValidLease(): Controller | null {
-    return this.nodes.find((node) => node.election?.hasValidLease()) ?? null;
+    return this.controllers.find((controller) => controller.election?.hasValidLease()) ?? null;
   }
 
   /** The controller that leads, whether or not its lease is valid. */
   leader(): Controller | null {
-    return this.nodes.find((node) => node.election?.current()) ?? null;
+    return this.controllers.find((controller) => controller.election?.currentLeadership()) ?? null;
   }
 
   followers(): Controller[] {
-    return this.nodes.filter((node) => node.election && !node.election.current());
+    return this.controllers.filter(
+      (controller) => controller.election && !controller.election.currentLeadership(),
+    );
   }
 
   openJob(id: string): void {
@@ -119,52 +125,56 @@
     this.store.put(KEYS.open(id), openValue(decoded.value, this.sim.at));
   }
 
-  /** A user's cancellation at one controller, which answers with the job's stage or with an error (null). */
-  cancel(node: Controller, id: string, answered: (stage: string | null) => void = () => undefined): void {
-    node.userRequests?.cancel(id, (answer) => {
-      answered(answer.status === 200 ? stageOf(answer.body) : null);
+  /** Sends a user's cancellation to one controller; `onAnswer` gets the job's stage, or null for an error. */
+  cancel(
+    controller: Controller,
+    id: string,
+    onAnswer: (stage: string | null) => void = () => undefined,
+  ): void {
+    controller.userRequests?.cancel(id, (answer) => {
+      onAnswer(answer.status === 200 ? stageOf(answer.body) : null);
     });
   }
 
-  /** A user's poll at one controller, which answers with the job's stage or with an error (null). */
-  poll(node: Controller, id: string, answered: (stage: string | null) => void): void {
-    node.userRequests?.poll(id, (answer) => {
-      answered(answer.status === 200 ? stageOf(answer.body) : null);
+  /** Sends a user's poll to one controller; `onAnswer` gets the job's stage, or null for an error. */
+  poll(controller: Controller, id: string, onAnswer: (stage: string | null) => void): void {
+    controller.userRequests?.poll(id, (answer) => {
+      onAnswer(answer.status === 200 ? stageOf(answer.body) : null);
     });
   }
 
-  /** Ends the controller's process; another starts after so long, or never (null). */
-  crash(node: Controller, restartMs: number | null): void {
-    node.election = null;
-    node.userRequests = null;
-    node.life += 1;
-    const { life } = node;
+  /** Ends the controller's process; a new one starts after `restartMs`, or never if that is null. */
+  crash(controller: Controller, restartMs: number | null): void {
+    controller.election = null;
+    controller.userRequests = null;
+    controller.incarnation += 1;
+    const { incarnation } = controller;
     if (restartMs === null) return;
     this.sim.after(restartMs, () => {
-      if (node.life === life) this.boot(node);
+      if (controller.incarnation === incarnation) this.startProcess(controller);
     });
   }
 
-  private boot(node: Controller): void {
-    node.life += 1;
-    const { life } = node;
-    const alive = (): boolean => node.life === life;
-    const rate = 1 + ((node.index % 3) - 1) * MAX_DRIFT;
+  private startProcess(controller: Controller): void {
+    controller.incarnation += 1;
+    const { incarnation } = controller;
+    const isAlive = (): boolean => controller.incarnation === incarnation;
+    const rate = 1 + ((controller.index % 3) - 1) * MAX_DRIFT_RATIO;
     const clock = { now: () => this.sim.at * rate, wall: () => this.sim.at };
-    const store = this.store.storeOf(node);
-    const election = electionOnModel(this.sim, {
-      node: node.name,
-      nonce: `${node.index}-${life}`,
+    const store = this.store.storeOf(controller);
+    const election = createElection(this.sim, {
+      node: controller.name,
+      nonce: `${controller.index}-${incarnation}`,
       store,
       clock,
       acquired: ({ term }) => {
-        this.onAcquired(node, term);
+        this.onAcquired(controller, term);
       },
-      pause: (ms) => this.pause(node, alive, ms),
-      requestPeerLeases: (request) => this.requestPeerLeases(node, alive, request),
+      pause: (ms) => this.pause(controller, isAlive, ms),
+      requestPeerLeases: (request) => this.requestPeerLeases(controller, isAlive, request),
     });
-    node.election = election;
-    node.userRequests = new UserRequests({
+    controller.election = election;
+    controller.userRequests = new UserRequests({
       onError: failTest,
       clock,
       options: defaultOptions(),
@@ -173,104 +183,122 @@
       submissions: new RateBudget(1000, () => 0),
       teams: [],
       catalog: () => null,
-      leader: () => localLeader(election),
+      leader: () => toLocalLeader(election),
       beginLeaderlessWrite: (urgency) => election.beginLeaderlessWrite(urgency),
       callLeader: (request) => {
-        const leader = this.nodes.find((other) => other.name === election.leader());
-        return leader && leader !== node ? this.call(node, leader, request) : Promise.resolve(null);
+        const leader = this.controllers.find((other) => other.name === election.leaderName());
+        return leader && leader !== controller
+          ? this.call(controller, leader, request)
+          : Promise.resolve(null);
       },
       callOthers: () => Promise.resolve(null),
     });
     election.start();
   }
 
-  private onAcquired(node: Controller, term: number): void {
-    // A process that stood still may learn late of what it won.
-    const termBefore = this.acquiredTerms.at(-1) ?? 0;
-    if (term <= termBefore && node.stalledUntil === 0) {
-      this.fail(`term ${term} acquired after ${termBefore}`);
+  private onAcquired(controller: Controller, term: number): void {
+    // A process that was stalled may learn late that it won a term.
+    const previousTerm = this.acquiredTerms.at(-1) ?? 0;
+    if (term <= previousTerm && controller.stalledUntil === 0) {
+      this.recordViolation(`term ${term} acquired after ${previousTerm}`);
     }
     this.acquiredTerms.push(term);
   }
 
   /** The timers of a dead process never fire, and those of a stalled one fire late. */
-  private pause(node: Controller, alive: () => boolean, ms: number): Promise<void> {
+  private pause(controller: Controller, isAlive: () => boolean, ms: number): Promise<void> {
     return new Promise((resolve) => {
-      const due = (): void => {
-        if (!alive()) return;
-        if (this.sim.at < node.stalledUntil) this.sim.after(node.stalledUntil - this.sim.at, due);
+      const fire = (): void => {
+        if (!isAlive()) return;
+        if (this.sim.at < controller.stalledUntil)
+          this.sim.after(controller.stalledUntil - this.sim.at, fire);
         else resolve();
       };
-      this.sim.after(ms, due);
+      this.sim.after(ms, fire);
     });
   }
 
-  private connected(from: Controller, to: Controller): boolean {
+  private isConnected(from: Controller, to: Controller): boolean {
     return this.sim.at >= from.partitionedUntil && this.sim.at >= to.partitionedUntil;
   }
 
-  /** A message to another controller and its answer, each delayed or lost; a dead process doesn't answer. */
+  /** Sends a request to another controller. Request and reply can be delayed or lost; a dead process doesn't reply. */
   private async call(from: Controller, to: Controller, request: PeerRequest): Promise<PeerReply | null> {
-    const delay = (): Promise<void> => this.sim.pause(this.sim.between(1, this.loss > 0 ? 400 : 20));
+    const delay = (): Promise<void> =>
+      this.sim.pause(this.sim.between(1, this.messageLossRatio > 0 ? 400 : 20));
     await delay();
-    if (!processOf(to) || !this.connected(from, to) || this.sim.chance(this.loss)) return null;
+    if (!processOf(to) || !this.isConnected(from, to) || this.sim.chance(this.messageLossRatio)) return null;
     await this.sim.pause(Math.max(0, to.stalledUntil - this.sim.at));
-    const { life } = to;
+    const { incarnation } = to;
     const process = processOf(to);
     if (!process) return null;
     const reply = await replyOf(process, request);
     await delay();
-    return to.life === life && this.connected(from, to) && !this.sim.chance(this.loss) ? reply : null;
+    return to.incarnation === incarnation &&
+      this.isConnected(from, to) &&
+      !this.sim.chance(this.messageLossRatio)
+      ? reply
+      : null;
   }
 
   private async requestPeerLeases(
-    node: Controller,
-    alive: () => boolean,
+    controller: Controller,
+    isAlive: () => boolean,
     request: PeerLeaseRequest,
   ): Promise<boolean[]> {
-    const others = this.nodes.filter((other) => other !== node);
+    const others = this.controllers.filter((other) => other !== controller);
     const replies = others.map((other) => {
-      const timeout = this.pause(node, alive, PEER_TIMEOUT_MS).then(() => null);
-      return Promise.race([this.call(node, other, { kind: 'grantPeerLease', ...request }), timeout]);
+      const timeout = this.pause(controller, isAlive, PEER_TIMEOUT_MS).then(() => null);
+      return Promise.race([this.call(controller, other, { kind: 'grantPeerLease', ...request }), timeout]);
     });
     const answers = await Promise.all(replies);
-    // A stalled process reads the answers once it goes on.
-    await this.pause(node, alive, 0);
+    // A stalled process reads the replies when the stall ends.
+    await this.pause(controller, isAlive, 0);
     return answers.map((reply) => reply?.kind === 'granted');
   }
 
   /**
-   * The lease of term T may be valid only while no leaderless write of T or later was carried out; and its leader
-   * answers heartbeats no longer than the grace after a cancellation that was confirmed without it.
+   * Checks that at most one lease is valid, that the lease of term T is valid only while no leaderless write of T or
+   * later has been executed, and that the leader of T answers heartbeats at most for the grace after a cancellation
+   * that was confirmed without the leader.
    */
   private check(): void {
-    const valid = this.nodes.filter((node) => node.election?.hasValidLease());
-    if (valid.length > 1) this.fail(`${valid.map((node) => node.name).join(' and ')} both lead`);
-    for (const node of this.nodes) this.checkLeadership(node);
+    const leadersWithValidLease = this.controllers.filter((controller) =>
+      controller.election?.hasValidLease(),
+    );
+    if (leadersWithValidLease.length > 1)
+      this.recordViolation(
+        `${leadersWithValidLease.map((controller) => controller.name).join(' and ')} both lead`,
+      );
+    for (const controller of this.controllers) this.checkLeadership(controller);
   }
 
   private checkLeadership({ name, election }: Controller): void {
-    const term = election?.current()?.term;
+    const term = election?.currentLeadership()?.term;
     if (!election || term === undefined) return;
     if (election.hasValidLease() && this.store.term() > term) {
-      this.fail(`${name} leads term ${term} with a valid lease after ${this.store.term()} was acquired`);
+      this.recordViolation(
+        `${name} leads term ${term} with a valid lease after ${this.store.term()} was acquired`,
+      );
     }
     const cancellation = this.store.leaderlessWrites.find(
       (write) => write.kind === 'cancellation' && write.term >= term,
     );
     if (!cancellation) return;
     if (election.hasValidLease()) {
-      this.fail(`${name} leads term ${term} with a valid lease after a cancellation without it`);
+      this.recordViolation(`${name} leads term ${term} with a valid lease after a cancellation without it`);
     }
     const sinceMs = this.sim.at - cancellation.at;
     if (election.msSinceLeaseExpiry() <= GRACE_MS && sinceMs > GRACE_MS * 1.002) {
-      this.fail(`${name} answers heartbeats ${Math.round(sinceMs)} ms after a cancellation without it`);
+      this.recordViolation(
+        `${name} answers heartbeats ${Math.round(sinceMs)} ms after a cancellation without it`,
+      );
     }
   }
 
-  private fail(what: string): void {
-    if (this.violations.some((violation) => violation.startsWith(what))) return;
-    this.violations.push(`${what} (at ${Math.round(this.sim.at)})`);
+  private recordViolation(description: string): void {
+    if (this.violations.some((violation) => violation.startsWith(description))) return;
+    this.violations.push(`${description} (at ${Math.round(this.sim.at)})`);
   }
 }
 
@@ -302,9 +330,9 @@
   }
 }
 
-/** What user requests see of the leadership on their controller: every job runs, while the lease is valid. */
-function localLeader(election: Election): LocalLeader | null {
-  const leadership = election.current();
+/** The leader as the user requests of its controller see it: every job is running while the lease is valid. */
+function toLocalLeader(election: Election): LocalLeader | null {
+  const leadership = election.currentLeadership();
   if (!leadership) return null;
   return {
     term: leadership.term,
--- a/test/leadership/lease-model.ts
+++ b/test/leadership/lease-model.ts
@@ -1,5 +1,5 @@
-/** The key-value store with leases, in simulated time. */
-import type { LeaseStore } from '../../src/leadership/election.ts';
+/** Model of the key-value store with leases, in simulated time. */
+import type { ElectionStore } from '../../src/leadership/election.ts';
 import { readTerminal } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { StoreResult, CompareAndSwapResult } from '../../src/store/key-value-store.ts';
@@ -14,30 +14,30 @@
 
 /** The connection of one controller to the store. */
 export interface StoreAccess {
-  /** The store refuses this controller alone until then. */
+  /** The store refuses this controller's calls, but not those of the others, until this time. */
   refusedUntil: number;
-  /** A tenth of its calls is carried out late, and a tenth of its answers is lost. */
+  /** A tenth of the calls is executed late, and a tenth of the responses is lost. */
   lossy: boolean;
-  /** Its answers take so long; a client doesn't wait longer than `TIMEOUT_MS`. */
-  answerMs?: number | undefined;
-  /** The next transaction gets no answer and is carried out after so long. */
+  /** How long responses take; a client waits no longer than `CALL_TIMEOUT_MS`. */
+  answerDelayMs?: number | undefined;
+  /** The next transaction gets no response and is executed after this time. */
   delayNextTransactionMs?: number | null;
 }
 
-/** A carried-out transaction that required the leader key to be absent. */
+/** An executed transaction that required the absence of the leader key. */
 export interface ExecutedLeaderlessWrite {
   at: number;
-  /** Term in the store just before the transaction. */
+  /** Term in the store immediately before the transaction. */
   term: number;
   kind: 'candidacy' | 'cancellation';
 }
 
 type Failed = { kind: 'refused' } | { kind: 'unknown' };
 
-/** How long a client waits for an answer, in ms. */
-const TIMEOUT_MS = 1500;
+/** How long a client waits for a response, in ms. */
+const CALL_TIMEOUT_MS = 1500;
 
-/** Keys and leases in simulated time; each controller's calls can be refused, or their answers lost. */
+/** Keys and leases in simulated time; the calls of each controller can be refused, and their responses lost. */
 export class LeaseModel {
   readonly leaderlessWrites: ExecutedLeaderlessWrite[] = [];
   onLeaderlessWrite: () => void = () => undefined;
@@ -59,8 +59,8 @@
     for (const [key, entry] of this.data) if (entry.lease === id) this.data.delete(key);
   }
 
-  /** The store refuses everybody for so long; once that ends, every lease has its full time again. */
-  outage(ms: number): void {
+  /** Refuses all calls for this time. When the outage ends, every lease has its full time to live again. */
+  startOutage(ms: number): void {
     this.expire();
     this.outageUntil = Math.max(this.outageUntil, this.sim.at + ms);
     for (const lease of this.leases.values()) lease.expiresAt = this.outageUntil + lease.ttlMs;
@@ -88,16 +88,16 @@
     this.data.set(key, { value, version: this.revision, lease: null });
   }
 
-  private apply(conditions: readonly Condition[], changes: readonly Mutation[]): CompareAndSwapResult {
+  private apply(conditions: readonly Condition[], mutations: readonly Mutation[]): CompareAndSwapResult {
     this.expire();
     const failed = conditions
       .filter(({ key, version }) => (this.data.get(key)?.version ?? 0) !== version)
       .map(({ key }) => key);
     if (failed.length > 0) return { kind: 'conflict', failed };
-    if (changes.some((change) => this.namesEndedLease(change))) return { kind: 'no_lease' };
+    if (mutations.some((change) => this.usesExpiredLease(change))) return { kind: 'no_lease' };
     const term = this.term();
     this.revision += 1;
-    for (const change of changes) {
+    for (const change of mutations) {
       if ('put' in change) {
         const { put, value, lease = null } = change;
         this.data.set(put, { value, version: this.revision, lease });
@@ -106,7 +106,7 @@
       }
     }
     if (conditions.some(({ key, version }) => key === KEYS.leader && version === 0)) {
-      const isCandidacy = changes.some((change) => 'put' in change && change.put === KEYS.leader);
+      const isCandidacy = mutations.some((change) => 'put' in change && change.put === KEYS.leader);
       this.leaderlessWrites.push({
         at: this.sim.at,
         term,
@@ -117,12 +117,12 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  private namesEndedLease(change: Mutation): boolean {
+  private usesExpiredLease(change: Mutation): boolean {
     return 'put' in change && change.lease !== undefined && !this.leases.has(change.lease);
   }
 
-  /** The store as one controller reaches it. */
-  storeOf(access: StoreAccess): LeaseStore {
+  /** The store as accessed over one controller's connection. */
+  storeOf(access: StoreAccess): ElectionStore {
     const call = <T extends { kind: string }>(
       run: () => T,
       delayMs: number | null = null,
@@ -134,10 +134,10 @@
           const entry = this.data.get(key);
           return { kind: 'ok' as const, value: entry ? { key, ...entry } : null };
         }),
-      compareAndSwap: (conditions, changes) => {
+      compareAndSwap: (conditions, mutations) => {
         const delayMs = access.delayNextTransactionMs ?? null;
         access.delayNextTransactionMs = null;
-        return call(() => this.apply(conditions, changes), delayMs);
+        return call(() => this.apply(conditions, mutations), delayMs);
       },
       grantLease: (ttlMs) =>
         call(() => {
@@ -186,13 +186,13 @@
     if (sim.at < this.outageUntil || sim.at < access.refusedUntil) return { kind: 'refused' };
     if (delayMs !== null || (access.lossy && sim.chance(0.1))) {
       sim.after(delayMs ?? sim.between(100, 8000), run);
-      await sim.pause(TIMEOUT_MS);
+      await sim.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown' };
     }
     const result = run();
-    const answerMs = access.answerMs ?? sim.between(1, access.lossy ? 900 : 20);
-    await sim.pause(Math.min(answerMs, TIMEOUT_MS));
-    if (answerMs > TIMEOUT_MS) return { kind: 'unknown' };
+    const answerDelayMs = access.answerDelayMs ?? sim.between(1, access.lossy ? 900 : 20);
+    await sim.pause(Math.min(answerDelayMs, CALL_TIMEOUT_MS));
+    if (answerDelayMs > CALL_TIMEOUT_MS) return { kind: 'unknown' };
     return access.lossy && sim.chance(0.1) ? { kind: 'unknown' } : result;
   }
 }
