--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -134,7 +134,7 @@
     const { store } = this.parts;
     const { state } = settings.settings;
     const host: WriterHost = {
-      compareAndSwap: terminalWrites.tracking((conditions, changes, timeoutMs: number) =>
+      compareAndSwap: terminalWrites.trackOutcomes((conditions, changes, timeoutMs: number) =>
         store.compareAndSwap(conditions, changes, 'lease', timeoutMs),
       ),
       readVersion: async (key) => {
@@ -177,7 +177,7 @@
       inspect: (machine) => workers.inspect(machine),
       onTerminalState: (id, status) => {
         terminalStates.put(id, status);
-        terminalWrites.forget(id);
+        terminalWrites.markDurable(id);
       },
       outcomeMayBeWritten: (id) => terminalWrites.mayBeWritten(id),
       isTerminal: (id) => terminalStates.get(id) !== undefined,
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -186,7 +186,7 @@
     now,
     after,
     read: (key, urgency) => store.get(key, urgency),
-    moreUrgent,
+    isMoreUrgent: moreUrgent,
   });
   return new UserRequests({
     clock,
@@ -197,7 +197,7 @@
         store.compareAndSwap(conditions, mutations, urgency, timeoutMs),
     },
     terminalStates,
-    submissions: submissionBudget(state.write_rps, nodes, now),
+    submissionBudget: submissionBudget(state.write_rps, nodes, now),
     teams,
     catalog: () => catalog.current,
     leader,
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -16,14 +16,14 @@
 }
 
 /** Amounts are decimal numbers; sums of them may be off by this much. */
-const ROUNDING = 1e-9;
+const MAX_ROUNDING_ERROR = 1e-9;
 
 function exceeds(amount: number, limit: number): boolean {
-  return amount > limit + ROUNDING;
+  return amount > limit + MAX_ROUNDING_ERROR;
 }
 
 /** Why the job's team can never run it, or null. Needs nothing but the settings. */
-function infeasibleForTeam(job: JobRequest, team: TeamQuota | undefined): string | null {
+function findTeamInfeasibility(job: JobRequest, team: TeamQuota | undefined): string | null {
   if (!team) return 'unknown team';
   // All tasks of a gang run at once; those of an array may run one after the other.
   const concurrentTasks = job.gang ? job.tasks : 1;
@@ -37,7 +37,7 @@
 }
 
 /** Why no machine can ever run a task of the job, or null. */
-function infeasibleOnMachines(job: JobRequest, catalog: Catalog): string | null {
+function findMachineInfeasibility(job: JobRequest, catalog: Catalog): string | null {
   const fits = catalog.types.some(
     (type) =>
       (job.types === null || job.types.includes(type.name)) &&
@@ -54,10 +54,10 @@
  * changes, so a gang that is too large for today's machines is accepted and waits. Without a catalog only the
  * team's reasons can be told.
  */
-export function infeasibility(
+export function findInfeasibility(
   job: JobRequest,
   team: TeamQuota | undefined,
   catalog: Catalog | null,
 ): string | null {
-  return infeasibleForTeam(job, team) ?? (catalog ? infeasibleOnMachines(job, catalog) : null);
+  return findTeamInfeasibility(job, team) ?? (catalog ? findMachineInfeasibility(job, catalog) : null);
 }
--- a/src/jobs/archive.ts
+++ b/src/jobs/archive.ts
@@ -5,11 +5,11 @@
 /** Limits, and the way to the store. */
 export interface ArchiveDeps {
   /** How many terminal records may stay in the place of the open ones, for a new leader to read past. */
-  keep: number;
+  maxUnarchived: number;
   /** Changes that one transaction holds, that of the fence key included. */
-  txnOps: number;
+  maxMutations: number;
   /** True while the store has nothing else to do. */
-  idle(): boolean;
+  isStoreIdle(): boolean;
   enqueueWrite(write: Write): void;
   /** Puts a command in the queue of the single writer of the state. */
   enqueue(command: () => void): void;
@@ -22,26 +22,26 @@
  */
 export class Archive {
   /** Terminal records that haven't been moved, the oldest first. */
-  private readonly terminalRecords = new Map<string, unknown>();
+  private readonly unarchivedRecords = new Map<string, unknown>();
   private moving = false;
 
   constructor(private readonly deps: ArchiveDeps) {}
 
   /** The job's terminal record is durable in the place of its open one. */
   add(id: string, value: unknown): void {
-    this.terminalRecords.set(id, value);
+    this.unarchivedRecords.set(id, value);
   }
 
   /** Number of terminal records that haven't been moved. */
-  get size(): number {
-    return this.terminalRecords.size;
+  get unarchivedCount(): number {
+    return this.unarchivedRecords.size;
   }
 
   /** Moves a few records, if there are too many and nothing else is to be written. */
   tick(): void {
-    const surplus = this.terminalRecords.size - this.deps.keep;
-    if (surplus <= 0 || this.moving || !this.deps.idle()) return;
-    const records = this.oldest(Math.min(surplus, this.maxMovesPerTransaction()));
+    const surplus = this.unarchivedRecords.size - this.deps.maxUnarchived;
+    if (surplus <= 0 || this.moving || !this.deps.isStoreIdle()) return;
+    const records = this.selectOldest(Math.min(surplus, this.maxMovesPerTransaction()));
     this.moving = true;
     this.deps.enqueueWrite({
       kind: 'ready',
@@ -52,7 +52,7 @@
       done: () => {
         this.deps.enqueue(() => {
           this.moving = false;
-          for (const [id] of records) this.terminalRecords.delete(id);
+          for (const [id] of records) this.unarchivedRecords.delete(id);
         });
       },
     });
@@ -60,12 +60,12 @@
 
   /** A move takes two changes, and the fence key another one. */
   private maxMovesPerTransaction(): number {
-    return Math.max(1, Math.floor((this.deps.txnOps - 1) / 2));
+    return Math.max(1, Math.floor((this.deps.maxMutations - 1) / 2));
   }
 
-  private oldest(count: number): [string, unknown][] {
+  private selectOldest(count: number): [string, unknown][] {
     const records: [string, unknown][] = [];
-    for (const record of this.terminalRecords) {
+    for (const record of this.unarchivedRecords) {
       if (records.length >= count) break;
       records.push(record);
     }
--- a/src/jobs/completion-chunks.ts
+++ b/src/jobs/completion-chunks.ts
@@ -1,22 +1,22 @@
 /** A job's completion bitmap, kept in the store in chunks of a bounded size. */
 
 /** Tasks in one chunk: a value of 512 bytes before its encoding. */
-export const CHUNK_TASKS = 4096;
+export const TASKS_PER_CHUNK = 4096;
 
 /** The chunk that holds a task. */
 export function chunkOf(task: number): number {
-  return Math.floor(task / CHUNK_TASKS);
+  return Math.floor(task / TASKS_PER_CHUNK);
 }
 
 /** The tasks of a chunk: from `first` on, and below `end`. */
-export function chunkRange(chunk: number, jobTasks: number): { first: number; end: number } {
-  const first = chunk * CHUNK_TASKS;
-  return { first, end: Math.min(jobTasks, first + CHUNK_TASKS) };
+export function chunkRange(chunk: number, taskCount: number): { first: number; end: number } {
+  const first = chunk * TASKS_PER_CHUNK;
+  return { first, end: Math.min(taskCount, first + TASKS_PER_CHUNK) };
 }
 
 /** A bitmap for so many tasks, all of its bits unset. */
-export function newBitmap(tasks: number): Uint8Array {
-  return new Uint8Array(Math.ceil(tasks / 8));
+export function newBitmap(taskCount: number): Uint8Array {
+  return new Uint8Array(Math.ceil(taskCount / 8));
 }
 
 /** Whether a bit is set; bits beyond the end of the bitmap are not. */
--- a/src/jobs/job-cancellation.ts
+++ b/src/jobs/job-cancellation.ts
@@ -5,12 +5,12 @@
 import { isTerminal, type JobLookup } from './job-lookup.ts';
 import type { JobStateReader } from './job-state-reader.ts';
 import { cancelRequest, lookupFromReply } from './peer-messages.ts';
-import { readOpen, readTerminal, terminalValue } from './records.ts';
+import { decodeOpenRecord, decodeTerminalRecord, encodeTerminalRecord } from './records.ts';
 import type { UserAnswers } from './user-answers.ts';
 import type { UserRequestDeps } from './user-request-deps.ts';
 
 /** Wait in ms for the answer of another controller to a cancellation. */
-const CANCEL_FORWARD_MS = 2500;
+const CANCEL_FORWARD_TIMEOUT_MS = 2500;
 
 type JobCancellationDeps = Pick<
   UserRequestDeps,
@@ -38,7 +38,7 @@
       reply(this.answers.status(id, terminalState));
       return;
     }
-    this.cancelAnywhere(id)
+    this.routeCancellation(id)
       .then((lookup) => {
         // Only a terminal state answers a cancellation: a job can be created while it is being looked up.
         if (lookup.kind === 'found' && isTerminal(lookup.status)) {
@@ -52,18 +52,18 @@
       .catch(this.deps.onError);
   }
 
-  private async cancelAnywhere(id: string): Promise<JobLookup> {
+  private async routeCancellation(id: string): Promise<JobLookup> {
     if (this.deps.leader()) return this.cancelAsLeader(id);
     const request = cancelRequest(id);
-    const byLeader = await this.reader.unlessOvertaken(async () =>
-      lookupFromReply(await this.deps.callLeader(request, CANCEL_FORWARD_MS)),
+    const fromLeader = await this.reader.readUnlessStale(async () =>
+      lookupFromReply(await this.deps.callLeader(request, CANCEL_FORWARD_TIMEOUT_MS)),
     );
-    if (byLeader.kind !== 'unavailable') return byLeader;
-    const leaderless = await this.cancelWithoutLeader(id);
-    if (leaderless.kind !== 'unavailable') return leaderless;
+    if (fromLeader.kind !== 'unavailable') return fromLeader;
+    const withoutLeader = await this.cancelWithoutLeader(id);
+    if (withoutLeader.kind !== 'unavailable') return withoutLeader;
     // This node may know of no leader, or of one that was, while another leads.
-    return this.reader.unlessOvertaken(async () =>
-      lookupFromReply(await this.deps.callOthers(request, CANCEL_FORWARD_MS)),
+    return this.reader.readUnlessStale(async () =>
+      lookupFromReply(await this.deps.callOthers(request, CANCEL_FORWARD_TIMEOUT_MS)),
     );
   }
 
@@ -75,7 +75,7 @@
     // Not known here: terminal already, never accepted, or created a moment ago by another node.
     const open = await this.deps.store.get(KEYS.open(id), 'user');
     if (open.kind !== 'ok') return { kind: 'unavailable' };
-    if (!open.value || readTerminal(open.value.value)) return this.reader.lookupInStore(id);
+    if (!open.value || decodeTerminalRecord(open.value.value)) return this.reader.lookupInStore(id);
     const leader = this.deps.leader();
     // A leader of another term may have loaded its jobs after this one became terminal: it must not be brought back.
     if (!leader || leader.term !== term) return { kind: 'unavailable' };
@@ -99,15 +99,16 @@
     const write = await this.deps.beginLeaderlessWrite('user');
     if (!write) return { kind: 'unavailable' };
     const open = await this.deps.store.get(KEYS.open(id), 'user');
-    if (open.kind !== 'ok' || !open.value || !readOpen(open.value.value)) {
+    if (open.kind !== 'ok' || !open.value || !decodeOpenRecord(open.value.value)) {
       write.abandon();
       // Terminal, archived, or never accepted: another read tells which.
-      const isNotOpen = open.kind === 'ok' && (!open.value || readTerminal(open.value.value) !== null);
+      const isNotOpen =
+        open.kind === 'ok' && (!open.value || decodeTerminalRecord(open.value.value) !== null);
       return isNotOpen ? this.reader.lookupInStore(id) : { kind: 'unavailable' };
     }
     const result = await write.commit(
       [{ key: KEYS.open(id), version: open.value.version }],
-      [{ put: KEYS.open(id), value: terminalValue('cancelled', 0) }],
+      [{ put: KEYS.open(id), value: encodeTerminalRecord('cancelled', 0) }],
       'user',
     );
     if (result.kind !== 'ok') return { kind: 'unavailable' };
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -34,7 +34,7 @@
 }
 
 /** The lookup itself if it may still be told, `unavailable` if it may have been overtaken. */
-export function unlessStale(lookup: JobLookup, ageMs: number): JobLookup {
+export function discardIfStale(lookup: JobLookup, ageMs: number): JobLookup {
   if (ageMs <= MAX_LOOKUP_AGE_MS) return lookup;
   return lookup.kind === 'found' && isTerminal(lookup.status) ? lookup : { kind: 'unavailable' };
 }
--- a/src/jobs/job-query.ts
+++ b/src/jobs/job-query.ts
@@ -49,7 +49,7 @@
   /** The leader answers from memory, so that a job it doesn't know may exist all the same: the store decides. */
   private async lookupElsewhere(id: string): Promise<JobLookup> {
     const { forward_ms } = this.deps.options.users;
-    const fromLeader = await this.reader.unlessOvertaken(async () =>
+    const fromLeader = await this.reader.readUnlessStale(async () =>
       lookupFromReply(await this.deps.callLeader(pollRequest(id), forward_ms)),
     );
     return fromLeader.kind === 'found' ? fromLeader : this.reader.lookupInStoreOrByPeers(id, 'poll');
--- a/src/jobs/job-state-reader.ts
+++ b/src/jobs/job-state-reader.ts
@@ -2,9 +2,9 @@
 import { KEYS } from '../store/keys.ts';
 import type { Urgency } from '../store/call-budget.ts';
 import type { JobStatus } from '../wire/user.ts';
-import { unlessStale, type JobLookup, type LeaderLookup } from './job-lookup.ts';
+import { discardIfStale, type JobLookup, type LeaderLookup } from './job-lookup.ts';
 import { lookupFromReply, lookupRequest } from './peer-messages.ts';
-import { readTerminal } from './records.ts';
+import { decodeTerminalRecord } from './records.ts';
 import type { UserRequestDeps } from './user-request-deps.ts';
 
 /** The state of a job that has been accepted and that nothing more is known of. */
@@ -28,7 +28,7 @@
 
   /** Reads the job's records, which were in the store after this call began. */
   lookupInStore(id: string, urgency: Urgency = 'user'): Promise<JobLookup> {
-    return this.unlessOvertaken(() => this.readRecords(id, urgency));
+    return this.readUnlessStale(() => this.readRecords(id, urgency));
   }
 
   /**
@@ -39,16 +39,16 @@
     const lookup = await this.lookupInStore(id, urgency);
     if (lookup.kind !== 'unavailable') return lookup;
     const { forward_ms } = this.deps.options.users;
-    return this.unlessOvertaken(async () =>
+    return this.readUnlessStale(async () =>
       lookupFromReply(await this.deps.callOthers(lookupRequest(id), forward_ms)),
     );
   }
 
   /** Runs a read. What it found is only told while that can't have been overtaken by much. */
-  async unlessOvertaken(read: () => Promise<JobLookup>): Promise<JobLookup> {
+  async readUnlessStale(read: () => Promise<JobLookup>): Promise<JobLookup> {
     const startedAt = this.deps.clock.now();
     const lookup = await read();
-    return unlessStale(lookup, this.deps.clock.now() - startedAt);
+    return discardIfStale(lookup, this.deps.clock.now() - startedAt);
   }
 
   /** The job's open key comes first: a terminal record only ever moves from there to the archive. */
@@ -56,12 +56,12 @@
     const open = await this.deps.store.get(KEYS.open(id), urgency);
     if (open.kind !== 'ok') return { kind: 'unavailable' };
     if (open.value) {
-      return { kind: 'found', status: readTerminal(open.value.value) ?? this.statusOfOpen(id) };
+      return { kind: 'found', status: decodeTerminalRecord(open.value.value) ?? this.statusOfOpen(id) };
     }
     const archived = await this.deps.store.get(KEYS.archived(id), urgency);
     if (archived.kind !== 'ok') return { kind: 'unavailable' };
     if (!archived.value) return { kind: 'notFound' };
-    const status = readTerminal(archived.value.value);
+    const status = decodeTerminalRecord(archived.value.value);
     return status ? { kind: 'found', status } : { kind: 'unavailable' };
   }
 
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -3,11 +3,11 @@
 import type { PeerReply } from '../peers/messages.ts';
 import { KEYS } from '../store/keys.ts';
 import { decodeJob, peekJobId, type JobRequest } from '../wire/user.ts';
-import { infeasibility } from './admission.ts';
+import { findInfeasibility } from './admission.ts';
 import { MAX_LOOKUP_AGE_MS, type JobLookup } from './job-lookup.ts';
 import { PENDING_STATUS, type JobStateReader } from './job-state-reader.ts';
 import { lookupFromReply, submitRequest, wasCreated } from './peer-messages.ts';
-import { openValue } from './records.ts';
+import { encodeOpenRecord } from './records.ts';
 import type { UserAnswers } from './user-answers.ts';
 import type { UserRequestDeps } from './user-request-deps.ts';
 
@@ -17,7 +17,7 @@
  * Time in ms in which no submission is sent after the state service has refused one for its rate: what it still
  * takes is for other writes.
  */
-const OVER_LIMIT_REST_MS = 1000;
+const RATE_LIMIT_PAUSE_MS = 1000;
 
 /** What came of the write of a new job's record. A lookup tells that the job may have been there before. */
 export type Creation =
@@ -28,7 +28,7 @@
 
 type JobSubmissionDeps = Pick<
   UserRequestDeps,
-  'callOthers' | 'catalog' | 'clock' | 'onError' | 'options' | 'store' | 'submissions' | 'teams'
+  'callOthers' | 'catalog' | 'clock' | 'onError' | 'options' | 'store' | 'submissionBudget' | 'teams'
 >;
 
 /**
@@ -53,14 +53,15 @@
     const known = this.reader.lookupInMemory(id);
     if (known.kind === 'found') return this.answers.status(id, known.status);
     if (known.kind === 'uncertain') return this.answerFromStore(id);
-    if (!decoded.ok) return this.unlessAccepted(id, failure(400, decoded.reason));
+    if (!decoded.ok) return this.refuseUnlessAccepted(id, failure(400, decoded.reason));
     const job = decoded.value;
     const catalog = this.deps.catalog();
     const team = this.deps.teams.find(({ name }) => name === job.team);
     // An unknown team or a limit that is too small needs no machine types to be told.
-    const reason = infeasibility(job, team, catalog);
-    if (reason !== null) return this.unlessAccepted(id, failure(422, reason));
-    if (!catalog) return this.unlessAccepted(id, this.answers.unavailable('machine types not known yet'));
+    const reason = findInfeasibility(job, team, catalog);
+    if (reason !== null) return this.refuseUnlessAccepted(id, failure(422, reason));
+    if (!catalog)
+      return this.refuseUnlessAccepted(id, this.answers.unavailable('machine types not known yet'));
     const creation = await this.create(job);
     if (creation.kind === 'created') return this.answers.status(id, PENDING_STATUS, 201);
     if (creation.kind === 'found') return this.answers.status(id, creation.status);
@@ -72,7 +73,7 @@
   private async createByPeers(id: string, body: string): Promise<Answer> {
     const timeoutMs = this.deps.options.users.forward_ms * 2;
     const received: { reply: PeerReply | null } = { reply: null };
-    const lookup = await this.reader.unlessOvertaken(async () => {
+    const lookup = await this.reader.readUnlessStale(async () => {
       received.reply = await this.deps.callOthers(submitRequest(id, body), timeoutMs);
       return lookupFromReply(received.reply);
     });
@@ -88,7 +89,7 @@
   }
 
   /** The refusal, unless the id is that of an accepted job: to refuse that would call it forgotten. */
-  private async unlessAccepted(id: string, refusal: Answer): Promise<Answer> {
+  private async refuseUnlessAccepted(id: string, refusal: Answer): Promise<Answer> {
     const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
     if (lookup.kind === 'found') return this.answers.status(id, lookup.status);
     return lookup.kind === 'notFound' ? refusal : this.storeUnavailable();
@@ -100,8 +101,8 @@
 
   /** Writes the record of a new job, conditional on there being none of that id, neither open nor archived. */
   async create(job: JobRequest): Promise<Creation> {
-    if (!this.deps.submissions.take()) return { kind: 'rateLimited' };
-    const value = openValue(job, this.deps.clock.wall());
+    if (!this.deps.submissionBudget.take()) return { kind: 'rateLimited' };
+    const value = encodeOpenRecord(job, this.deps.clock.wall());
     const startedAt = this.deps.clock.now();
     const result = await this.deps.store.compareAndSwap(
       [
@@ -114,7 +115,7 @@
     );
     if (result.kind === 'conflict') return this.reader.lookupInStore(job.id);
     if (result.kind === 'refused' && result.overLimit) {
-      this.deps.submissions.blockFor(OVER_LIMIT_REST_MS);
+      this.deps.submissionBudget.blockFor(RATE_LIMIT_PAUSE_MS);
       return { kind: 'rateLimited' };
     }
     if (result.kind === 'unknown') {
@@ -124,7 +125,7 @@
     }
     if (result.kind !== 'ok') return { kind: 'unavailable' };
     // After a slow answer the job may be terminal already, and its user may have been told so elsewhere.
-    const tookMs = this.deps.clock.now() - startedAt;
-    return tookMs <= MAX_LOOKUP_AGE_MS ? { kind: 'created' } : this.reader.lookupInStore(job.id);
+    const elapsedMs = this.deps.clock.now() - startedAt;
+    return elapsedMs <= MAX_LOOKUP_AGE_MS ? { kind: 'created' } : this.reader.lookupInStore(job.id);
   }
 }
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -45,7 +45,7 @@
   doneCount = 0;
   durableCount = 0;
   /** Number of tasks reported as running. */
-  running = 0;
+  runningCount = 0;
   /** Chunks of the completion bitmap with tasks that are done and not durable yet. */
   readonly dirtyChunks = new Set<number>();
   /** Chunks of the completion bitmap that have a record in the store. */
@@ -63,7 +63,7 @@
    * How many attempts hold a task. After a failover a late heartbeat can show a task on a machine that is gone
    * while it runs elsewhere: the end of one of the two must not free the task.
    */
-  readonly holders = new Map<number, number>();
+  readonly attemptCounts = new Map<number, number>();
   nominatedMachine: NominatedMachine | null = null;
   reservation: Reservation | null = null;
   /** Index of the zone that the last round chose for a job that must stay in one, or -1. */
@@ -110,7 +110,7 @@
   }
 
   /** No task of it has ever been started. */
-  get neverStarted(): boolean {
+  get hasNeverStarted(): boolean {
     return this.requestedStartWatermark === 0;
   }
 
@@ -217,7 +217,7 @@
   }
 
   /** The job is to end, and its terminal record isn't known to be durable. */
-  get outcomeUnconfirmed(): boolean {
+  get isOutcomeUnconfirmed(): boolean {
     return this.pendingOutcome !== null && this.terminalState === null;
   }
 
@@ -225,9 +225,9 @@
   status(): JobStatus {
     if (this.terminalState) return { stage: this.terminalState, done: this.doneCount, running: 0 };
     return {
-      stage: this.running > 0 ? 'running' : 'pending',
+      stage: this.runningCount > 0 ? 'running' : 'pending',
       done: this.durableCount,
-      running: this.running,
+      running: this.runningCount,
     };
   }
 }
--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -8,7 +8,7 @@
 export const MAX_BATCH_JOBS = 1000;
 
 /** Gets the answer to one poll; null: the leader can't be asked now. */
-type Waiter = (answer: PollAnswer | null) => void;
+type PollCallback = (answer: PollAnswer | null) => void;
 
 /** Timers, and the way to the leader. */
 export interface PollBatcherDeps extends PacerTimers {
@@ -28,7 +28,7 @@
  * sent alone.
  */
 export class PollBatcher {
-  private waiting = new Map<string, Waiter[]>();
+  private pendingPolls = new Map<string, PollCallback[]>();
   private readonly pacer: BatchPacer;
 
   constructor(private readonly deps: PollBatcherDeps) {
@@ -40,32 +40,32 @@
   /** The leader's answer for one job; null: the leader can't be asked now. Never rejected. */
   poll(jobId: string): Promise<PollAnswer | null> {
     return new Promise((resolve) => {
-      const sharing = this.waiting.get(jobId);
-      if (sharing) {
-        sharing.push(resolve);
+      const callbacks = this.pendingPolls.get(jobId);
+      if (callbacks) {
+        callbacks.push(resolve);
         return;
       }
-      if (this.waiting.size >= MAX_BATCH_JOBS) {
+      if (this.pendingPolls.size >= MAX_BATCH_JOBS) {
         resolve(null);
         return;
       }
-      this.waiting.set(jobId, [resolve]);
+      this.pendingPolls.set(jobId, [resolve]);
       this.pacer.schedule();
     });
   }
 
   private flush(): void {
-    const batch = this.waiting;
-    this.waiting = new Map();
+    const batch = this.pendingPolls;
+    this.pendingPolls = new Map();
     this.pacer.noteSent();
     this.deps
       .send([...batch.keys()])
       .then((answers) => {
         let index = 0;
-        for (const waiters of batch.values()) {
+        for (const callbacks of batch.values()) {
           const answer = answers?.[index] ?? null;
           index += 1;
-          for (const waiter of waiters) waiter(answer);
+          for (const callback of callbacks) callback(answer);
         }
       })
       .catch(this.deps.onError);
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -6,56 +6,58 @@
 import { decodeStoredJob, type JobRequest, type JobStatus } from '../wire/user.ts';
 
 /** `at`: when the job was accepted, as time of day in ms. `job`: what the user submitted. */
-const openRecord = z.object({ at: z.number(), job: z.unknown() });
+const openRecordSchema = z.object({ at: z.number(), job: z.unknown() });
 /** `s`: the outcome. `n`: number of tasks that are done. */
-const terminalRecord = z.object({ s: z.enum(['done', 'cancelled']), n: z.int() });
+const terminalRecordSchema = z.object({ s: z.enum(['done', 'cancelled']), n: z.int() });
 /** `b`: job ids with their start watermarks. */
-const startWatermarksRecord = z.object({ b: z.array(z.tuple([z.string(), z.int().check(z.minimum(0))])) });
+const startWatermarksRecordSchema = z.object({
+  b: z.array(z.tuple([z.string(), z.int().check(z.minimum(0))])),
+});
 /** `b`: the completion bitmap in base64. */
-const chunkRecord = z.object({ b: z.string() });
+const chunkRecordSchema = z.object({ b: z.string() });
 
 /** The record of an accepted job. `wall`: time of day in ms. */
-export function openValue(job: JobRequest, wall: number): unknown {
+export function encodeOpenRecord(job: JobRequest, wall: number): unknown {
   return { at: wall, job: job.stored };
 }
 
 /** The job that an open record holds, and when it was accepted, as time of day in ms. */
-export function readOpen(value: unknown): { job: JobRequest; createdWall: number } | null {
-  const record = openRecord.safeParse(value);
+export function decodeOpenRecord(value: unknown): { job: JobRequest; createdWall: number } | null {
+  const record = openRecordSchema.safeParse(value);
   if (!record.success) return null;
   const job = decodeStoredJob(record.data.job);
   return job.ok ? { job: job.value, createdWall: record.data.at } : null;
 }
 
 /** The record of a terminal state. `done`: number of tasks that are done. */
-export function terminalValue(stage: 'done' | 'cancelled', done: number): unknown {
+export function encodeTerminalRecord(stage: 'done' | 'cancelled', done: number): unknown {
   return { s: stage, n: done };
 }
 
 /** The state that a terminal record tells; null for a record of an open job. */
-export function readTerminal(value: unknown): JobStatus | null {
-  const record = terminalRecord.safeParse(value);
+export function decodeTerminalRecord(value: unknown): JobStatus | null {
+  const record = terminalRecordSchema.safeParse(value);
   return record.success ? { stage: record.data.s, done: record.data.n, running: 0 } : null;
 }
 
 /** A page of start watermarks: tasks of the job from this number on have never been started by anybody. */
-export function startWatermarksValue(entries: Iterable<readonly [string, number]>): unknown {
+export function encodeStartWatermarks(entries: Iterable<readonly [string, number]>): unknown {
   return { b: [...entries] };
 }
 
 /** The entries of a page of start watermarks. */
-export function readStartWatermarks(value: unknown): [string, number][] | null {
-  const record = startWatermarksRecord.safeParse(value);
+export function decodeStartWatermarks(value: unknown): [string, number][] | null {
+  const record = startWatermarksRecordSchema.safeParse(value);
   return record.success ? record.data.b : null;
 }
 
 /** One chunk of a job's completion bitmap. */
-export function chunkValue(bits: Uint8Array): unknown {
+export function encodeChunk(bits: Uint8Array): unknown {
   return { b: Buffer.from(bits).toString('base64') };
 }
 
 /** The bits of a chunk. Damaged base64 is read as far as it goes. */
-export function readChunk(value: unknown): Uint8Array | null {
-  const record = chunkRecord.safeParse(value);
+export function decodeChunk(value: unknown): Uint8Array | null {
+  const record = chunkRecordSchema.safeParse(value);
   return record.success ? Buffer.from(record.data.b, 'base64') : null;
 }
--- a/src/jobs/shared-reads.ts
+++ b/src/jobs/shared-reads.ts
@@ -13,7 +13,7 @@
   after(ms: number, run: () => void): void;
   read(key: string, priority: Priority): Promise<Result>;
   /** True if the first is more urgent than the second. */
-  moreUrgent(first: Priority, second: Priority): boolean;
+  isMoreUrgent(first: Priority, second: Priority): boolean;
 }
 
 interface ScheduledRead<Result, Priority> {
@@ -28,7 +28,7 @@
  * start has passed, whether or not that one has been answered; so a read that hangs holds nobody up.
  */
 export class SharedReads<Result, Priority> {
-  private readonly startedAt = new Map<string, number>();
+  private readonly lastStartedAt = new Map<string, number>();
   private readonly scheduled = new Map<string, ScheduledRead<Result, Priority>>();
 
   constructor(private readonly deps: SharedReadsDeps<Result, Priority>) {}
@@ -37,10 +37,10 @@
   get(key: string, priority: Priority): Promise<Result> {
     const joined = this.scheduled.get(key);
     if (joined) {
-      if (this.deps.moreUrgent(priority, joined.priority)) joined.priority = priority;
+      if (this.deps.isMoreUrgent(priority, joined.priority)) joined.priority = priority;
       return joined.result;
     }
-    const waitMs = (this.startedAt.get(key) ?? -Infinity) + MIN_READ_INTERVAL_MS - this.deps.now();
+    const waitMs = (this.lastStartedAt.get(key) ?? -Infinity) + MIN_READ_INTERVAL_MS - this.deps.now();
     if (waitMs <= 0) return this.start(key, priority);
     const result = new Promise<Result>((resolve, reject) => {
       this.deps.after(waitMs, () => {
@@ -55,15 +55,15 @@
 
   private start(key: string, priority: Priority): Promise<Result> {
     const startedAt = this.deps.now();
-    this.startedAt.set(key, startedAt);
+    this.lastStartedAt.set(key, startedAt);
     this.deps.after(MIN_READ_INTERVAL_MS, () => {
-      if (this.startedAt.get(key) === startedAt) this.startedAt.delete(key);
+      if (this.lastStartedAt.get(key) === startedAt) this.lastStartedAt.delete(key);
     });
     return this.deps.read(key, priority);
   }
 
   /** Number of keys read within the last interval. */
-  get size(): number {
-    return this.startedAt.size;
+  get recentKeyCount(): number {
+    return this.lastStartedAt.size;
   }
 }
--- a/src/jobs/start-watermarks.ts
+++ b/src/jobs/start-watermarks.ts
@@ -2,7 +2,7 @@
 import { KEYS } from '../store/keys.ts';
 import type { DeferredWrite } from '../store/write-queues.ts';
 import type { Item } from '../wire/state.ts';
-import { readStartWatermarks, startWatermarksValue } from './records.ts';
+import { decodeStartWatermarks, encodeStartWatermarks } from './records.ts';
 
 interface Page {
   index: number;
@@ -30,11 +30,11 @@
   /** By job. */
   watermarks: Map<string, number>;
   /** A page can't be read: any task of any job may have been started. */
-  unreadable: boolean;
+  hasUnreadablePage: boolean;
 }
 
 /** Upper bound of an entry's size without its job id: number, quotes, brackets and commas. */
-const ENTRY_BYTES = 24;
+const MAX_ENTRY_OVERHEAD_BYTES = 24;
 
 /**
  * Which tasks may have been started, as the store knows it: tasks of a job below its start watermark. Watermarks are
@@ -58,17 +58,17 @@
     isOpen: (id: string) => boolean,
     onMalformed: (key: string) => void,
   ): RestoredWatermarks {
-    const restored: RestoredWatermarks = { watermarks: new Map(), unreadable: false };
+    const restored: RestoredWatermarks = { watermarks: new Map(), hasUnreadablePage: false };
     for (const item of items) {
       const index = Number(item.key.slice(KEYS.startWatermarksPrefix.length));
-      const entries = readStartWatermarks(item.value);
+      const entries = decodeStartWatermarks(item.value);
       if (!entries || !Number.isSafeInteger(index) || index < 0) {
         onMalformed(item.key);
-        restored.unreadable = true;
+        restored.hasUnreadablePage = true;
         this.unreadablePages.add(index);
         continue;
       }
-      const page = this.pageAt(index);
+      const page = this.getOrCreatePage(index);
       for (const [id, watermark] of entries) {
         if (!isOpen(id)) continue;
         this.setEntry(page, id, watermark);
@@ -80,7 +80,7 @@
 
   /** Raises a job's watermark: tasks below it may be started once `onDurable` is called. */
   raise(id: string, watermark: number, onDurable: () => void): void {
-    const page = this.pageOfJob.get(id) ?? this.pageWithSpace(entryBytes(id));
+    const page = this.pageOfJob.get(id) ?? this.findPageWithSpace(entryBytes(id));
     this.setEntry(page, id, Math.max(watermark, page.entries.get(id) ?? 0));
     page.onDurable.push(onDurable);
     if (!page.queued) this.enqueueWrite(page);
@@ -95,7 +95,7 @@
     page.bytes -= entryBytes(id);
   }
 
-  private pageAt(index: number): Page {
+  private getOrCreatePage(index: number): Page {
     let page = this.pages.get(index);
     if (!page) {
       page = { index, entries: new Map(), bytes: 0, queued: false, onDurable: [] };
@@ -111,7 +111,7 @@
   }
 
   /** A page with space left: one that is to be written anyway, if there is one. */
-  private pageWithSpace(bytes: number): Page {
+  private findPageWithSpace(bytes: number): Page {
     let firstWithSpace: Page | null = null;
     for (const page of this.pages.values()) {
       if (page.bytes + bytes > this.deps.pageBytes) continue;
@@ -121,7 +121,7 @@
     if (firstWithSpace) return firstWithSpace;
     let index = 0;
     while (this.pages.has(index) || this.unreadablePages.has(index)) index += 1;
-    return this.pageAt(index);
+    return this.getOrCreatePage(index);
   }
 
   private enqueueWrite(page: Page): void {
@@ -135,7 +135,7 @@
         page.queued = false;
         callbacks = page.onDurable;
         page.onDurable = [];
-        return { put: KEYS.startWatermarks(page.index), value: startWatermarksValue(page.entries) };
+        return { put: KEYS.startWatermarks(page.index), value: encodeStartWatermarks(page.entries) };
       },
       done: () => {
         this.deps.enqueue(() => {
@@ -147,5 +147,5 @@
 }
 
 function entryBytes(id: string): number {
-  return id.length + ENTRY_BYTES;
+  return id.length + MAX_ENTRY_OVERHEAD_BYTES;
 }
--- a/src/jobs/terminal-writes.ts
+++ b/src/jobs/terminal-writes.ts
@@ -32,12 +32,12 @@
   private readonly states = new Map<string, WriteState>();
 
   /** `outcomeUnconfirmed`: the leader has begun to end this job, and its terminal record isn't known to be durable. */
-  constructor(private readonly outcomeUnconfirmed: (id: string) => boolean) {}
+  constructor(private readonly isOutcomeUnconfirmed: (id: string) => boolean) {}
 
   /** The same transactions, with the outcome of every terminal write recorded. */
-  tracking<Rest extends unknown[]>(compareAndSwap: CompareAndSwap<Rest>): CompareAndSwap<Rest> {
+  trackOutcomes<Rest extends unknown[]>(compareAndSwap: CompareAndSwap<Rest>): CompareAndSwap<Rest> {
     return async (conditions, mutations, ...rest) => {
-      const ids = changedJobs(mutations).filter((id) => this.outcomeUnconfirmed(id));
+      const ids = changedJobs(mutations).filter((id) => this.isOutcomeUnconfirmed(id));
       for (const id of ids) {
         if (!this.states.has(id)) this.states.set(id, 'inFlight');
       }
@@ -58,7 +58,7 @@
   }
 
   /** The job's terminal record is known to be durable. */
-  forget(id: string): void {
+  markDurable(id: string): void {
     this.states.delete(id);
   }
 }
--- a/src/jobs/user-request-deps.ts
+++ b/src/jobs/user-request-deps.ts
@@ -20,7 +20,7 @@
    * Cancels a job. `settled` gets the terminal state once it is durable, or null when this leadership ended before
    * that. False: the job is not known here, and `settled` is never called.
    */
-  cancel(id: string, settled: (status: JobStatus | null) => void): boolean;
+  cancel(id: string, onSettled: (status: JobStatus | null) => void): boolean;
   /** Takes in an open record that this node has read from the store before the watch brought it. */
   observeOpenRecord(id: string, value: unknown): void;
 }
@@ -35,7 +35,7 @@
   store: Pick<KeyValueStore, 'get' | 'compareAndSwap'>;
   terminalStates: TerminalStateCache;
   /** This node's share of the write rate of the state service, for new jobs. */
-  submissions: RateBudget;
+  submissionBudget: RateBudget;
   teams: readonly TeamQuota[];
   /** null: the machine types are not known yet. */
   catalog(): Catalog | null;
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -58,10 +58,10 @@
     };
     switch (request.kind) {
       case 'poll':
-        replyWith(this.certainLookup(request.jobId) ?? { kind: 'unavailable' });
+        replyWith(this.lookupIfCertain(request.jobId) ?? { kind: 'unavailable' });
         return;
       case 'lookup': {
-        const known = this.certainLookup(request.jobId);
+        const known = this.lookupIfCertain(request.jobId);
         if (known) replyWith(known);
         else this.reader.lookupInStore(request.jobId, 'poll').then(replyWith).catch(this.deps.onError);
         return;
@@ -76,7 +76,7 @@
   }
 
   /** What memory tells for certain; null sends the asking controller to the store. */
-  private certainLookup(id: string): JobLookup | null {
+  private lookupIfCertain(id: string): JobLookup | null {
     const known = this.reader.lookupInMemory(id);
     return known.kind === 'found' ? known : null;
   }
--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -135,7 +135,7 @@
   }
 
   private onRunning(attempt: Attempt): void {
-    if (attempt.job) attempt.job.running += 1;
+    if (attempt.job) attempt.job.runningCount += 1;
     this.deps.host.log.debug(
       {
         job: attempt.jobId,
@@ -157,7 +157,7 @@
       if (attempt.exitReason === 'done') this.deps.completion.taskDone(job, attempt.task);
       return;
     }
-    if (attempt.runningSince !== null) job.running = Math.max(0, job.running - 1);
+    if (attempt.runningSince !== null) job.runningCount = Math.max(0, job.runningCount - 1);
     this.logEnd(attempt, checkpointed);
     if (machine.liveCount === 0) machine.noteIdle(this.now());
     this.abandonFetch(machine, job);
--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -87,7 +87,7 @@
       this.liveAttempts.set(job, live);
     }
     live.add(attempt);
-    job.holders.set(attempt.task, (job.holders.get(attempt.task) ?? 0) + 1);
+    job.attemptCounts.set(attempt.task, (job.attemptCounts.get(attempt.task) ?? 0) + 1);
     const usage = this.usageOf(job);
     usage.cpus += job.spec.cpus;
     usage.gpus += job.spec.gpus;
@@ -100,9 +100,10 @@
   release(attempt: Attempt): number {
     const { job } = attempt;
     if (!job || !this.liveAttempts.get(job)?.delete(attempt)) return -1;
-    const others = required(job.holders.get(attempt.task), 'count of the attempts that hold a task') - 1;
-    if (others > 0) job.holders.set(attempt.task, others);
-    else job.holders.delete(attempt.task);
+    const others =
+      required(job.attemptCounts.get(attempt.task), 'count of the attempts that hold a task') - 1;
+    if (others > 0) job.attemptCounts.set(attempt.task, others);
+    else job.attemptCounts.delete(attempt.task);
     const usage = this.usageOf(job);
     usage.cpus -= job.spec.cpus;
     usage.gpus -= job.spec.gpus;
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -2,7 +2,7 @@
 import type { Archive } from '../jobs/archive.ts';
 import type { StartWatermarks } from '../jobs/start-watermarks.ts';
 import type { Job } from '../jobs/job.ts';
-import { chunkValue, terminalValue } from '../jobs/records.ts';
+import { encodeChunk, encodeTerminalRecord } from '../jobs/records.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
@@ -58,7 +58,7 @@
    */
   private writeTerminalRecord(job: Job, outcome: JobOutcome): void {
     const { writer, host, settings } = this.deps;
-    const value = terminalValue(outcome, job.doneCount);
+    const value = encodeTerminalRecord(outcome, job.doneCount);
     const record = { put: KEYS.open(job.id), value };
     const chunks = [...job.storedChunks].map((chunk) => ({ delete: KEYS.completions(job.id, chunk) }));
     // The transaction holds the mutation of the fence key besides.
@@ -126,7 +126,7 @@
     this.deps.writer.enqueue(
       {
         kind: 'ready',
-        mutations: [{ put: KEYS.completions(job.id, chunk), value: chunkValue(bits) }],
+        mutations: [{ put: KEYS.completions(job.id, chunk), value: encodeChunk(bits) }],
         done: () => {
           this.deps.host.enqueue(() => {
             job.markChunkDurable(chunk, bits);
--- a/src/leader/job-control.ts
+++ b/src/leader/job-control.ts
@@ -15,7 +15,7 @@
 
   /** The job has a pending outcome, and its terminal record isn't known to be durable. */
   isOutcomeUnconfirmed(id: string): boolean {
-    return this.cluster.jobs.get(id)?.outcomeUnconfirmed ?? false;
+    return this.cluster.jobs.get(id)?.isOutcomeUnconfirmed ?? false;
   }
 
   /** What this leader can say of a job as of now. */
@@ -23,7 +23,7 @@
     if (!this.cluster.recovered || !this.host.hasValidLease()) return { kind: 'unknown' };
     const job = this.cluster.jobs.get(id);
     if (!job) return { kind: 'unknown' };
-    if (job.outcomeUnconfirmed && this.host.outcomeMayBeWritten(id)) return { kind: 'uncertain' };
+    if (job.isOutcomeUnconfirmed && this.host.outcomeMayBeWritten(id)) return { kind: 'uncertain' };
     return { kind: 'found', status: job.status() };
   }
 
--- a/src/leader/job-registry.ts
+++ b/src/leader/job-registry.ts
@@ -1,6 +1,6 @@
 /** The open jobs of a leadership, kept in step with the job records of the key-value store. */
 import { Job } from '../jobs/job.ts';
-import { readOpen, readTerminal } from '../jobs/records.ts';
+import { decodeOpenRecord, decodeTerminalRecord } from '../jobs/records.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Item, WatchEvent } from '../wire/state.ts';
 import type { Arrivals } from './arrivals.ts';
@@ -23,7 +23,7 @@
   /** Adds the job of an open record unless it is known already. Any other value is ignored. */
   add(id: string, value: unknown): void {
     if (this.cluster.jobs.has(id)) return;
-    const record = readOpen(value);
+    const record = decodeOpenRecord(value);
     if (!record) return;
     const { clock, log } = this.deps.host;
     const { job: spec, createdWall } = record;
@@ -45,7 +45,7 @@
     for (const event of events) {
       const id = jobIdOfRecordKey(event.key);
       // Events come in order: after that of its terminal record no older one of the job follows.
-      if (event.deleted || readTerminal(event.value)) this.cluster.completedJobs.delete(id);
+      if (event.deleted || decodeTerminalRecord(event.value)) this.cluster.completedJobs.delete(id);
       else if (!this.cluster.completedJobs.has(id)) this.add(id, event.value);
     }
   }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -171,9 +171,9 @@
   private createArchive(): Archive {
     const { writer, settings } = this.deps;
     return new Archive({
-      keep: MAX_UNARCHIVED_RECORDS,
-      txnOps: settings.settings.state.txn_ops,
-      idle: () => writer.idle,
+      maxUnarchived: MAX_UNARCHIVED_RECORDS,
+      maxMutations: settings.settings.state.txn_ops,
+      isStoreIdle: () => writer.idle,
       enqueueWrite: (write) => {
         writer.enqueue(write, 'background');
       },
--- a/src/leader/state-recovery.ts
+++ b/src/leader/state-recovery.ts
@@ -1,6 +1,6 @@
 /** Failover: rebuilds the state of the cluster from what earlier leaders and submissions stored. */
 import type { Archive } from '../jobs/archive.ts';
-import { readChunk, readOpen, readTerminal } from '../jobs/records.ts';
+import { decodeChunk, decodeOpenRecord, decodeTerminalRecord } from '../jobs/records.ts';
 import type { StartWatermarks } from '../jobs/start-watermarks.ts';
 import type { Item } from '../wire/state.ts';
 import type { MachineRegistry } from '../workers/machine-registry.ts';
@@ -50,18 +50,18 @@
   };
 
   private restoreJobRecord(item: Item): void {
-    if (readTerminal(item.value)) {
+    if (decodeTerminalRecord(item.value)) {
       this.parts.archive.add(jobIdOfRecordKey(item.key), item.value);
       return;
     }
-    const record = readOpen(item.value);
+    const record = decodeOpenRecord(item.value);
     if (record) this.parts.jobs.add(record.job.id, item.value);
     else this.reportMalformed(item.key);
   }
 
   private restoreStartWatermarks(pages: readonly Item[]): void {
     const { jobs } = this.parts.cluster;
-    const { watermarks, unreadable } = this.parts.startWatermarks.restore(
+    const { watermarks, hasUnreadablePage: unreadable } = this.parts.startWatermarks.restore(
       pages,
       (id) => jobs.has(id),
       this.reportMalformed,
@@ -84,7 +84,7 @@
       );
       return;
     }
-    const bits = readChunk(item.value);
+    const bits = decodeChunk(item.value);
     if (bits) job.markChunkDurable(Number(chunk), bits);
   }
 
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -81,7 +81,7 @@
       const waitedMs = now - job.waitingSince;
       // Under a backlog who is late soonest goes first, whoever comes: nothing bounds the wait for a first task. A few
       // first tasks go before everything else of their rank; the rest takes its turn.
-      const starving = !spec.gang && job.neverStarted && waitedMs > scheduling.begin_after_s * 1000;
+      const starving = !spec.gang && job.hasNeverStarted && waitedMs > scheduling.begin_after_s * 1000;
       let pending = starving ? Math.min(able, FIRST_TASKS) : able;
       // One task shows whether the job still fails; of a gang all are needed for that.
       if (probe && !spec.gang) pending = 1;
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -12,14 +12,14 @@
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { Job } from '../../src/jobs/job.ts';
 import {
-  startWatermarksValue,
-  chunkValue,
-  terminalValue,
-  openValue,
-  readStartWatermarks,
-  readChunk,
-  readTerminal,
-  readOpen,
+  encodeStartWatermarks,
+  encodeChunk,
+  encodeTerminalRecord,
+  encodeOpenRecord,
+  decodeStartWatermarks,
+  decodeChunk,
+  decodeTerminalRecord,
+  decodeOpenRecord,
 } from '../../src/jobs/records.ts';
 import { UserRequests } from '../../src/jobs/user-requests.ts';
 import { Election } from '../../src/leadership/election.ts';
@@ -84,7 +84,7 @@
 const openRecordOf = (submission: string): string => {
   const job = decodeJob(submission);
   assert.ok(job.ok);
-  return JSON.stringify(openValue(job.value, 1_800_000_000_123));
+  return JSON.stringify(encodeOpenRecord(job.value, 1_800_000_000_123));
 };
 
 test('the open record of an ensemble', () => {
@@ -105,11 +105,11 @@
 
 test('open records are read, and written again, as they were', () => {
   for (const [name, text] of Object.entries(OPEN_RECORDS)) {
-    const record = readOpen(JSON.parse(text));
+    const record = decodeOpenRecord(JSON.parse(text));
     assert.ok(record, name);
-    assert.equal(JSON.stringify(openValue(record.job, record.createdWall)), text, name);
+    assert.equal(JSON.stringify(encodeOpenRecord(record.job, record.createdWall)), text, name);
     assert.equal(record.createdWall, 1_800_000_000_123);
-    assert.equal(readTerminal(JSON.parse(text)), null, name);
+    assert.equal(decodeTerminalRecord(JSON.parse(text)), null, name);
   }
 });
 
@@ -118,13 +118,16 @@
     .replace('"crew":"vision"', '"crew":""')
     .replace('"bakeS":240', '"bakeS":1e300')
     .replace('["g8"]', '[""]');
-  const record = readOpen(JSON.parse(text));
+  const record = decodeOpenRecord(JSON.parse(text));
   assert.ok(record);
-  assert.equal(JSON.stringify(openValue(record.job, record.createdWall)), text.replace('1e300', '1e+300'));
+  assert.equal(
+    JSON.stringify(encodeOpenRecord(record.job, record.createdWall)),
+    text.replace('1e300', '1e+300'),
+  );
 });
 
 test('what is not an open record is answered with null', () => {
-  for (const text of NO_RECORDS) assert.equal(readOpen(JSON.parse(text)), null, text);
+  for (const text of NO_RECORDS) assert.equal(decodeOpenRecord(JSON.parse(text)), null, text);
   const { gang } = OPEN_RECORDS;
   const damaged = [
     gang.replace('"at":1800000000123', '"at":null'),
@@ -142,24 +145,24 @@
   ];
   for (const text of damaged) {
     assert.notEqual(text, gang);
-    assert.equal(readOpen(JSON.parse(text)), null, text);
+    assert.equal(decodeOpenRecord(JSON.parse(text)), null, text);
   }
 });
 
 // ---- final records ----
 
 test('final records', () => {
-  assert.equal(JSON.stringify(terminalValue('done', 16)), '{"s":"done","n":16}');
-  assert.equal(JSON.stringify(terminalValue('cancelled', 0)), '{"s":"cancelled","n":0}');
+  assert.equal(JSON.stringify(encodeTerminalRecord('done', 16)), '{"s":"done","n":16}');
+  assert.equal(JSON.stringify(encodeTerminalRecord('cancelled', 0)), '{"s":"cancelled","n":0}');
 });
 
 test('final records are read, and written again, as they were', () => {
   for (const text of ['{"s":"done","n":16}', '{"s":"cancelled","n":0}', '{"s":"done","n":100000}']) {
-    const status = readTerminal(JSON.parse(text));
+    const status = decodeTerminalRecord(JSON.parse(text));
     assert.ok(status && (status.stage === 'done' || status.stage === 'cancelled'), text);
-    assert.equal(JSON.stringify(terminalValue(status.stage, status.done)), text);
+    assert.equal(JSON.stringify(encodeTerminalRecord(status.stage, status.done)), text);
     assert.equal(status.running, 0);
-    assert.equal(readOpen(JSON.parse(text)), null, text);
+    assert.equal(decodeOpenRecord(JSON.parse(text)), null, text);
   }
 });
 
@@ -172,23 +175,24 @@
     '{"s":"gone","n":1}',
     '{"s":"done","n":"1"}',
   ];
-  for (const text of [...NO_RECORDS, ...damaged]) assert.equal(readTerminal(JSON.parse(text)), null, text);
+  for (const text of [...NO_RECORDS, ...damaged])
+    assert.equal(decodeTerminalRecord(JSON.parse(text)), null, text);
 });
 
 test('the oldest final records move from their first place to the archive in one transaction', () => {
   const pushed: Write[] = [];
   const archive = new Archive({
-    keep: 1,
-    txnOps: 6,
-    idle: () => true,
+    maxUnarchived: 1,
+    maxMutations: 6,
+    isStoreIdle: () => true,
     enqueueWrite: (job) => pushed.push(job),
     enqueue: (command) => {
       command();
     },
   });
-  archive.add('req-000001', terminalValue('done', 16));
-  archive.add('req-000002', terminalValue('cancelled', 3));
-  archive.add('req-000003', terminalValue('done', 1));
+  archive.add('req-000001', encodeTerminalRecord('done', 16));
+  archive.add('req-000002', encodeTerminalRecord('cancelled', 3));
+  archive.add('req-000003', encodeTerminalRecord('done', 1));
   archive.tick();
   assert.equal(
     pushed.map((job) => wire(job.mutations)).join('\n'),
@@ -200,9 +204,9 @@
 
 test('a page of start notes is read, and written again, as it was', () => {
   for (const text of ['{"b":[]}', '{"b":[["req-000001",16],["req-000002",0],["req-000003",100000]]}']) {
-    const entries = readStartWatermarks(JSON.parse(text));
+    const entries = decodeStartWatermarks(JSON.parse(text));
     assert.ok(entries);
-    assert.equal(JSON.stringify(startWatermarksValue(entries)), text);
+    assert.equal(JSON.stringify(encodeStartWatermarks(entries)), text);
   }
 });
 
@@ -219,7 +223,7 @@
     '{"b":{"req-000001":1}}',
   ];
   for (const text of [...NO_RECORDS, ...damaged])
-    assert.equal(readStartWatermarks(JSON.parse(text)), null, text);
+    assert.equal(decodeStartWatermarks(JSON.parse(text)), null, text);
 });
 
 /** Start notes whose writes are taken in order when told to, each as the line of JSON that is sent. */
@@ -297,7 +301,7 @@
     (key) => malformed.push(key),
   );
   assert.equal(JSON.stringify([...found.watermarks]), '[["req-000001",24]]');
-  assert.equal(found.unreadable, true);
+  assert.equal(found.hasUnreadablePage, true);
   assert.equal(malformed.join(' '), 'b/0 b/x b/-1');
   for (const id of ['req-000001', 'req-000004', 'req-000005', 'req-000006', 'req-000007'])
     notes.raise(id, 48, () => undefined);
@@ -318,7 +322,7 @@
   assert.ok(submission.ok);
   const job = new Job(submission.value, 0, 0, 0);
   for (const task of [0, 1, 7, 8, 4095, 4096, 8191, 8192, 8999]) job.markDone(task);
-  const chunks = [0, 1, 2].map((chunk) => JSON.stringify(chunkValue(job.chunkBits(chunk))));
+  const chunks = [0, 1, 2].map((chunk) => JSON.stringify(encodeChunk(job.chunkBits(chunk))));
   assert.equal(
     chunks[0],
     '{"b":"gwEAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAIA="}',
@@ -333,10 +337,10 @@
   );
   const later = new Job(submission.value, 0, 0, 0);
   chunks.forEach((text, chunk) => {
-    const bits = readChunk(JSON.parse(text));
+    const bits = decodeChunk(JSON.parse(text));
     assert.ok(bits);
     later.markChunkDurable(chunk, bits);
-    assert.equal(JSON.stringify(chunkValue(later.chunkBits(chunk))), text);
+    assert.equal(JSON.stringify(encodeChunk(later.chunkBits(chunk))), text);
   });
   assert.equal(later.doneCount, 9);
 });
@@ -346,20 +350,20 @@
   assert.ok(submission.ok);
   const job = new Job(submission.value, 0, 0, 0);
   for (const task of [0, 2, 15]) job.markDone(task);
-  assert.equal(JSON.stringify(chunkValue(job.chunkBits(0))), '{"b":"BYA="}');
-  const bits = readChunk(JSON.parse('{"b":"BYA="}'));
+  assert.equal(JSON.stringify(encodeChunk(job.chunkBits(0))), '{"b":"BYA="}');
+  const bits = decodeChunk(JSON.parse('{"b":"BYA="}'));
   assert.ok(bits);
-  assert.equal(JSON.stringify(chunkValue(bits)), '{"b":"BYA="}');
+  assert.equal(JSON.stringify(encodeChunk(bits)), '{"b":"BYA="}');
 });
 
 test('what is not a completion chunk is answered with null; damaged base64 is read as far as it goes', () => {
   for (const text of [...NO_RECORDS, '{"b":7}', '{"b":[1]}']) {
-    assert.equal(readChunk(JSON.parse(text)), null, text);
+    assert.equal(decodeChunk(JSON.parse(text)), null, text);
   }
-  const damaged = readChunk({ b: 'BY!A' });
+  const damaged = decodeChunk({ b: 'BY!A' });
   assert.ok(damaged);
   assert.equal(Buffer.from(damaged).toString('hex'), '0580');
-  assert.equal(readChunk({ b: '' })?.length, 0);
+  assert.equal(decodeChunk({ b: '' })?.length, 0);
 });
 
 // ---- machines ----
@@ -687,11 +691,11 @@
   ): void => {
     writer.enqueue({ kind: 'ready', mutations, done: () => undefined }, priority);
   };
-  push([{ put: KEYS.completions('req-000002', 0), value: chunkValue(Buffer.from([5, 128])) }], 'progress');
+  push([{ put: KEYS.completions('req-000002', 0), value: encodeChunk(Buffer.from([5, 128])) }], 'progress');
   push([{ delete: KEYS.machineRegistry(3) }], 'background');
   push(
     [
-      { put: KEYS.open('req-000001'), value: terminalValue('done', 16) },
+      { put: KEYS.open('req-000001'), value: encodeTerminalRecord('done', 16) },
       { delete: KEYS.completions('req-000001', 0) },
     ],
     'ends',
@@ -700,7 +704,7 @@
     {
       kind: 'deferred',
       maxBytes: 100,
-      build: () => ({ put: KEYS.startWatermarks(0), value: startWatermarksValue([['req-000003', 16]]) }),
+      build: () => ({ put: KEYS.startWatermarks(0), value: encodeStartWatermarks([['req-000003', 16]]) }),
       done: () => undefined,
     },
     'starts',
@@ -737,7 +741,7 @@
     options: defaultOptions(),
     store: client,
     terminalStates: new TerminalStateCache(10),
-    submissions: new RateBudget(100, () => 0),
+    submissionBudget: new RateBudget(100, () => 0),
     teams: [{ name: 'vision', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }],
     catalog: () => catalog,
     leader: () => null,
--- a/test/jobs/admission.test.ts
+++ b/test/jobs/admission.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { Catalog } from '../../src/fleet/catalog.ts';
-import { infeasibility, type TeamQuota } from '../../src/jobs/admission.ts';
+import { findInfeasibility, type TeamQuota } from '../../src/jobs/admission.ts';
 import { decodeJob, type JobRequest } from '../../src/wire/user.ts';
 import { BIG, SEED } from '../helpers.ts';
 import { JOB } from '../wire/sample.ts';
@@ -27,7 +27,7 @@
 
 /** Why a job with these fields can never run, or null. */
 const reasonFor = (overrides: object, catalog: Catalog | null = CATALOG): string | null =>
-  infeasibility(jobWith(overrides), TEAM, catalog);
+  findInfeasibility(jobWith(overrides), TEAM, catalog);
 
 function assertFeasible(cases: readonly [overrides: object, feasible: boolean][]): void {
   for (const [overrides, feasible] of cases) {
@@ -75,10 +75,10 @@
     [{ shape: 'ensemble', loaves: 160, cores: 0.1, accelerators: 0.1 }, true],
   ];
   assertFeasible(cases);
-  assert.equal(infeasibility(jobWith({}), undefined, CATALOG), 'unknown team');
+  assert.equal(findInfeasibility(jobWith({}), undefined, CATALOG), 'unknown team');
   const unlimited = { ...TEAM, cpusMax: 0, gpusMax: 0 };
   const huge = jobWith({ shape: 'ensemble', loaves: 100_000, accelerators: 4 });
-  assert.equal(infeasibility(huge, unlimited, CATALOG), null);
+  assert.equal(findInfeasibility(huge, unlimited, CATALOG), null);
 });
 
 test('no job is refused for lack of capacity, which is not published', () => {
@@ -88,7 +88,7 @@
 
 test("without a catalog the reasons of the team's quota are told, and only those", () => {
   assert.notEqual(reasonFor({ shape: 'ensemble', loaves: 5, accelerators: 4 }, null), null);
-  assert.equal(infeasibility(jobWith({}), undefined, null), 'unknown team');
+  assert.equal(findInfeasibility(jobWith({}), undefined, null), 'unknown team');
   assert.equal(reasonFor({ cores: 1000, shape: 'ensemble' }, null) !== null, true);
   assert.equal(reasonFor({ memGb: 1000, ovens: ['no-such'] }, null), null);
 });
@@ -122,7 +122,7 @@
           allowedTypes.some(
             (type) => type.cpus >= job.cpus && type.gpus >= job.gpus && type.memory >= job.memory,
           );
-        assert.equal(infeasibility(job, TEAM, CATALOG) === null, feasible);
+        assert.equal(findInfeasibility(job, TEAM, CATALOG) === null, feasible);
       },
     ),
     { seed: SEED, numRuns: 500 },
--- a/test/jobs/archive.test.ts
+++ b/test/jobs/archive.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import { Archive } from '../../src/jobs/archive.ts';
-import { readTerminal, terminalValue } from '../../src/jobs/records.ts';
+import { decodeTerminalRecord, encodeTerminalRecord } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { Write } from '../../src/store/write-queues.ts';
 import { MemoryStore } from '../store/memory.ts';
 import { jobId } from './support/user-requests.ts';
 
-const KEEP = 10;
-const TXN_OPS = 6;
+const MAX_UNARCHIVED = 10;
+const MAX_MUTATIONS = 6;
 const JOBS = 40;
 
 interface Harness {
@@ -25,9 +25,9 @@
   const queue: Write[] = [];
   let isBusy = false;
   const archive = new Archive({
-    keep: KEEP,
-    txnOps: TXN_OPS,
-    idle: () => !isBusy,
+    maxUnarchived: MAX_UNARCHIVED,
+    maxMutations: MAX_MUTATIONS,
+    isStoreIdle: () => !isBusy,
     enqueueWrite: (write) => queue.push(write),
     enqueue: (command) => {
       command();
@@ -42,22 +42,22 @@
 /** As any controller looks a job up: the record's place first, then the archive. */
 function tasksDone({ data }: MemoryStore, id: string): number | undefined {
   const item = data.get(KEYS.open(id)) ?? data.get(KEYS.archived(id));
-  return readTerminal(item?.value)?.done;
+  return decodeTerminalRecord(item?.value)?.done;
 }
 
 test('old terminal records move when there are many and the store is idle, each in one transaction', () => {
   const { archive, store, queue, setBusy } = createArchive();
   const queuedWrites = (): number => queue.length;
   const completeJob = (number: number): void => {
-    const value = terminalValue('done', number);
+    const value = encodeTerminalRecord('done', number);
     store.apply([], [{ put: KEYS.open(jobId(number)), value }]);
     archive.add(jobId(number), value);
   };
-  for (let number = 0; number < KEEP; number++) completeJob(number);
+  for (let number = 0; number < MAX_UNARCHIVED; number++) completeJob(number);
   archive.tick();
   assert.equal(queuedWrites(), 0, 'moved though there are few');
   setBusy(true);
-  for (let number = KEEP; number < JOBS; number++) completeJob(number);
+  for (let number = MAX_UNARCHIVED; number < JOBS; number++) completeJob(number);
   archive.tick();
   assert.equal(queuedWrites(), 0, 'moved though the store is busy');
   setBusy(false);
@@ -67,16 +67,16 @@
     assert.ok(queuedWrites() <= 1, 'more than one write at once');
     const write = queue.shift();
     if (!write) continue;
-    assert.ok(write.mutations.length < TXN_OPS, 'no room for the fence key');
+    assert.ok(write.mutations.length < MAX_MUTATIONS, 'no room for the fence key');
     assert.equal(store.apply([], write.mutations).kind, 'ok');
     write.done();
     for (let number = 0; number < JOBS; number++) assert.equal(tasksDone(store, jobId(number)), number);
   }
-  assert.equal(archive.size, KEEP);
+  assert.equal(archive.unarchivedCount, MAX_UNARCHIVED);
   const remaining = [...store.data.keys()].filter((key) => key.startsWith(KEYS.openPrefix));
   assert.deepEqual(
     remaining,
-    Array.from({ length: KEEP }, (_, index) => KEYS.open(jobId(JOBS - KEEP + index))),
+    Array.from({ length: MAX_UNARCHIVED }, (_, index) => KEYS.open(jobId(JOBS - MAX_UNARCHIVED + index))),
     'the newest stay',
   );
 });
@@ -92,7 +92,7 @@
       ],
       [{ put: KEYS.open(id), value: { at: 0, job: {} } }],
     ).kind;
-  const terminalRecord = terminalValue('cancelled', 0);
+  const terminalRecord = encodeTerminalRecord('cancelled', 0);
   assert.equal(create(), 'ok');
   store.apply([], [{ put: KEYS.open(id), value: terminalRecord }]);
   assert.equal(create(), 'conflict');
--- a/test/jobs/bad-submissions.test.ts
+++ b/test/jobs/bad-submissions.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { Catalog } from '../../src/fleet/catalog.ts';
-import { openValue } from '../../src/jobs/records.ts';
+import { encodeOpenRecord } from '../../src/jobs/records.ts';
 import type { UserRequests } from '../../src/jobs/user-requests.ts';
 import type { PeerReply, PeerRequest } from '../../src/peers/messages.ts';
 import { RateBudget } from '../../src/store/budget.ts';
@@ -68,7 +68,7 @@
 } {
   const writtenKeys: string[] = [];
   const userRequests = createUserRequests(store ? storeWith(store, writtenKeys) : REFUSING_STORE, {
-    submissions: new RateBudget(1000, () => 0),
+    submissionBudget: new RateBudget(1000, () => 0),
     catalog: () => (catalogKnown ? new Catalog([BIG]) : null),
     callOthers: (request) => Promise.resolve(peerReply(peerStore, request)),
   });
@@ -79,11 +79,11 @@
 function recordsOf(id: string): Records {
   const decoded = decodeJob(JSON.stringify({ ...FEASIBLE, uid: id }));
   assert.ok(decoded.ok);
-  return new Map([[KEYS.open(id), openValue(decoded.value, 0)]]);
+  return new Map([[KEYS.open(id), encodeOpenRecord(decoded.value, 0)]]);
 }
 
 /** Every situation in which a lookup can tell that the id was never accepted. */
-const LOOKUP_AVAILABLE: Situation[] = [
+const SITUATIONS_WITH_LOOKUP: Situation[] = [
   { store: new Map(), peerStore: null, catalogKnown: true },
   { store: new Map(), peerStore: null, catalogKnown: false },
   { store: null, peerStore: new Map(), catalogKnown: true },
@@ -92,18 +92,22 @@
 
 test('a malformed submission gets 400 and nothing is written, wherever its id can be looked up', async () => {
   await fc.assert(
-    fc.asyncProperty(malformedSubmission, fc.constantFrom(...LOOKUP_AVAILABLE), async (body, situation) => {
-      const { userRequests, writtenKeys } = controllerIn(situation);
-      const answer = await submit(userRequests, body);
-      assert.equal(answer.status, 400, answer.body);
-      assert.deepEqual(writtenKeys, []);
-    }),
+    fc.asyncProperty(
+      malformedSubmission,
+      fc.constantFrom(...SITUATIONS_WITH_LOOKUP),
+      async (body, situation) => {
+        const { userRequests, writtenKeys } = controllerIn(situation);
+        const answer = await submit(userRequests, body);
+        assert.equal(answer.status, 400, answer.body);
+        assert.deepEqual(writtenKeys, []);
+      },
+    ),
     { seed: SEED, numRuns: 300 },
   );
 });
 
 test('a submission that can never run gets 422; only for machines must their types be known', async () => {
-  for (const situation of LOOKUP_AVAILABLE) {
+  for (const situation of SITUATIONS_WITH_LOOKUP) {
     const bodies = situation.catalogKnown
       ? [...INFEASIBLE_FOR_TEAM, ...INFEASIBLE_ON_MACHINES]
       : INFEASIBLE_FOR_TEAM;
@@ -125,16 +129,20 @@
 test('a submission is idempotent: an accepted job is answered with its state, whatever else is sent', async () => {
   // A 400 or 422 there would call an accepted job forgotten.
   await fc.assert(
-    fc.asyncProperty(malformedSubmission, fc.constantFrom(...LOOKUP_AVAILABLE), async (body, situation) => {
-      const id = peekJobId(body);
-      fc.pre(id !== null);
-      const accepted = {
-        ...situation,
-        store: situation.store && recordsOf(id),
-        peerStore: situation.peerStore && recordsOf(id),
-      };
-      assert.equal((await submit(controllerIn(accepted).userRequests, body)).status, 200);
-    }),
+    fc.asyncProperty(
+      malformedSubmission,
+      fc.constantFrom(...SITUATIONS_WITH_LOOKUP),
+      async (body, situation) => {
+        const id = peekJobId(body);
+        fc.pre(id !== null);
+        const accepted = {
+          ...situation,
+          store: situation.store && recordsOf(id),
+          peerStore: situation.peerStore && recordsOf(id),
+        };
+        assert.equal((await submit(controllerIn(accepted).userRequests, body)).status, 200);
+      },
+    ),
     { seed: SEED },
   );
 });
--- a/test/jobs/consistency.test.ts
+++ b/test/jobs/consistency.test.ts
@@ -62,7 +62,7 @@
   }),
 });
 
-function carryOut(controllers: Controllers, step: Step): void {
+function applyStep(controllers: Controllers, step: Step): void {
   switch (step.kind) {
     case 'complete':
       controllers.complete(step.job);
@@ -89,14 +89,14 @@
   controllers.elect(0);
   for (const { atMs, step } of steps) {
     controllers.sim.after(atMs, () => {
-      carryOut(controllers, step);
+      applyStep(controllers, step);
     });
   }
   await controllers.sim.run(END_MS);
   return controllers;
 }
 
-const RUNS = { seed: SEED, numRuns: 120, endOnFailure: true };
+const PROPERTY_OPTIONS = { seed: SEED, numRuns: 120, endOnFailure: true };
 
 test(
   'no controller gives an older answer than any controller gave before the request',
@@ -111,7 +111,7 @@
         }
         assert.equal(history.violations.slice(0, 3).join('; '), '');
       }),
-      { ...RUNS, includeErrorInReport: true },
+      { ...PROPERTY_OPTIONS, includeErrorInReport: true },
     );
     // The interleavings did something: jobs were accepted, done, cancelled and polled before they were submitted.
     assert.ok(
@@ -127,7 +127,7 @@
       const { history } = await run(scenario, true);
       return history.violations.length === 0;
     }),
-    RUNS,
+    PROPERTY_OPTIONS,
   );
   assert.ok(checked.failed, 'the history must show that the guard is away');
 });
--- a/test/jobs/job.test.ts
+++ b/test/jobs/job.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { CHUNK_TASKS } from '../../src/jobs/completion-chunks.ts';
+import { TASKS_PER_CHUNK } from '../../src/jobs/completion-chunks.ts';
 import { Job } from '../../src/jobs/job.ts';
 import { decodeJob } from '../../src/wire/user.ts';
 import { JOB } from '../wire/sample.ts';
@@ -44,23 +44,23 @@
 test('only tasks whose completion is durable are told as done, until the job is terminal', () => {
   const job = jobArray(3);
   job.markDone(0);
-  job.running = 1;
+  job.runningCount = 1;
   assert.deepEqual(job.status(), { stage: 'running', done: 0, running: 1 });
   assert.deepEqual([...job.dirtyChunks], [0]);
   job.markChunkDurable(0, job.chunkBits(0));
   assert.deepEqual([job.isDurable(0), job.isDurable(1)], [true, false]);
   assert.deepEqual(job.status(), { stage: 'running', done: 1, running: 1 });
   job.pendingOutcome = 'cancelled';
-  assert.equal(job.outcomeUnconfirmed, true);
+  assert.equal(job.isOutcomeUnconfirmed, true);
   job.terminalState = 'cancelled';
-  assert.equal(job.outcomeUnconfirmed, false);
+  assert.equal(job.isOutcomeUnconfirmed, false);
   assert.deepEqual(job.status(), { stage: 'cancelled', done: 1, running: 0 });
 });
 
 test('the completion bitmap of one leader restores the durable tasks of the next, chunk by chunk', () => {
-  const tasks = CHUNK_TASKS + 3;
+  const tasks = TASKS_PER_CHUNK + 3;
   const job = jobArray(tasks);
-  const done = [0, 9, CHUNK_TASKS - 1, CHUNK_TASKS, tasks - 1];
+  const done = [0, 9, TASKS_PER_CHUNK - 1, TASKS_PER_CHUNK, tasks - 1];
   for (const task of done) job.markDone(task);
   assert.deepEqual([...job.dirtyChunks], [0, 1]);
   const restored = jobArray(tasks);
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -43,7 +43,7 @@
       await sim.pause(durationMs());
       return at;
     },
-    moreUrgent,
+    isMoreUrgent: moreUrgent,
   });
 }
 
@@ -74,7 +74,7 @@
         const times = reads.filter((read) => read.key === key).map((read) => read.at);
         for (const interval of intervals(times)) assert.ok(interval >= MIN_READ_INTERVAL_MS);
       }
-      assert.equal(shared.size, 0, 'nothing is remembered of keys that nobody reads');
+      assert.equal(shared.recentKeyCount, 0, 'nothing is remembered of keys that nobody reads');
     }),
     { seed: SEED, numRuns: 30 },
   );
--- a/test/jobs/start-watermarks.test.ts
+++ b/test/jobs/start-watermarks.test.ts
@@ -141,7 +141,7 @@
       (id) => !this.completed.has(id),
       () => assert.fail('malformed'),
     );
-    assert.equal(restored.unreadable, false);
+    assert.equal(restored.hasUnreadablePage, false);
     for (const id of this.requested.keys()) this.requested.set(id, restored.watermarks.get(id) ?? 0);
   }
 
@@ -196,7 +196,7 @@
       (key) => malformedKeys.push(key),
     );
     assert.deepEqual(malformedKeys, ['b/0']);
-    assert.equal(restored.unreadable, true);
+    assert.equal(restored.hasUnreadablePage, true);
     assert.equal(restored.watermarks.get(jobId(1)), watermarkBefore);
     for (let number = 0; number < 40; number++) watermarks.raise(jobId(number), 5, () => undefined);
     store.flush();
--- a/test/jobs/support/controllers.ts
+++ b/test/jobs/support/controllers.ts
@@ -80,7 +80,7 @@
     const before = this.history.newestStage(job);
     this.history.recordRequest(request);
     const controller = this.at(node);
-    controller.deliver(this.sim.between(0, 2), () => {
+    controller.runAfter(this.sim.between(0, 2), () => {
       const reply: Reply = (answer) => {
         request.answer = answer;
         if (this.history.recordAnswer(request, answer, before, this.sim.at)) this.followUp(job);
@@ -111,7 +111,7 @@
     const { users } = defaultOptions();
     const now = (): number => this.sim.at;
     const after = (ms: number, run: () => void): void => {
-      controller.deliver(ms, run);
+      controller.runAfter(ms, run);
     };
     const polls = new PollBatcher({
       onError: failTest,
@@ -127,7 +127,7 @@
       now,
       after,
       read: (key) => this.store.get(controller, key),
-      moreUrgent,
+      isMoreUrgent: moreUrgent,
     });
     const store: StoreFake = {
       get: (key, urgency) => reads.get(key, urgency),
@@ -137,7 +137,7 @@
     return createUserRequests(store, {
       clock: { now, wall: now },
       terminalStates: new TerminalStateCache(users.final_cache),
-      submissions: new RateBudget(1000, now),
+      submissionBudget: new RateBudget(1000, now),
       leader: () => controller.leader,
       beginLeaderlessWrite: () => Promise.resolve(leaderlessWrite(store)),
       callLeader: (request, timeoutMs) =>
@@ -161,7 +161,7 @@
   /** Lets a controller lead, once nobody's lease is left; the others learn of it a little later. */
   elect(node: number): void {
     const controller = this.at(node);
-    const isSameProcess = controller.sameProcess();
+    const isSameProcess = controller.createProcessCheck();
     const acquired = this.state.acquire(LEASE_MS * 1e6);
     if (!acquired) {
       this.sim.after(ELECTION_RETRY_MS, () => {
@@ -178,7 +178,7 @@
       held,
     );
     for (const other of this.controllers) {
-      other.deliver(this.sim.between(1, 400), () => {
+      other.runAfter(this.sim.between(1, 400), () => {
         other.knownLeader = node;
       });
     }
--- a/test/jobs/support/peer-network.ts
+++ b/test/jobs/support/peer-network.ts
@@ -44,12 +44,12 @@
     timeoutMs: number,
   ): Promise<PeerReply | null> {
     return new Promise((resolve) => {
-      from.deliver(timeoutMs, () => {
+      from.runAfter(timeoutMs, () => {
         resolve(null);
       });
-      to.deliver(this.delayMs(), () => {
+      to.runAfter(this.delayMs(), () => {
         answerPeer(to, request, (reply) => {
-          from.deliver(this.delayMs(), () => {
+          from.runAfter(this.delayMs(), () => {
             resolve(reply);
           });
         });
--- a/test/jobs/support/simulated-controller.ts
+++ b/test/jobs/support/simulated-controller.ts
@@ -18,7 +18,7 @@
   leader: Leader | null = null;
   userRequests: UserRequests;
   private restarts = 0;
-  private hangsUntil = 0;
+  private hungUntil = 0;
 
   constructor(
     readonly index: number,
@@ -29,29 +29,29 @@
   }
 
   /** Runs something in the process after a time: later if it hangs then, never if it restarts before. */
-  deliver(afterMs: number, run: () => void): void {
-    const isSameProcess = this.sameProcess();
+  runAfter(afterMs: number, run: () => void): void {
+    const isSameProcess = this.createProcessCheck();
     this.sim.after(afterMs, () => {
       if (!isSameProcess()) return;
-      if (this.hangsUntil > this.sim.at) this.deliver(this.hangsUntil - this.sim.at + this.sim.random(), run);
+      if (this.hungUntil > this.sim.at) this.runAfter(this.hungUntil - this.sim.at + this.sim.random(), run);
       else run();
     });
   }
 
   /** A check whether the process is still the one of now. */
-  sameProcess(): () => boolean {
+  createProcessCheck(): () => boolean {
     const { restarts } = this;
     return () => this.restarts === restarts;
   }
 
   hang(ms: number): void {
-    this.hangsUntil = Math.max(this.hangsUntil, this.sim.at + ms);
+    this.hungUntil = Math.max(this.hungUntil, this.sim.at + ms);
   }
 
   /** Its memory is gone, and it is back at once; the leader key stays until its lease expires. */
   restart(): void {
     this.restarts += 1;
-    this.hangsUntil = 0;
+    this.hungUntil = 0;
     this.knownLeader = null;
     this.stepDown();
     this.userRequests = this.createUserRequests(this);
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -51,7 +51,7 @@
   held: HeldLeadership,
 ): void {
   const { sim, trustMemory } = environment;
-  const isSameProcess = controller.sameProcess();
+  const isSameProcess = controller.createProcessCheck();
   const isCurrent = (): boolean => isSameProcess() && controller.held === held;
   const terminalWrites = new TerminalWrites((id) => leader.isOutcomeUnconfirmed(id));
   const terminalJobs = new Set<string>();
@@ -64,12 +64,12 @@
       inspect: () => Promise.resolve({ kind: 'unanswered' }),
       onTerminalState: (id) => {
         terminalJobs.add(id);
-        terminalWrites.forget(id);
+        terminalWrites.markDurable(id);
       },
       isTerminal: (id) => terminalJobs.has(id),
       outcomeMayBeWritten: (id) => !trustMemory && terminalWrites.mayBeWritten(id),
       enqueue: (command) => {
-        controller.deliver(0, () => {
+        controller.runAfter(0, () => {
           if (isCurrent()) command();
         });
       },
@@ -102,7 +102,7 @@
   return new LeaderWriter({
     onError: failTest,
     host: {
-      compareAndSwap: terminalWrites.tracking((conditions, mutations, timeoutMs: number) =>
+      compareAndSwap: terminalWrites.trackOutcomes((conditions, mutations, timeoutMs: number) =>
         store.compareAndSwap(controller, conditions, mutations, timeoutMs),
       ),
       readVersion: async (key) => {
@@ -131,15 +131,15 @@
 ): void {
   const changes: WatchEvent[] = [];
   let recovered = false;
-  const passOn = (): void => {
+  const forwardChanges = (): void => {
     if (recovered && isCurrent() && changes.length > 0) leader.onStoreEvents(changes.splice(0));
   };
   const watch = (events: WatchEvent[]): void => {
     changes.push(...events);
-    controller.deliver(sim.between(1, 300), passOn);
+    controller.runAfter(sim.between(1, 300), forwardChanges);
     if (!isCurrent()) state.watchers.delete(watch);
   };
-  controller.deliver(sim.between(1, 20), () => {
+  controller.runAfter(sim.between(1, 20), () => {
     state.watchers.add(watch);
     const stored = {
       open: state.list(KEYS.openPrefix),
@@ -147,11 +147,11 @@
       startWatermarks: state.list(KEYS.startWatermarksPrefix),
       machineRegistry: state.list(KEYS.machineRegistryPrefix),
     };
-    controller.deliver(sim.between(5, 500), () => {
+    controller.runAfter(sim.between(5, 500), () => {
       if (!isCurrent()) return;
       leader.recover(stored);
       recovered = true;
-      passOn();
+      forwardChanges();
     });
   });
 }
--- a/test/jobs/support/unreliable-state-service.ts
+++ b/test/jobs/support/unreliable-state-service.ts
@@ -43,7 +43,7 @@
     if (result !== null && !answerLost) return result;
     // No answer comes: the time-out is what ends the wait.
     await new Promise<void>((resolve) => {
-      caller.deliver(timeoutMs, resolve);
+      caller.runAfter(timeoutMs, resolve);
     });
     return { kind: 'unknown' };
   }
@@ -55,14 +55,14 @@
     carryOut: () => T,
   ): Promise<T | 'refused' | 'unknown'> {
     return new Promise((resolve) => {
-      caller.deliver(timeoutMs, () => {
+      caller.runAfter(timeoutMs, () => {
         resolve('unknown');
       });
       this.sim.after(this.sim.between(1, 8), () => {
         const { refused, slow } = this.faults();
         const result = this.sim.chance(refused) ? 'refused' : carryOut();
         const backMs = this.sim.chance(slow) ? this.sim.between(100, 2500) : this.sim.between(1, 8);
-        caller.deliver(backMs, () => {
+        caller.runAfter(backMs, () => {
           resolve(result);
         });
       });
--- a/test/jobs/support/user-requests.ts
+++ b/test/jobs/support/user-requests.ts
@@ -40,7 +40,7 @@
     options: defaultOptions(),
     store,
     terminalStates: new TerminalStateCache(10),
-    submissions: new RateBudget(10, () => 0),
+    submissionBudget: new RateBudget(10, () => 0),
     teams: TEAMS,
     catalog: () => SAMPLE_CATALOG,
     leader: () => null,
--- a/test/jobs/terminal-writes.test.ts
+++ b/test/jobs/terminal-writes.test.ts
@@ -10,13 +10,13 @@
 const UNKNOWN: CompareAndSwapResult = { kind: 'unknown' };
 
 /** Terminal writes of a leader, and a way to send one for job 1 that comes to a given result. */
-function createTerminalWrites(outcomeUnconfirmed: (id: string) => boolean = () => true): {
+function createTerminalWrites(isOutcomeUnconfirmed: (id: string) => boolean = () => true): {
   writes: TerminalWrites;
   send: (result: CompareAndSwapResult, key?: string) => Promise<CompareAndSwapResult>;
 } {
-  const writes = new TerminalWrites(outcomeUnconfirmed);
+  const writes = new TerminalWrites(isOutcomeUnconfirmed);
   const send = (result: CompareAndSwapResult, key = KEYS.open(ID)): Promise<CompareAndSwapResult> => {
-    const compareAndSwap = writes.tracking(() => Promise.resolve(result));
+    const compareAndSwap = writes.trackOutcomes(() => Promise.resolve(result));
     return compareAndSwap([], [{ put: key, value: {} }]);
   };
   return { writes, send };
@@ -36,7 +36,7 @@
   await send(UNKNOWN);
   await send(REFUSED);
   assert.equal(writes.mayBeWritten(ID), true);
-  writes.forget(ID);
+  writes.markDurable(ID);
   assert.equal(writes.mayBeWritten(ID), false);
 });
 
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -151,7 +151,7 @@
   const userRequests = createUserRequests(store, {
     clock,
     terminalStates: new TerminalStateCache(1),
-    submissions: new RateBudget(submissionsPerSecond, () => clock.now()),
+    submissionBudget: new RateBudget(submissionsPerSecond, () => clock.now()),
     beginLeaderlessWrite: () => Promise.resolve(leaderlessWrite(store)),
     callOthers: (request) => {
       peerRequests.push(request);
--- a/test/leader/harness.ts
+++ b/test/leader/harness.ts
@@ -3,7 +3,7 @@
 import { defaultOptions } from '../../src/config/options.ts';
 import type { Settings } from '../../src/config/settings.ts';
 import { Catalog } from '../../src/fleet/catalog.ts';
-import { startWatermarksValue, openValue } from '../../src/jobs/records.ts';
+import { encodeStartWatermarks, encodeOpenRecord } from '../../src/jobs/records.ts';
 import { Leader } from '../../src/leader/leader.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { ListedMachine } from '../../src/wire/cloud.ts';
@@ -106,8 +106,8 @@
     const watermarks = new Map(jobs.map((job) => [job.id, job.tasks]));
     const registered = machines.map(([name, zone]) => [name, `${name}:9000`, BIG.name, zone, false]);
     this.leader.recover({
-      open: jobs.map((job) => item(KEYS.open(job.id), openValue(job, this.clock.wall()))),
-      startWatermarks: [item(KEYS.startWatermarks(0), startWatermarksValue(watermarks))],
+      open: jobs.map((job) => item(KEYS.open(job.id), encodeOpenRecord(job, this.clock.wall()))),
+      startWatermarks: [item(KEYS.startWatermarks(0), encodeStartWatermarks(watermarks))],
       completions: [],
       machineRegistry: registered.length > 0 ? [item(KEYS.machineRegistry(0), { m: registered })] : [],
     });
--- a/test/leader/leader.test.ts
+++ b/test/leader/leader.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import { required } from '../../src/base/required.ts';
-import { openValue } from '../../src/jobs/records.ts';
+import { encodeOpenRecord } from '../../src/jobs/records.ts';
 import { SETTINGS } from '../config/sample.ts';
 import { EARLIER_TERM, heartbeatOf, jobOf, NO_RESPONSE, responseOf, taskStatus, TERM } from './fakes.ts';
 import { LeaderHarness, type SentCommands, type SentProbe } from './harness.ts';
@@ -179,7 +179,7 @@
   worker.heartbeatsLost = true;
   await harness.advance(8);
   const job = jobOf('req-000001', { tasks: 2 });
-  harness.leader.observeOpenRecord(job.id, openValue(job, harness.clock.wall()));
+  harness.leader.observeOpenRecord(job.id, encodeOpenRecord(job, harness.clock.wall()));
   await harness.advance(8);
   assert.ok(harness.probes.length > 0);
   assert.deepEqual(worker.runningTasks(job.id), []);
@@ -208,7 +208,7 @@
     return renewed;
   };
   await advanceWithHeartbeats(10);
-  harness.leader.observeOpenRecord(job.id, openValue(job, harness.clock.wall()));
+  harness.leader.observeOpenRecord(job.id, encodeOpenRecord(job, harness.clock.wall()));
   await harness.advance(1);
   const sent = firstSent(harness);
   const start = required(sent.commands[0], 'command');
--- a/test/leader/standstill.test.ts
+++ b/test/leader/standstill.test.ts
@@ -8,7 +8,7 @@
 import { Catalog } from '../../src/fleet/catalog.ts';
 import { HttpClient, passingAgent } from '../../src/http/client.ts';
 import type { Answer } from '../../src/http/server.ts';
-import { terminalValue, openValue } from '../../src/jobs/records.ts';
+import { encodeTerminalRecord, encodeOpenRecord } from '../../src/jobs/records.ts';
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { UserRequests } from '../../src/jobs/user-requests.ts';
 import { Leader } from '../../src/leader/leader.ts';
@@ -73,7 +73,7 @@
     const catalog = new Catalog([BIG]);
     this.leader = this.createLeader(catalog);
     this.users = this.createUserRequests(catalog);
-    this.store.set(KEYS.open(JOB_ID), openValue(sampleJob(), this.clock.wall()));
+    this.store.set(KEYS.open(JOB_ID), encodeOpenRecord(sampleJob(), this.clock.wall()));
     const open = [this.item(KEYS.open(JOB_ID), this.store.get(KEYS.open(JOB_ID)))];
     this.leader.recover({ open, completions: [], startWatermarks: [], machineRegistry: [] });
   }
@@ -143,7 +143,7 @@
         compareAndSwap: () => Promise.resolve({ kind: 'conflict', failed: [KEYS.open(JOB_ID)] }),
       },
       terminalStates: new TerminalStateCache(10),
-      submissions: new RateBudget(10, () => this.clock.now()),
+      submissionBudget: new RateBudget(10, () => this.clock.now()),
       teams: TEAMS,
       catalog: () => catalog,
       leader: () => this.leader,
@@ -230,7 +230,7 @@
   const controller = await busyController();
   controller.pauseProcess();
   controller.store.delete(KEYS.open(JOB_ID));
-  controller.store.set(KEYS.archived(JOB_ID), terminalValue('done', 8));
+  controller.store.set(KEYS.archived(JOB_ID), encodeTerminalRecord('done', 8));
   const answer = await controller.poll();
   assert.equal((JSON.parse(answer.body) as { stage: string }).stage, 'done');
 });
--- a/test/leadership/controllers.ts
+++ b/test/leadership/controllers.ts
@@ -4,7 +4,7 @@
 import type { LocalLeader } from '../../src/jobs/user-request-deps.ts';
 import { UserRequests } from '../../src/jobs/user-requests.ts';
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
-import { openValue } from '../../src/jobs/records.ts';
+import { encodeOpenRecord } from '../../src/jobs/records.ts';
 import type { Election } from '../../src/leadership/election.ts';
 import type { PeerLeaseRequest } from '../../src/leadership/peer-leases.ts';
 import type { PeerReply, PeerRequest } from '../../src/peers/messages.ts';
@@ -116,7 +116,7 @@
   openJob(id: string): void {
     const decoded = decodeStoredJob({ ...JOB, uid: id });
     assert.ok(decoded.ok);
-    this.store.put(KEYS.open(id), openValue(decoded.value, this.sim.at));
+    this.store.put(KEYS.open(id), encodeOpenRecord(decoded.value, this.sim.at));
   }
 
   /** A user's cancellation at one controller, which answers with the job's stage or with an error (null). */
@@ -170,7 +170,7 @@
       options: defaultOptions(),
       store,
       terminalStates: new TerminalStateCache(100),
-      submissions: new RateBudget(1000, () => 0),
+      submissionBudget: new RateBudget(1000, () => 0),
       teams: [],
       catalog: () => null,
       leader: () => localLeader(election),
--- a/test/leadership/lease-model.ts
+++ b/test/leadership/lease-model.ts
@@ -1,6 +1,6 @@
 /** The key-value store with leases, in simulated time. */
 import type { LeaseStore } from '../../src/leadership/election.ts';
-import { readTerminal } from '../../src/jobs/records.ts';
+import { decodeTerminalRecord } from '../../src/jobs/records.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { StoreResult, CompareAndSwapResult } from '../../src/store/key-value-store.ts';
 import type { Mutation, Condition } from '../../src/wire/state.ts';
@@ -80,7 +80,7 @@
   jobRecord(id: string): 'none' | 'open' | 'terminal' {
     const record = this.data.get(KEYS.open(id));
     if (!record) return 'none';
-    return readTerminal(record.value) ? 'terminal' : 'open';
+    return decodeTerminalRecord(record.value) ? 'terminal' : 'open';
   }
 
   put(key: string, value: unknown): void {
--- a/test/workers/reconcile.test.ts
+++ b/test/workers/reconcile.test.ts
@@ -141,9 +141,9 @@
 
 test('while machines are not reconciled a new leader starts only what nobody can be running', () => {
   const { job } = setup();
-  assert.equal(job.neverStarted, true);
+  assert.equal(job.hasNeverStarted, true);
   job.restore(4, 77);
-  assert.equal(job.neverStarted, false);
+  assert.equal(job.hasNeverStarted, false);
   assert.equal(job.waitingSince, 77, 'since when its tasks wait is not known');
   assert.equal(job.startableCount(), SPEC.gang ? 0 : job.spec.tasks - 4);
   const array = new Job({ ...SPEC, gang: false, oneZone: false, spread: false }, 0, 0, 0);
