--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -134,7 +134,7 @@
     const { store } = this.parts;
     const { state } = settings.settings;
     const host: WriterHost = {
-      compareAndSwap: terminalWrites.trackOutcomes((conditions, changes, timeoutMs: number) =>
+      compareAndSwap: terminalWrites.trackResults((conditions, changes, timeoutMs: number) =>
         store.compareAndSwap(conditions, changes, 'lease', timeoutMs),
       ),
       readVersion: async (key) => {
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -1,28 +1,28 @@
-/** Admission of new jobs: whether a job can ever run, by its team's quota and the machine types. */
+/** Admission control for new jobs: whether a job can ever run, given its team's quota and the machine types. */
 import type { Catalog } from '../fleet/catalog.ts';
 import type { JobRequest } from '../wire/user.ts';
 
-/** A team's fair share and limits, from the settings. */
+/** A team's guaranteed share and its limits, from the settings. */
 export interface TeamQuota {
   name: string;
   /** CPUs that are guaranteed to the team. */
   cpus: number;
   /** GPUs that are guaranteed to the team. */
   gpus: number;
-  /** Most CPUs of the team at once; 0: no limit. */
+  /** Maximum number of CPUs that the team uses at once; 0: no limit. */
   cpusMax: number;
-  /** Most GPUs of the team at once; 0: no limit. */
+  /** Maximum number of GPUs that the team uses at once; 0: no limit. */
   gpusMax: number;
 }
 
-/** Amounts are decimal numbers; sums of them may be off by this much. */
+/** Amounts are decimal numbers; a sum of them may exceed its limit by this rounding error. */
 const MAX_ROUNDING_ERROR = 1e-9;
 
 function exceeds(amount: number, limit: number): boolean {
   return amount > limit + MAX_ROUNDING_ERROR;
 }
 
-/** Why the job's team can never run it, or null. Needs nothing but the settings. */
+/** Why the team's limits rule the job out for good, or null. Depends on the settings alone. */
 function findTeamInfeasibility(job: JobRequest, team: TeamQuota | undefined): string | null {
   if (!team) return 'unknown team';
   // All tasks of a gang run at once; those of an array may run one after the other.
@@ -36,7 +36,7 @@
   return null;
 }
 
-/** Why no machine can ever run a task of the job, or null. */
+/** Why no machine type can run a task of the job, or null. */
 function findMachineInfeasibility(job: JobRequest, catalog: Catalog): string | null {
   const fits = catalog.types.some(
     (type) =>
@@ -50,9 +50,9 @@
 }
 
 /**
- * Why a job can never run, or null: exactly the reasons that PROTOCOL lists for 422. Capacity is not published and
- * changes, so a gang that is too large for today's machines is accepted and waits. Without a catalog only the
- * team's reasons can be told.
+ * Why a job can never run, or null: exactly the reasons that PROTOCOL lists for HTTP status 422. The cloud's capacity
+ * is not published and changes, so a gang that is too large for the current capacity is accepted and waits. Without
+ * a catalog, only the team and its limits are checked.
  */
 export function findInfeasibility(
   job: JobRequest,
--- a/src/jobs/archive.ts
+++ b/src/jobs/archive.ts
@@ -1,46 +1,46 @@
-/** The move of old terminal records out of the place of the open ones. */
+/** Moves old terminal records from the keys of open records to the archive keys. */
 import { KEYS } from '../store/keys.ts';
 import type { Write } from '../store/write-queues.ts';
 
-/** Limits, and the way to the store. */
+/** Limits of the archive, and its access to the writer. */
 export interface ArchiveDeps {
-  /** How many terminal records may stay in the place of the open ones, for a new leader to read past. */
+  /** Maximum number of terminal records left under the keys of open ones, which every new leader reads. */
   maxUnarchived: number;
-  /** Changes that one transaction holds, that of the fence key included. */
+  /** Maximum number of mutations in one transaction, including that of the fence key. */
   maxMutations: number;
-  /** True while the store has nothing else to do. */
-  isStoreIdle(): boolean;
+  /** Whether no other write is queued or in flight. */
+  isWriterIdle(): boolean;
   enqueueWrite(write: Write): void;
-  /** Puts a command in the queue of the single writer of the state. */
+  /** Adds a command to the command queue, which runs every change of the leader's state. */
   enqueue(command: () => void): void;
 }
 
 /**
- * Terminal records start in the place of the open ones. Once there are many, the oldest are moved away, each in one
- * transaction, so that a new leader has little to read besides the open jobs. A record moves only in this direction,
- * so whoever reads the first place and then the archive can't miss it.
+ * A terminal record replaces the open record of its job under the same key. Once there are many of them, the oldest are
+ * moved to archive keys, each within one transaction, so that a new leader reads little besides the open jobs. Records
+ * move only in this direction, so a reader that reads a job's open key first and its archive key second can't miss it.
  */
 export class Archive {
-  /** Terminal records that haven't been moved, the oldest first. */
+  /** Terminal records that haven't been archived, by job id, the oldest first. */
   private readonly unarchivedRecords = new Map<string, unknown>();
   private moving = false;
 
   constructor(private readonly deps: ArchiveDeps) {}
 
-  /** The job's terminal record is durable in the place of its open one. */
+  /** Adds a job whose terminal record is durable under the key of its open record. */
   add(id: string, value: unknown): void {
     this.unarchivedRecords.set(id, value);
   }
 
-  /** Number of terminal records that haven't been moved. */
+  /** Number of terminal records that haven't been archived. */
   get unarchivedCount(): number {
     return this.unarchivedRecords.size;
   }
 
-  /** Moves a few records, if there are too many and nothing else is to be written. */
+  /** Archives as many surplus records as fit one transaction, if no other write is queued or in flight. */
   tick(): void {
     const surplus = this.unarchivedRecords.size - this.deps.maxUnarchived;
-    if (surplus <= 0 || this.moving || !this.deps.isStoreIdle()) return;
+    if (surplus <= 0 || this.moving || !this.deps.isWriterIdle()) return;
     const records = this.selectOldest(Math.min(surplus, this.maxMovesPerTransaction()));
     this.moving = true;
     this.deps.enqueueWrite({
@@ -58,7 +58,7 @@
     });
   }
 
-  /** A move takes two changes, and the fence key another one. */
+  /** Each move takes two mutations, and the fence key takes one more in each transaction. */
   private maxMovesPerTransaction(): number {
     return Math.max(1, Math.floor((this.deps.maxMutations - 1) / 2));
   }
--- a/src/jobs/completion-chunks.ts
+++ b/src/jobs/completion-chunks.ts
@@ -1,20 +1,20 @@
 /** A job's completion bitmap, kept in the store in chunks of a bounded size. */
 
-/** Tasks in one chunk: a value of 512 bytes before its encoding. */
+/** The bitmap of one chunk takes 512 bytes before its encoding. */
 export const TASKS_PER_CHUNK = 4096;
 
-/** The chunk that holds a task. */
+/** Index of the chunk that holds a task. */
 export function chunkOf(task: number): number {
   return Math.floor(task / TASKS_PER_CHUNK);
 }
 
-/** The tasks of a chunk: from `first` on, and below `end`. */
+/** The tasks of a chunk: from `first` up to, but not including, `end`. `taskCount`: number of the job's tasks. */
 export function chunkRange(chunk: number, taskCount: number): { first: number; end: number } {
   const first = chunk * TASKS_PER_CHUNK;
   return { first, end: Math.min(taskCount, first + TASKS_PER_CHUNK) };
 }
 
-/** A bitmap for so many tasks, all of its bits unset. */
+/** A bitmap for `taskCount` tasks, with all bits unset. */
 export function newBitmap(taskCount: number): Uint8Array {
   return new Uint8Array(Math.ceil(taskCount / 8));
 }
--- a/src/jobs/job-cancellation.ts
+++ b/src/jobs/job-cancellation.ts
@@ -9,7 +9,7 @@
 import type { UserAnswers } from './user-answers.ts';
 import type { UserRequestDeps } from './user-request-deps.ts';
 
-/** Wait in ms for the answer of another controller to a cancellation. */
+/** Time in ms to wait for another controller's answer to a forwarded cancellation. */
 const CANCEL_FORWARD_TIMEOUT_MS = 2500;
 
 type JobCancellationDeps = Pick<
@@ -18,8 +18,8 @@
 >;
 
 /**
- * Cancels jobs: through the leader, or in a leaderless write while there is none. A cancellation is idempotent; one
- * of a job that is done already is answered with that.
+ * Cancels jobs: through the leader, or with a leaderless write while there is none. Cancellation is idempotent; for a
+ * job that has already ended, the answer is its terminal state.
  */
 export class JobCancellation {
   constructor(
@@ -40,7 +40,7 @@
     }
     this.routeCancellation(id)
       .then((lookup) => {
-        // Only a terminal state answers a cancellation: a job can be created while it is being looked up.
+        // A job that is created during the lookup is found open and not cancelled: only a terminal state is an answer.
         if (lookup.kind === 'found' && isTerminal(lookup.status)) {
           reply(this.answers.status(id, lookup.status));
         } else if (lookup.kind === 'notFound') {
@@ -61,29 +61,30 @@
     if (fromLeader.kind !== 'unavailable') return fromLeader;
     const withoutLeader = await this.cancelWithoutLeader(id);
     if (withoutLeader.kind !== 'unavailable') return withoutLeader;
-    // This node may know of no leader, or of one that was, while another leads.
+    // This node may know of no leader, or only of a former one, while another node leads.
     return this.reader.readUnlessStale(async () =>
       lookupFromReply(await this.deps.callOthers(request, CANCEL_FORWARD_TIMEOUT_MS)),
     );
   }
 
-  /** Cancels the job through the leadership on this node. */
+  /** Cancels the job through the leader on this node. */
   async cancelAsLeader(id: string): Promise<JobLookup> {
     const term = this.deps.leader()?.term;
     const cancelled = await this.cancelByLocalLeader(id);
     if (cancelled) return cancelled;
-    // Not known here: terminal already, never accepted, or created a moment ago by another node.
+    // The leader doesn't know the job: it is terminal, was never accepted, or was just created by another node.
     const open = await this.deps.store.get(KEYS.open(id), 'user');
     if (open.kind !== 'ok') return { kind: 'unavailable' };
     if (!open.value || decodeTerminalRecord(open.value.value)) return this.reader.lookupInStore(id);
     const leader = this.deps.leader();
-    // A leader of another term may have loaded its jobs after this one became terminal: it must not be brought back.
+    // If the term changed during the read, this job may have become terminal before the new leader loaded its jobs.
+    // The older open record must not make it open again.
     if (!leader || leader.term !== term) return { kind: 'unavailable' };
     leader.observeOpenRecord(id, open.value.value);
     return (await this.cancelByLocalLeader(id)) ?? { kind: 'unavailable' };
   }
 
-  /** null: this node doesn't lead, or its leader doesn't know the job. */
+  /** Cancels the job through the leader on this node; null: there is none, or it doesn't know the job. */
   private cancelByLocalLeader(id: string): Promise<JobLookup | null> {
     return new Promise((resolve) => {
       const leader = this.deps.leader();
@@ -94,14 +95,17 @@
     });
   }
 
-  /** Only while no node holds the leader key: a leader would go on telling what it knows. */
+  /**
+   * Cancels the job with a leaderless write, which is applied only while no node holds the leader key: a leader would
+   * not learn of the cancellation and would keep reporting the job as open.
+   */
   private async cancelWithoutLeader(id: string): Promise<JobLookup> {
     const write = await this.deps.beginLeaderlessWrite('user');
     if (!write) return { kind: 'unavailable' };
     const open = await this.deps.store.get(KEYS.open(id), 'user');
     if (open.kind !== 'ok' || !open.value || !decodeOpenRecord(open.value.value)) {
       write.abandon();
-      // Terminal, archived, or never accepted: another read tells which.
+      // The job is terminal, archived, or was never accepted: another read tells which.
       const isNotOpen =
         open.kind === 'ok' && (!open.value || decodeTerminalRecord(open.value.value) !== null);
       return isNotOpen ? this.reader.lookupInStore(id) : { kind: 'unavailable' };
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,39 +1,39 @@
-/** Results of looking a job up, and how long they may be told. */
+/** Results of job lookups, and for how long they may be used in answers. */
 import type { JobStatus } from '../wire/user.ts';
 
-/** What a leader can say of a job from its memory alone, with no read of the state service. */
+/** What a leader knows of a job from its memory alone, without a read of the state service. */
 export type LeaderLookup =
-  /** Certain now: open with no outcome under way, or terminal with a durable terminal record. */
+  /** Certain: either no terminal record of the job can be in the state service, or its terminal record is durable. */
   | { kind: 'found'; status: JobStatus }
   /**
    * The job's terminal record may be in the state service, but that isn't confirmed. Another controller may have read
-   * the record and told a user, so the job counts neither as open nor as terminal.
+   * the record and reported it to a user, so the job counts neither as open nor as terminal.
    */
   | { kind: 'uncertain' }
-  /** Not in memory, or the lease isn't valid. Says nothing about whether the job exists. */
+  /** Not in memory, or the leader's lease isn't valid. The job may exist all the same. */
   | { kind: 'unknown' };
 
-/** What a controller found out about a job on behalf of a user. */
+/** Result of a controller's lookup of a job on behalf of a user. */
 export type JobLookup =
   | { kind: 'found'; status: JobStatus }
   /** The state service holds no record of the job. */
   | { kind: 'notFound' }
-  /** Neither can be said now; the user is refused and asks again. */
+  /** The job's state can't be determined now; the request is refused, and the user retries. */
   | { kind: 'unavailable' };
 
 /**
- * Longest time in ms between the start of a read and the answer that rests on it, unless the answer is a terminal
- * state. A later answer is refused: in the meantime another controller may have told that the job was accepted or
- * reached its terminal state. Shorter than the 2 s for which a user waits for the answer to a poll.
+ * Maximum time in ms between the start of a read and an answer that is based on it; terminal states are exempt. A later
+ * answer is refused, because meanwhile another controller may have reported that the job was accepted or reached its
+ * terminal state. Shorter than the 2 s for which a user waits for the answer to a poll.
  */
 export const MAX_LOOKUP_AGE_MS = 1500;
 
-/** Whether the job has ended for good: a terminal state never changes. */
+/** Whether the job has ended; a terminal state never changes. */
 export function isTerminal(status: JobStatus): boolean {
   return status.stage === 'done' || status.stage === 'cancelled';
 }
 
-/** The lookup itself if it may still be told, `unavailable` if it may have been overtaken. */
+/** Returns the lookup, or `unavailable` if it may be outdated. `ageMs`: time since the lookup began. */
 export function discardIfStale(lookup: JobLookup, ageMs: number): JobLookup {
   if (ageMs <= MAX_LOOKUP_AGE_MS) return lookup;
   return lookup.kind === 'found' && isTerminal(lookup.status) ? lookup : { kind: 'unavailable' };
--- a/src/jobs/job-query.ts
+++ b/src/jobs/job-query.ts
@@ -15,7 +15,7 @@
     private readonly answers: UserAnswers,
   ) {}
 
-  /** The answer to a poll that needs nobody else, or null. */
+  /** The answer to a poll if this node's memory determines it, else null. */
   pollFromMemory(id: string): Answer | null {
     if (!isJobId(id)) return this.answers.notFound();
     const known = this.reader.lookupInMemory(id);
@@ -46,7 +46,7 @@
     }
   }
 
-  /** The leader answers from memory, so that a job it doesn't know may exist all the same: the store decides. */
+  /** Asks the leader, then the store: the leader answers from memory alone, and a job unknown to it may exist. */
   private async lookupElsewhere(id: string): Promise<JobLookup> {
     const { forward_ms } = this.deps.options.users;
     const fromLeader = await this.reader.readUnlessStale(async () =>
--- a/src/jobs/job-state-reader.ts
+++ b/src/jobs/job-state-reader.ts
@@ -1,4 +1,4 @@
-/** The job lookup that submissions, polls and cancellations share. */
+/** Job lookups, shared by submissions, polls and cancellations. */
 import { KEYS } from '../store/keys.ts';
 import type { Urgency } from '../store/call-budget.ts';
 import type { JobStatus } from '../wire/user.ts';
@@ -7,7 +7,7 @@
 import { decodeTerminalRecord } from './records.ts';
 import type { UserRequestDeps } from './user-request-deps.ts';
 
-/** The state of a job that has been accepted and that nothing more is known of. */
+/** Status of a job of which only the acceptance is known. */
 export const PENDING_STATUS: JobStatus = { stage: 'pending', done: 0, running: 0 };
 
 type JobStateReaderDeps = Pick<
@@ -19,21 +19,21 @@
 export class JobStateReader {
   constructor(private readonly deps: JobStateReaderDeps) {}
 
-  /** What this node can say without asking: a terminal state, or what it knows as the leader. */
+  /** Looks the job up in the cache of terminal states, and in the leader's memory if this node leads. */
   lookupInMemory(id: string): LeaderLookup {
     const status = this.deps.terminalStates.get(id);
     if (status) return { kind: 'found', status };
     return this.deps.leader()?.lookup(id) ?? { kind: 'unknown' };
   }
 
-  /** Reads the job's records, which were in the store after this call began. */
+  /** Reads the job's records from the store, as they were at some time after this call began. */
   lookupInStore(id: string, urgency: Urgency = 'user'): Promise<JobLookup> {
     return this.readUnlessStale(() => this.readRecords(id, urgency));
   }
 
   /**
-   * Reads the job's records, with the help of the other controllers if need be: the state service may refuse this
-   * node alone, and what the others read is as fresh.
+   * Reads the job's records, through the other controllers if this one can't: the state service may refuse this node
+   * alone. The other controllers look the job up after this call began, so their results are as fresh.
    */
   async lookupInStoreOrByPeers(id: string, urgency: Urgency): Promise<JobLookup> {
     const lookup = await this.lookupInStore(id, urgency);
@@ -44,14 +44,16 @@
     );
   }
 
-  /** Runs a read. What it found is only told while that can't have been overtaken by much. */
+  /**
+   * Runs a lookup. If it takes longer than `MAX_LOOKUP_AGE_MS`, the result is discarded unless it is a terminal state.
+   */
   async readUnlessStale(read: () => Promise<JobLookup>): Promise<JobLookup> {
     const startedAt = this.deps.clock.now();
     const lookup = await read();
     return discardIfStale(lookup, this.deps.clock.now() - startedAt);
   }
 
-  /** The job's open key comes first: a terminal record only ever moves from there to the archive. */
+  /** Reads the open key first: a terminal record only ever moves from there to the archive, so none is missed. */
   private async readRecords(id: string, urgency: Urgency): Promise<JobLookup> {
     const open = await this.deps.store.get(KEYS.open(id), urgency);
     if (open.kind !== 'ok') return { kind: 'unavailable' };
@@ -65,7 +67,7 @@
     return status ? { kind: 'found', status } : { kind: 'unavailable' };
   }
 
-  /** The store says that the job is open; a leader on this node knows more, unless it is uncertain itself. */
+  /** Status of a job that is open in the store: from a leader on this node if it is certain, else pending. */
   private statusOfOpen(id: string): JobStatus {
     const known = this.lookupInMemory(id);
     return known.kind === 'found' ? known.status : PENDING_STATUS;
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -11,19 +11,19 @@
 import type { UserAnswers } from './user-answers.ts';
 import type { UserRequestDeps } from './user-request-deps.ts';
 
-/** Wait in ms for the answer to the write of a new job's record, before a read whether it is there. */
+/** Timeout in ms of the write of a new job's record; afterwards a read checks whether the record exists. */
 const CREATE_TIMEOUT_MS = 1000;
 /**
- * Time in ms in which no submission is sent after the state service has refused one for its rate: what it still
- * takes is for other writes.
+ * Pause of submissions in ms after the state service has refused one because of its rate limit. The requests that it
+ * still accepts are left to other writes.
  */
 const RATE_LIMIT_PAUSE_MS = 1000;
 
-/** What came of the write of a new job's record. A lookup tells that the job may have been there before. */
+/** Result of the write of a new job's record. A `JobLookup`: the job may have existed before. */
 export type Creation =
   | JobLookup
   | { kind: 'created' }
-  /** Too many submissions for the state service; nothing was written. */
+  /** Over this node's submission rate or the state service's rate limit; nothing was written. */
   | { kind: 'rateLimited' };
 
 type JobSubmissionDeps = Pick<
@@ -32,8 +32,8 @@
 >;
 
 /**
- * Accepts new jobs. That needs the store alone. A submission is idempotent: a job that is known already is answered
- * with its state, whatever else was sent with its id.
+ * Accepts new jobs, which needs the store but no leader. A submission is idempotent: for a job that has already been
+ * accepted, the answer is its state, whatever else was sent with its id.
  */
 export class JobSubmission {
   constructor(
@@ -57,7 +57,7 @@
     const job = decoded.value;
     const catalog = this.deps.catalog();
     const team = this.deps.teams.find(({ name }) => name === job.team);
-    // An unknown team or a limit that is too small needs no machine types to be told.
+    // An unknown team or a limit that is too small is detected even while the machine types are not known.
     const reason = findInfeasibility(job, team, catalog);
     if (reason !== null) return this.refuseUnlessAccepted(id, failure(422, reason));
     if (!catalog)
@@ -69,7 +69,7 @@
     return this.createByPeers(id, body);
   }
 
-  /** Hands the submission on: perhaps the state service refuses this node alone. */
+  /** Forwards the submission to the other controllers: the state service may refuse this node alone. */
   private async createByPeers(id: string, body: string): Promise<Answer> {
     const timeoutMs = this.deps.options.users.forward_ms * 2;
     const received: { reply: PeerReply | null } = { reply: null };
@@ -81,14 +81,17 @@
     return this.answers.status(id, lookup.status, wasCreated(received.reply) ? 201 : 200);
   }
 
-  /** A job whose terminal state is being written: only the store can say whether it is durable. */
+  /** Answers for a job whose terminal state is being written: only the store tells whether it is durable. */
   private async answerFromStore(id: string): Promise<Answer> {
     const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
     if (lookup.kind === 'found') return this.answers.status(id, lookup.status);
     return this.answers.unavailable('state not known now');
   }
 
-  /** The refusal, unless the id is that of an accepted job: to refuse that would call it forgotten. */
+  /**
+   * Returns the refusal, unless the id belongs to an accepted job, whose submission must not be refused as if the job
+   * had been lost.
+   */
   private async refuseUnlessAccepted(id: string, refusal: Answer): Promise<Answer> {
     const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
     if (lookup.kind === 'found') return this.answers.status(id, lookup.status);
@@ -99,7 +102,7 @@
     return this.answers.unavailable('the state service can not be reached');
   }
 
-  /** Writes the record of a new job, conditional on there being none of that id, neither open nor archived. */
+  /** Writes the record of a new job, on condition that no open or archived record exists under its id. */
   async create(job: JobRequest): Promise<Creation> {
     if (!this.deps.submissionBudget.take()) return { kind: 'rateLimited' };
     const value = encodeOpenRecord(job, this.deps.clock.wall());
@@ -120,11 +123,11 @@
     }
     if (result.kind === 'unknown') {
       const lookup = await this.reader.lookupInStore(job.id);
-      // The write may be carried out later still, so that nothing is there proves nothing.
+      // The write may still be applied later, so a missing record doesn't prove that the submission failed.
       return lookup.kind === 'found' ? lookup : { kind: 'unavailable' };
     }
     if (result.kind !== 'ok') return { kind: 'unavailable' };
-    // After a slow answer the job may be terminal already, and its user may have been told so elsewhere.
+    // After a slow answer the job may already be terminal, and another controller may have reported that.
     const elapsedMs = this.deps.clock.now() - startedAt;
     return elapsedMs <= MAX_LOOKUP_AGE_MS ? { kind: 'created' } : this.reader.lookupInStore(job.id);
   }
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -15,29 +15,29 @@
 /** How a job ended, or is to end. */
 export type JobOutcome = 'done' | 'cancelled';
 
-/** A machine on which capacity is being made for a job. */
+/** A machine on which other tasks are being preempted so that a job's single task can start there. */
 export interface NominatedMachine {
   /** Index of the machine. */
   machine: number;
-  /** The job waits for it until then, in ms on the steady clock. */
+  /** When the nomination ends, in ms on the steady clock. */
   until: number;
 }
 
-/** Machines on which other work was preempted for a job, or that it waits for besides. */
+/** Machines reserved for a gang: those on which tasks were preempted for it, and others that it counts on. */
 export interface Reservation {
   /** Indices of the machines. */
   machines: ReadonlySet<number>;
   /** Index of the zone that the machines are in. */
   zone: number;
-  /** The job waits for them until then, in ms on the steady clock. */
+  /** When the reservation ends, in ms on the steady clock. */
   until: number;
 }
 
-/** A job as the leader knows it. Work on it goes by counts and short lists, never over all its tasks. */
+/** The leader's state of a job. Frequent operations use counts and short lists and don't iterate over all tasks. */
 export class Job {
-  /** For each task `PENDING`, `ASSIGNED`, `DONE` or `DURABLE`. */
+  /** State of each task: `PENDING`, `ASSIGNED`, `DONE` or `DURABLE`. */
   readonly taskStates: Uint8Array;
-  /** The first task that was never assigned; tasks below it that were requeued are in `requeued`. */
+  /** The first task that `takePending` has not reached yet; tasks below it that were requeued are in `requeued`. */
   private nextTask = 0;
   private readonly requeued: number[] = [];
   pendingCount: number;
@@ -54,38 +54,38 @@
   pendingOutcome: JobOutcome | null = null;
   /** Called once the terminal state is durable, or this leadership has ended. */
   readonly onTerminal: (() => void)[] = [];
-  /** Set once its record is durable. */
+  /** Set once the terminal record is durable. */
   terminalState: JobOutcome | null = null;
   readonly failures = newJobFailures();
   /** No task is started before this time, in ms on the steady clock. */
   notBefore = 0;
   /**
-   * How many attempts hold a task. After a failover a late heartbeat can show a task on a machine that is gone
-   * while it runs elsewhere: the end of one of the two must not free the task.
+   * Number of attempts that hold each task. After a failover, a late heartbeat can report a task on a machine that no
+   * longer exists while the task runs on another one; the end of one of the two attempts must not free the task.
    */
   readonly attemptCounts = new Map<number, number>();
   nominatedMachine: NominatedMachine | null = null;
   reservation: Reservation | null = null;
-  /** Index of the zone that the last round chose for a job that must stay in one, or -1. */
+  /** Index of the zone that scheduling last chose for a job whose tasks must be in one zone, or -1. */
   zoneHint = -1;
   /** Indices of the machines on which a task of this job failed. */
   readonly excludedMachines = new Set<number>();
   /**
-   * Tasks below this may be started: the store says that they may have been, and a later leader reads it there. No
-   * task starts before that.
+   * The start watermark that is durable in the store. Only tasks below it may be started: a later leader then learns
+   * from the store that they may be running.
    */
   durableStartWatermark = 0;
-  /** The start watermark that the store has been asked to hold. */
+  /** The highest start watermark whose write has been requested. */
   requestedStartWatermark = 0;
   /**
-   * The start watermark of an earlier leader: tasks below it may run on machines that have not reported yet, the
-   * others cannot. 0: no earlier leader has started any.
+   * The start watermark of an earlier leader: tasks below it may be running on machines that have not sent a heartbeat
+   * yet, all others can't be running. 0: no earlier leader has started a task.
    */
   inheritedStartWatermark = 0;
-  /** When the job began to wait, in ms on the steady clock; moves on whenever a task is placed. */
+  /** When the job began to wait, in ms on the steady clock; reset whenever a task is placed. */
   waitingSince: number;
 
-  /** `team`: its index. `createdWall`: when the job was accepted, as time of day in ms. `now`: steady ms. */
+  /** `team`: index of the team. `createdWall`: wall-clock time of acceptance in ms. `now`: steady ms. */
   constructor(
     readonly spec: JobRequest,
     readonly team: number,
@@ -101,7 +101,7 @@
     return this.spec.id;
   }
 
-  /** Takes over the start watermark that a new leader has found in the store. `now`: steady ms. */
+  /** Restores the start watermark that a new leader has read from the store. `now`: steady ms. */
   restore(startWatermark: number, now: number): void {
     if (startWatermark > 0) this.waitingSince = now;
     this.durableStartWatermark = startWatermark;
@@ -109,15 +109,18 @@
     this.inheritedStartWatermark = startWatermark;
   }
 
-  /** No task of it has ever been started. */
+  /** Whether no task of the job can have been started so far. */
   get hasNeverStarted(): boolean {
     return this.requestedStartWatermark === 0;
   }
 
-  /** Number of tasks that nobody can be running while machines of an earlier leader are not reconciled. */
+  /**
+   * Number of pending tasks that may be assigned while machines of an earlier leader are not reconciled: those that
+   * can't be running on any of these machines.
+   */
   startableCount(): number {
     if (this.inheritedStartWatermark === 0) return this.pendingCount;
-    // Where the others of the job are decides where these may go.
+    // The placement of these tasks depends on the job's running tasks, which are not all known yet.
     if (this.spec.gang || this.spec.oneZone || this.spec.spread) return 0;
     let count = 0;
     for (let task = this.inheritedStartWatermark; task < this.spec.tasks; task++) {
@@ -126,7 +129,10 @@
     return count;
   }
 
-  /** Assigns the next pending task and returns it, or -1. `onlyStartable`: only one that nobody can be running. */
+  /**
+   * Assigns the next pending task and returns it, or -1. `onlyStartable`: skips tasks that may be running on a machine
+   * that is not reconciled.
+   */
   takePending(onlyStartable = false): number {
     if (onlyStartable && this.inheritedStartWatermark > 0) return this.takeStartable();
     for (let task = this.requeued.pop(); task !== undefined; task = this.requeued.pop()) {
@@ -146,7 +152,7 @@
     return -1;
   }
 
-  /** Assigns a certain task, found running after a failover. False: the task is not pending. */
+  /** Assigns a task that was found running after a failover. Returns false if the task is not pending. */
   adopt(task: number): boolean {
     if (this.taskStates[task] !== PENDING) return false;
     this.assign(task);
@@ -159,7 +165,7 @@
     return task;
   }
 
-  /** Makes an assigned task pending again, once it can run nowhere any more. `now`: steady ms. */
+  /** Makes an assigned task pending again; no machine may be running it any more. `now`: steady ms. */
   requeue(task: number, now: number): void {
     if (this.taskStates[task] !== ASSIGNED) return;
     this.taskStates[task] = PENDING;
@@ -168,7 +174,7 @@
     this.requeued.push(task);
   }
 
-  /** False: there is no such task, or it was done before. */
+  /** Marks a task as done. Returns false if there is no such task or it was done before. */
   markDone(task: number): boolean {
     const state = this.taskStates[task];
     if (state === undefined || state >= DONE) return false;
@@ -179,7 +185,7 @@
     return true;
   }
 
-  /** The store holds these bits of the completion bitmap: the tasks whose bits are set are durable. */
+  /** Marks the tasks whose bits are set as durable: the store holds these bits of the completion bitmap. */
   markChunkDurable(chunk: number, bits: Uint8Array): void {
     this.storedChunks.add(chunk);
     const { first, end } = chunkRange(chunk, this.spec.tasks);
@@ -194,7 +200,7 @@
     }
   }
 
-  /** The completion bitmap of a chunk as it is now, for the store. */
+  /** The current completion bitmap of a chunk, to be written to the store. */
   chunkBits(chunk: number): Uint8Array {
     const { first, end } = chunkRange(chunk, this.spec.tasks);
     const bits = newBitmap(end - first);
@@ -216,12 +222,12 @@
     return this.doneCount === this.spec.tasks;
   }
 
-  /** The job is to end, and its terminal record isn't known to be durable. */
+  /** Whether the job is to end and its terminal record isn't known to be durable. */
   get isOutcomeUnconfirmed(): boolean {
     return this.pendingOutcome !== null && this.terminalState === null;
   }
 
-  /** The state as users are told it: of an open job, only tasks whose completion is durable count as done. */
+  /** The status for users: as long as the job is open, only tasks whose completion is durable count as done. */
   status(): JobStatus {
     if (this.terminalState) return { stage: this.terminalState, done: this.doneCount, running: 0 };
     return {
--- a/src/jobs/peer-messages.ts
+++ b/src/jobs/peer-messages.ts
@@ -1,9 +1,9 @@
-/** The one place where messages between controllers become job lookups and the other way round. */
+/** Conversions between job lookups and the messages between controllers. */
 import type { PeerReply, PeerRequest } from '../peers/messages.ts';
 import type { JobStatus } from '../wire/user.ts';
 import type { JobLookup } from './job-lookup.ts';
 
-/** Requests of other controllers that concern a single job. */
+/** Requests from other controllers that concern a single job. */
 export type PeerJobRequest = Exclude<
   PeerRequest,
   { kind: 'grantPeerLease' | 'ping' | 'workerContact' | 'pollBatch' | 'heartbeats' }
@@ -14,22 +14,22 @@
   return { kind: 'lookup', jobId };
 }
 
-/** Asks the leader for what it knows from memory. */
+/** Asks the leader for a job's status as it knows it from memory. */
 export function pollRequest(jobId: string): PeerRequest {
   return { kind: 'poll', jobId };
 }
 
-/** Hands a user's cancellation on. */
+/** Forwards a user's cancellation. */
 export function cancelRequest(jobId: string): PeerRequest {
   return { kind: 'cancel', jobId };
 }
 
-/** Hands a user's submission on, with the body as the user sent it. */
+/** Forwards a user's submission, with the body as the user sent it. */
 export function submitRequest(jobId: string, body: string): PeerRequest {
   return { kind: 'submit', jobId, body };
 }
 
-/** What a controller's reply says of the job; null is a controller that didn't answer. */
+/** The lookup that a controller's reply carries; null: the controller didn't answer. */
 export function lookupFromReply(reply: PeerReply | null): JobLookup {
   switch (reply?.kind) {
     case 'status': {
@@ -48,7 +48,7 @@
   return reply?.kind === 'status' && reply.created;
 }
 
-/** The reply that tells another controller of a lookup. */
+/** The reply that carries a lookup to another controller. */
 export function replyFromLookup(lookup: JobLookup): PeerReply {
   switch (lookup.kind) {
     case 'found':
--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -1,31 +1,31 @@
-/** Batching of polls that one controller hands on to the leader. */
+/** Batching of the polls that a controller forwards to the leader. */
 import { BatchPacer, type PacerTimers } from '../base/batch-pacer.ts';
 import type { PollAnswer } from '../peers/messages.ts';
 
-/** Least time in ms between two batches to the leader. */
+/** Minimum time in ms between two batches to the leader. */
 export const MIN_BATCH_INTERVAL_MS = 10;
-/** Most jobs in one batch; a frame between controllers holds several times as many. */
+/** Maximum number of jobs in one batch; a frame between controllers holds several times as many. */
 export const MAX_BATCH_JOBS = 1000;
 
-/** Gets the answer to one poll; null: the leader can't be asked now. */
+/** Receives the answer to one poll; null: the leader can't be asked now. */
 type PollCallback = (answer: PollAnswer | null) => void;
 
-/** Timers, and the way to the leader. */
+/** Timers, and the call to the leader. */
 export interface PollBatcherDeps extends PacerTimers {
   /**
-   * Asks the leader of now for the answers in the order of `jobIds`; null when there is none or it doesn't answer in
-   * time. Never rejected.
+   * Asks the current leader; the answers are in the order of `jobIds`. null: there is no leader, or it doesn't answer
+   * in time. Never rejected.
    */
   send(jobIds: string[]): Promise<readonly PollAnswer[] | null>;
-  /** A batch failed by a defect; its polls get no answer. */
+  /** Called when a defect makes a batch fail; its polls get no answer. */
   onError: (error: unknown) => void;
 }
 
 /**
- * Hands polls to the leader in batches, so that the leader's work depends on the number of controllers and of
- * unfinished jobs and not on how often users ask. A poll alone is sent at once; the next ones wait until the interval
- * is over. A poll only ever shares a batch that is sent after it came in: its answer is as fresh as if it had been
- * sent alone.
+ * Forwards polls to the leader in batches, so that the leader's load depends on the number of controllers and of
+ * unfinished jobs and not on how often users poll. A poll is sent at once if the last batch is at least the interval
+ * ago; otherwise it waits for the next batch. A poll only joins a batch that is sent after the poll came in, so its
+ * answer is as fresh as if it had been sent alone.
  */
 export class PollBatcher {
   private pendingPolls = new Map<string, PollCallback[]>();
@@ -73,8 +73,8 @@
 }
 
 /**
- * Answers a batch from what is known without waiting. A job whose lookup takes a while is answered as unavailable,
- * so that one of them doesn't hold up all others; the asking controller then looks it up by itself.
+ * Answers a batch with what is known immediately. A job whose lookup takes longer is answered as unavailable, so that
+ * it doesn't delay the other answers of the batch; the controller that sent the batch then looks the job up itself.
  */
 export function answerBatch(
   jobIds: readonly string[],
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -1,11 +1,11 @@
 /**
- * The values of jobs in the store, encoded and decoded. Earlier and later versions read them: their fields never
- * change. Every decoder returns null for a value that is no such record.
+ * Encoding and decoding of the job records in the store. Earlier and later versions read these records, so their fields
+ * never change. Every decoder returns null for a value that is not a record of its kind.
  */
 import * as z from 'zod/mini';
 import { decodeStoredJob, type JobRequest, type JobStatus } from '../wire/user.ts';
 
-/** `at`: when the job was accepted, as time of day in ms. `job`: what the user submitted. */
+/** `at`: wall-clock time of acceptance in ms. `job`: what the user submitted. */
 const openRecordSchema = z.object({ at: z.number(), job: z.unknown() });
 /** `s`: the outcome. `n`: number of tasks that are done. */
 const terminalRecordSchema = z.object({ s: z.enum(['done', 'cancelled']), n: z.int() });
@@ -16,12 +16,12 @@
 /** `b`: the completion bitmap in base64. */
 const chunkRecordSchema = z.object({ b: z.string() });
 
-/** The record of an accepted job. `wall`: time of day in ms. */
+/** The record of an accepted job. `wall`: wall-clock time of acceptance in ms. */
 export function encodeOpenRecord(job: JobRequest, wall: number): unknown {
   return { at: wall, job: job.stored };
 }
 
-/** The job that an open record holds, and when it was accepted, as time of day in ms. */
+/** The job in an open record, and the wall-clock time of its acceptance in ms. */
 export function decodeOpenRecord(value: unknown): { job: JobRequest; createdWall: number } | null {
   const record = openRecordSchema.safeParse(value);
   if (!record.success) return null;
@@ -34,13 +34,13 @@
   return { s: stage, n: done };
 }
 
-/** The state that a terminal record tells; null for a record of an open job. */
+/** The status in a terminal record; null for the record of an open job. */
 export function decodeTerminalRecord(value: unknown): JobStatus | null {
   const record = terminalRecordSchema.safeParse(value);
   return record.success ? { stage: record.data.s, done: record.data.n, running: 0 } : null;
 }
 
-/** A page of start watermarks: tasks of the job from this number on have never been started by anybody. */
+/** A page of start watermarks by job id: no leader has ever started a task of the job from this number on. */
 export function encodeStartWatermarks(entries: Iterable<readonly [string, number]>): unknown {
   return { b: [...entries] };
 }
@@ -56,7 +56,7 @@
   return { b: Buffer.from(bits).toString('base64') };
 }
 
-/** The bits of a chunk. Damaged base64 is read as far as it goes. */
+/** The bits of a chunk. Damaged base64 is decoded as far as possible. */
 export function decodeChunk(value: unknown): Uint8Array | null {
   const record = chunkRecordSchema.safeParse(value);
   return record.success ? Buffer.from(record.data.b, 'base64') : null;
--- a/src/jobs/shared-reads.ts
+++ b/src/jobs/shared-reads.ts
@@ -1,7 +1,8 @@
 /** Coalescing of concurrent reads of one key. */
 
 /**
- * Least time in ms between the starts of two reads of one key: a tenth of what users wait for the answer to a poll.
+ * Minimum time in ms between the starts of two reads of one key: a tenth of the time for which users wait for the
+ * answer to a poll.
  */
 export const MIN_READ_INTERVAL_MS = 200;
 
@@ -9,23 +10,23 @@
 export interface SharedReadsDeps<Result, Priority> {
   /** Steady milliseconds. */
   now(): number;
-  /** Runs something once, after a time in ms. */
+  /** Calls `run` once, after `ms` milliseconds. */
   after(ms: number, run: () => void): void;
   read(key: string, priority: Priority): Promise<Result>;
-  /** True if the first is more urgent than the second. */
+  /** Whether the first priority is more urgent than the second. */
   isMoreUrgent(first: Priority, second: Priority): boolean;
 }
 
 interface ScheduledRead<Result, Priority> {
-  /** That of the most urgent request that shares the read. */
+  /** Priority of the most urgent request that shares the read. */
   priority: Priority;
   result: Promise<Result>;
 }
 
 /**
- * Coalesces concurrent reads of one key. Unlike with single flight, a request never joins a read in flight: what
- * that returns may be older than the request. It joins the next one, which starts once the interval since the last
- * start has passed, whether or not that one has been answered; so a read that hangs holds nobody up.
+ * Coalesces concurrent reads of one key. Unlike with single flight, a request never joins a read in flight, whose
+ * result may be older than the request. It joins the next read, which starts `MIN_READ_INTERVAL_MS` after the start of
+ * the previous one, whether or not that has been answered; so a read that hangs doesn't delay later requests.
  */
 export class SharedReads<Result, Priority> {
   private readonly lastStartedAt = new Map<string, number>();
@@ -33,7 +34,7 @@
 
   constructor(private readonly deps: SharedReadsDeps<Result, Priority>) {}
 
-  /** Reads the key, at once or with the next shared read. Fails as that read does. */
+  /** Reads the key, at once or with the next shared read. Rejected if that read is. */
   get(key: string, priority: Priority): Promise<Result> {
     const joined = this.scheduled.get(key);
     if (joined) {
--- a/src/jobs/start-watermarks.ts
+++ b/src/jobs/start-watermarks.ts
@@ -6,30 +6,30 @@
 
 interface Page {
   index: number;
-  /** By job: tasks from this number on have never been started. */
+  /** Start watermark by job id: tasks from this number on have never been started. */
   entries: Map<string, number>;
   /** Estimated size of the page's value. */
   bytes: number;
-  /** Waits in the writer's queue; whatever is raised until it is sent is in it. */
+  /** Whether a write of the page is queued; it includes all watermarks that are raised before it is sent. */
   queued: boolean;
   /** Called once the next write of the page is durable. */
   onDurable: (() => void)[];
 }
 
-/** Limits, and the way to the store. */
+/** Limits of the pages, and access to the writer. */
 export interface StartWatermarksDeps {
-  /** Pages stay below this, so that a change rewrites little and a value is never too long. */
+  /** Maximum size of a page, so that a mutation rewrites little and a value is never too long for the store. */
   pageBytes: number;
   enqueueWrite(write: DeferredWrite): void;
-  /** Puts a command in the queue of the single writer of the state. */
+  /** Adds a command to the command queue, which runs every change of the leader's state. */
   enqueue(command: () => void): void;
 }
 
-/** What an earlier leader has written. */
+/** The start watermarks that earlier leaders have written. */
 export interface RestoredWatermarks {
-  /** By job. */
+  /** Start watermark by job id. */
   watermarks: Map<string, number>;
-  /** A page can't be read: any task of any job may have been started. */
+  /** True if a page can't be read: any task of any job may have been started. */
   hasUnreadablePage: boolean;
 }
 
@@ -37,10 +37,10 @@
 const MAX_ENTRY_OVERHEAD_BYTES = 24;
 
 /**
- * Which tasks may have been started, as the store knows it: tasks of a job below its start watermark. Watermarks are
- * written ahead, before the starts, many jobs to a page, so that one change covers all jobs that start in a round.
- * The entry of a job that is completed does no harm; it leaves its page when the page is written the next time. A
- * page that can't be read is never written again, so that it makes every later leader as careful as this one.
+ * Keeps in the store which tasks may have been started: those below the start watermark of their job. A watermark is
+ * written before the tasks start. A page holds many jobs, so that one mutation covers all jobs that start in a round.
+ * The entry of a completed job does no harm and is removed by the next write of its page. A page that can't be read is
+ * never overwritten, so that every later leader, too, assumes that any task of any job may have been started.
  */
 export class StartWatermarks {
   private readonly pages = new Map<number, Page>();
@@ -50,8 +50,8 @@
   constructor(private readonly deps: StartWatermarksDeps) {}
 
   /**
-   * Takes over what an earlier leader left. `isOpen`: entries of other jobs are dropped with the next write.
-   * `onMalformed` is told the key of every page that can't be read.
+   * Restores the pages that earlier leaders wrote. `isOpen`: whether a job is open; entries of other jobs are dropped
+   * with the next write. `onMalformed`: called with the key of every page that can't be read.
    */
   restore(
     items: readonly Item[],
@@ -78,7 +78,7 @@
     return restored;
   }
 
-  /** Raises a job's watermark: tasks below it may be started once `onDurable` is called. */
+  /** Raises a job's watermark; the tasks below it may be started once `onDurable` has been called. */
   raise(id: string, watermark: number, onDurable: () => void): void {
     const page = this.pageOfJob.get(id) ?? this.findPageWithSpace(entryBytes(id));
     this.setEntry(page, id, Math.max(watermark, page.entries.get(id) ?? 0));
@@ -110,7 +110,7 @@
     this.pageOfJob.set(id, page);
   }
 
-  /** A page with space left: one that is to be written anyway, if there is one. */
+  /** A page with space for `bytes` more, preferably one whose write is queued already; a new one if all are full. */
   private findPageWithSpace(bytes: number): Page {
     let firstWithSpace: Page | null = null;
     for (const page of this.pages.values()) {
@@ -129,7 +129,7 @@
     let callbacks: (() => void)[] = [];
     this.deps.enqueueWrite({
       kind: 'deferred',
-      // Entries can still grow in number until it is sent, up to the size of a page.
+      // Entries can still be added until the write is sent, up to the size of a page.
       maxBytes: this.deps.pageBytes,
       build: () => {
         page.queued = false;
--- a/src/jobs/terminal-state-cache.ts
+++ b/src/jobs/terminal-state-cache.ts
@@ -1,9 +1,9 @@
-/** Terminal states that this node has learnt of lately. */
+/** Cache of terminal states that this node has recently learned of. */
 import type { JobStatus } from '../wire/user.ts';
 
 /**
- * Bounded cache of terminal states, the least recently stored evicted first. They never change, so any node may tell
- * them; the store keeps the rest.
+ * Bounded cache of terminal states; the least recently stored one is evicted first. A terminal state never changes, so
+ * any node may answer with a cached one. The store holds the terminal states of all jobs.
  */
 export class TerminalStateCache {
   private readonly entries = new Map<string, JobStatus>();
@@ -16,7 +16,7 @@
   }
 
   put(id: string, status: JobStatus): void {
-    // A map keeps the order of insertion: deleted first, the entry becomes the newest.
+    // A Map keeps the insertion order: deleting the entry first makes it the newest.
     this.entries.delete(id);
     this.entries.set(id, status);
     if (this.entries.size > this.maxEntries) {
--- a/src/jobs/terminal-writes.ts
+++ b/src/jobs/terminal-writes.ts
@@ -1,4 +1,4 @@
-/** Which terminal states a leader may have written, as far as the outcomes of its transactions tell. */
+/** Tracks, by the results of a leader's transactions, which terminal records it may have written. */
 import type { CompareAndSwapResult } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
 import type { Condition, Mutation } from '../wire/state.ts';
@@ -10,8 +10,8 @@
 ) => Promise<CompareAndSwapResult>;
 
 /**
- * State of the write of one job's terminal record. `inFlight`: every attempt so far was refused, and the last one
- * has no result yet. `inDoubt`: an attempt was carried out, or may have been or may be later.
+ * State of the write of one job's terminal record. `inFlight`: all earlier attempts were refused, and the latest one
+ * has no result yet. `inDoubt`: an attempt was applied, or may have been, or may still be applied later.
  */
 type WriteState = 'inFlight' | 'inDoubt';
 
@@ -24,18 +24,19 @@
 }
 
 /**
- * Tells of which jobs the terminal record may be in the state service by now. Once a job has a pending outcome, its
- * terminal record is the only change that the leader makes to its open record. A write that waits to be sent, or
- * that was always refused (as in an outage), has surely not been carried out, so its job is still open for certain.
+ * Tracks for which jobs the terminal record may already be in the state service. Once a job has a pending outcome, the
+ * only change that the leader makes to its open record is to replace it by the terminal record. A write that hasn't
+ * been sent, or that was refused every time (as in an outage), has certainly not been applied, so its job is still
+ * open.
  */
 export class TerminalWrites {
   private readonly states = new Map<string, WriteState>();
 
-  /** `outcomeUnconfirmed`: the leader has begun to end this job, and its terminal record isn't known to be durable. */
+  /** `isOutcomeUnconfirmed`: the leader has begun to end the job, and its terminal record isn't known to be durable. */
   constructor(private readonly isOutcomeUnconfirmed: (id: string) => boolean) {}
 
-  /** The same transactions, with the outcome of every terminal write recorded. */
-  trackOutcomes<Rest extends unknown[]>(compareAndSwap: CompareAndSwap<Rest>): CompareAndSwap<Rest> {
+  /** Wraps the function so that the result of every write of a terminal record is recorded. */
+  trackResults<Rest extends unknown[]>(compareAndSwap: CompareAndSwap<Rest>): CompareAndSwap<Rest> {
     return async (conditions, mutations, ...rest) => {
       const ids = changedJobs(mutations).filter((id) => this.isOutcomeUnconfirmed(id));
       for (const id of ids) {
@@ -52,12 +53,12 @@
     else if (this.states.get(id) === 'inFlight') this.states.delete(id);
   }
 
-  /** Whether the job's terminal record may be in the state service, without a confirmation. */
+  /** Whether the job's terminal record may be in the state service but isn't known to be durable. */
   mayBeWritten(id: string): boolean {
     return this.states.has(id);
   }
 
-  /** The job's terminal record is known to be durable. */
+  /** Ends the tracking of a job whose terminal record is known to be durable. */
   markDurable(id: string): void {
     this.states.delete(id);
   }
--- a/src/jobs/user-answers.ts
+++ b/src/jobs/user-answers.ts
@@ -4,24 +4,24 @@
 import { isTerminal } from './job-lookup.ts';
 import type { UserRequestDeps } from './user-request-deps.ts';
 
-/** Shapes answers, and keeps every terminal state that is told. */
+/** Builds answers, and caches every terminal state that they contain. */
 export class UserAnswers {
   constructor(private readonly deps: Pick<UserRequestDeps, 'options' | 'terminalStates'>) {}
 
-  /** The job's state, with the HTTP status `code` unless it is terminal. */
-  status(id: string, status: JobStatus, code = 200): Answer {
+  /** The job's state, with `httpStatus` unless it is terminal (200). */
+  status(id: string, status: JobStatus, httpStatus = 200): Answer {
     if (isTerminal(status)) this.deps.terminalStates.put(id, status);
-    // The terminal state may have become known here while an open state was being looked up.
+    // This node may have learned of the terminal state while it was looking up an open one.
     const terminalState = this.deps.terminalStates.get(id);
     if (terminalState) return { status: 200, body: encodeStatus(id, terminalState) };
-    return { status: code, body: encodeStatus(id, status) };
+    return { status: httpStatus, body: encodeStatus(id, status) };
   }
 
   notFound(): Answer {
     return failure(404, 'no such job');
   }
 
-  /** Not now: the user asks again after the time that the settings name. */
+  /** Refuses the request for now; the user retries after the time that the options name. */
   unavailable(reason: string): Answer {
     return failure(503, reason, this.deps.options.users.retry_after_s);
   }
--- a/src/jobs/user-request-deps.ts
+++ b/src/jobs/user-request-deps.ts
@@ -1,4 +1,4 @@
-/** What the users' side of a controller needs of the rest of the controller. */
+/** What user requests need from the rest of the controller. */
 import type { Clock } from '../base/clock.ts';
 import type { Options } from '../config/options.ts';
 import type { Catalog } from '../fleet/catalog.ts';
@@ -12,22 +12,22 @@
 import type { LeaderLookup } from './job-lookup.ts';
 import type { TerminalStateCache } from './terminal-state-cache.ts';
 
-/** What user requests need of the leadership on this node, if there is one. */
+/** What user requests need from the leader on this node. */
 export interface LocalLeader {
   readonly term: number;
   lookup(id: string): LeaderLookup;
   /**
-   * Cancels a job. `settled` gets the terminal state once it is durable, or null when this leadership ended before
-   * that. False: the job is not known here, and `settled` is never called.
+   * Cancels a job. `onOutcome` is called with the terminal state once it is durable, or with null if this leadership
+   * ends before that. Returns false if the leader doesn't know the job; `onOutcome` is then never called.
    */
-  cancel(id: string, onSettled: (status: JobStatus | null) => void): boolean;
-  /** Takes in an open record that this node has read from the store before the watch brought it. */
+  cancel(id: string, onOutcome: (status: JobStatus | null) => void): boolean;
+  /** Adds the job of an open record that this node has read from the store before the watch delivered it. */
   observeOpenRecord(id: string, value: unknown): void;
 }
 
 /**
- * Interfaces and settings that user requests work with. None of the promises is ever rejected: every failure is a
- * result. So a rejection is a defect, which goes to `onError`.
+ * Interfaces and settings that user requests work with. Promises are never rejected, because every failure is a result;
+ * a rejection is a defect and goes to `onError`.
  */
 export interface UserRequestDeps {
   clock: Clock;
@@ -41,12 +41,12 @@
   catalog(): Catalog | null;
   /** null: this node doesn't lead. */
   leader(): LocalLeader | null;
-  /** Begins a write that needs a leader's absence. null: not now, or there is a leader. */
+  /** Begins a write that is applied only while there is no leader. null: there is one, or it can't begin now. */
   beginLeaderlessWrite(urgency: Urgency): Promise<LeaderlessWrite | null>;
-  /** Asks the leading node; null when there is none or it doesn't answer. */
+  /** Asks the leader; null: there is none, or it doesn't answer. */
   callLeader(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
-  /** Asks all other nodes, for when this one alone can't help; null when none of them can. */
+  /** Asks all other nodes, when this node alone can't answer; null: none of them can. */
   callOthers(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
-  /** Answering a request failed by a defect; the request gets no answer. */
+  /** Called when a defect makes the handling of a request fail; the request gets no answer. */
   onError: (error: unknown) => void;
 }
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -1,4 +1,4 @@
-/** The users' side of every controller: submission, query and cancellation of jobs. */
+/** Handling of user requests on every controller: submission, query and cancellation of jobs. */
 import type { Answer, Reply } from '../http/server.ts';
 import type { PeerReply } from '../peers/messages.ts';
 import { decodeJob } from '../wire/user.ts';
@@ -12,9 +12,9 @@
 import type { UserRequestDeps } from './user-request-deps.ts';
 
 /**
- * Takes in users' requests, from users or handed on by another controller. A state that is told is either terminal
- * and durable, or certain in the memory of a leader that holds a valid lease, or read from the store after the
- * request came in: so no answer is older than one that any controller gave before the request. docs/safety.md lists
+ * Handles requests of users, sent to this controller or forwarded by another one. A state in an answer is either
+ * terminal and durable, or certain in the memory of a leader that holds a valid lease, or read from the store after the
+ * request came in. So no answer is older than one that any controller gave before the request. docs/safety.md lists
  * every path.
  */
 export class UserRequests {
@@ -36,7 +36,7 @@
     this.submission.submit(body, reply);
   }
 
-  /** The answer to a poll that needs nobody else, or null. */
+  /** The answer to a poll if this node's memory determines it, else null. */
   pollFromMemory(id: string): Answer | null {
     return this.query.pollFromMemory(id);
   }
@@ -51,7 +51,7 @@
     this.cancellation.cancel(id, reply);
   }
 
-  /** Answers a request that another controller has handed on. */
+  /** Answers a request that another controller has forwarded. */
   onPeerRequest(request: PeerJobRequest, reply: (reply: PeerReply) => void): void {
     const replyWith = (lookup: JobLookup): void => {
       reply(replyFromLookup(lookup));
@@ -75,7 +75,7 @@
     }
   }
 
-  /** What memory tells for certain; null sends the asking controller to the store. */
+  /** The status if this node's memory is certain of it, else null. */
   private lookupIfCertain(id: string): JobLookup | null {
     const known = this.reader.lookupInMemory(id);
     return known.kind === 'found' ? known : null;
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -173,7 +173,7 @@
     return new Archive({
       maxUnarchived: MAX_UNARCHIVED_RECORDS,
       maxMutations: settings.settings.state.txn_ops,
-      isStoreIdle: () => writer.idle,
+      isWriterIdle: () => writer.idle,
       enqueueWrite: (write) => {
         writer.enqueue(write, 'background');
       },
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -184,7 +184,7 @@
   const archive = new Archive({
     maxUnarchived: 1,
     maxMutations: 6,
-    isStoreIdle: () => true,
+    isWriterIdle: () => true,
     enqueueWrite: (job) => pushed.push(job),
     enqueue: (command) => {
       command();
--- a/test/jobs/archive.test.ts
+++ b/test/jobs/archive.test.ts
@@ -27,7 +27,7 @@
   const archive = new Archive({
     maxUnarchived: MAX_UNARCHIVED,
     maxMutations: MAX_MUTATIONS,
-    isStoreIdle: () => !isBusy,
+    isWriterIdle: () => !isBusy,
     enqueueWrite: (write) => queue.push(write),
     enqueue: (command) => {
       command();
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -102,7 +102,7 @@
   return new LeaderWriter({
     onError: failTest,
     host: {
-      compareAndSwap: terminalWrites.trackOutcomes((conditions, mutations, timeoutMs: number) =>
+      compareAndSwap: terminalWrites.trackResults((conditions, mutations, timeoutMs: number) =>
         store.compareAndSwap(controller, conditions, mutations, timeoutMs),
       ),
       readVersion: async (key) => {
--- a/test/jobs/terminal-writes.test.ts
+++ b/test/jobs/terminal-writes.test.ts
@@ -16,7 +16,7 @@
 } {
   const writes = new TerminalWrites(isOutcomeUnconfirmed);
   const send = (result: CompareAndSwapResult, key = KEYS.open(ID)): Promise<CompareAndSwapResult> => {
-    const compareAndSwap = writes.trackOutcomes(() => Promise.resolve(result));
+    const compareAndSwap = writes.trackResults(() => Promise.resolve(result));
     return compareAndSwap([], [{ put: key, value: {} }]);
   };
   return { writes, send };
