--- a/test/jobs/admission.test.ts
+++ b/test/jobs/admission.test.ts
@@ -22,8 +22,8 @@
   return decoded.value;
 }
 
-/** Amounts whose sums are exact. */
-const quarters = (amount: number): number => Math.round(amount * 4) / 4;
+/** Rounds an amount to quarters, whose sums are exact. */
+const roundToQuarters = (amount: number): number => Math.round(amount * 4) / 4;
 
 /** Why a job with these fields can never run, or null. */
 const reasonFor = (overrides: object, catalog: Catalog | null = CATALOG): string | null =>
@@ -46,19 +46,19 @@
     // Each amount fits some type, but no type has them all.
     [{ cores: 32, memGb: 64 }, false],
     [{ cores: 32, accelerators: 1 }, false],
-    // Of allowed types only.
+    // Only allowed types count.
     [{ cores: 32, ovens: ['flat'] }, true],
     [{ cores: 32, ovens: ['big'] }, false],
     [{ ovens: ['no-such', 'big'] }, true],
     [{ ovens: ['no-such'] }, false],
     [{ ovens: [] }, false],
-    // In a zone that has the type.
+    // The zone must have the type.
     [{ yard: 'a' }, true],
     [{ yard: 'c' }, false],
     [{ yard: 'b', ovens: ['flat'] }, true],
     [{ yard: 'a', ovens: ['flat'] }, false],
     [{ yard: 'a', cores: 32 }, false],
-    // On-demand machines of each type can be provisioned: spot is a permission, never a need.
+    // On-demand machines of each type can be provisioned: spot machines are allowed, never required.
     [{ borrowed: false }, true],
   ];
   assertFeasible(cases);
@@ -71,7 +71,7 @@
     [{ shape: 'ensemble', loaves: 5, accelerators: 4 }, false],
     [{ shape: 'ensemble', loaves: 12, cores: 8 }, true],
     [{ shape: 'ensemble', loaves: 13, cores: 8 }, false],
-    // Sixteen, in tenths: sums of decimals are not held against anybody.
+    // 160 times 0.1 is the limit of 16: the rounding error of a decimal sum doesn't rule a job out.
     [{ shape: 'ensemble', loaves: 160, cores: 0.1, accelerators: 0.1 }, true],
   ];
   assertFeasible(cases);
@@ -86,14 +86,14 @@
   assert.equal(reasonFor({ shape: 'ensemble', loaves: 3, apart: true, yard: 'a' }), null);
 });
 
-test("without a catalog the reasons of the team's quota are told, and only those", () => {
+test('without a catalog only the team and its limits are checked', () => {
   assert.notEqual(reasonFor({ shape: 'ensemble', loaves: 5, accelerators: 4 }, null), null);
   assert.equal(findInfeasibility(jobWith({}), undefined, null), 'unknown team');
   assert.equal(reasonFor({ cores: 1000, shape: 'ensemble' }, null) !== null, true);
   assert.equal(reasonFor({ memGb: 1000, ovens: ['no-such'] }, null), null);
 });
 
-test('generated jobs are refused exactly when no type fits or the quota is too small', () => {
+test('a job is infeasible exactly when no allowed machine type fits or the quota is too small', () => {
   fc.assert(
     fc.property(
       validSubmission,
@@ -102,9 +102,9 @@
       (wire, yard, ovens) => {
         const scaled = {
           ...wire,
-          cores: quarters(Number(wire.cores) / 25),
-          memGb: quarters(Number(wire.memGb) / 100),
-          accelerators: quarters(Number(wire.accelerators) / 10),
+          cores: roundToQuarters(Number(wire.cores) / 25),
+          memGb: roundToQuarters(Number(wire.memGb) / 100),
+          accelerators: roundToQuarters(Number(wire.accelerators) / 10),
           loaves: 1 + (Number(wire.loaves) % 12),
           yard,
           ovens,
--- a/test/jobs/archive.test.ts
+++ b/test/jobs/archive.test.ts
@@ -16,7 +16,7 @@
   store: MemoryStore;
   /** Writes that the archive has enqueued. */
   queue: Write[];
-  /** Whether the store has something else to do. */
+  /** Sets whether the writer has other writes. */
   setBusy: (busy: boolean) => void;
 }
 
@@ -39,13 +39,13 @@
   return { archive, store, queue, setBusy };
 }
 
-/** As any controller looks a job up: the record's place first, then the archive. */
+/** Number of done tasks in a job's terminal record, which is looked up under the open key first. */
 function tasksDone({ data }: MemoryStore, id: string): number | undefined {
   const item = data.get(KEYS.open(id)) ?? data.get(KEYS.archived(id));
   return decodeTerminalRecord(item?.value)?.done;
 }
 
-test('old terminal records move when there are many and the store is idle, each in one transaction', () => {
+test('surplus terminal records are archived while the writer is idle, oldest first, each in one transaction', () => {
   const { archive, store, queue, setBusy } = createArchive();
   const queuedWrites = (): number => queue.length;
   const completeJob = (number: number): void => {
@@ -55,11 +55,11 @@
   };
   for (let number = 0; number < MAX_UNARCHIVED; number++) completeJob(number);
   archive.tick();
-  assert.equal(queuedWrites(), 0, 'moved though there are few');
+  assert.equal(queuedWrites(), 0, 'archived although there is no surplus');
   setBusy(true);
   for (let number = MAX_UNARCHIVED; number < JOBS; number++) completeJob(number);
   archive.tick();
-  assert.equal(queuedWrites(), 0, 'moved though the store is busy');
+  assert.equal(queuedWrites(), 0, 'archived although the writer is busy');
   setBusy(false);
   for (let round = 0; round < 60; round++) {
     archive.tick();
@@ -67,7 +67,7 @@
     assert.ok(queuedWrites() <= 1, 'more than one write at once');
     const write = queue.shift();
     if (!write) continue;
-    assert.ok(write.mutations.length < MAX_MUTATIONS, 'no room for the fence key');
+    assert.ok(write.mutations.length < MAX_MUTATIONS, 'no mutation is left for the fence key');
     assert.equal(store.apply([], write.mutations).kind, 'ok');
     write.done();
     for (let number = 0; number < JOBS; number++) assert.equal(tasksDone(store, jobId(number)), number);
@@ -81,7 +81,7 @@
   );
 });
 
-test('a job can not be created again, wherever its terminal record is', () => {
+test('a job with a terminal record can not be created again, before and after the record is archived', () => {
   const store = new MemoryStore();
   const id = jobId(1);
   const create = (): string =>
--- a/test/jobs/bad-submissions.test.ts
+++ b/test/jobs/bad-submissions.test.ts
@@ -20,12 +20,13 @@
 } from './support/user-requests.ts';
 
 const FEASIBLE = { ...JOB, ovens: ['big'], cores: 1, accelerators: 1, memGb: 1, loaves: 2 };
-/** Whether the answer is 422 may depend on the settings alone, or on the machine types too. */
+/** Submissions that get 422 because of the settings alone. */
 const INFEASIBLE_FOR_TEAM = [
   { ...FEASIBLE, crew: 'nobody' },
   { ...FEASIBLE, loaves: 1001 },
   { ...FEASIBLE, shape: 'array', accelerators: 1001 },
 ];
+/** Submissions that get 422 because of the machine types. */
 const INFEASIBLE_ON_MACHINES = [
   { ...FEASIBLE, cores: 500 },
   { ...FEASIBLE, ovens: ['no-such'] },
@@ -38,12 +39,12 @@
 interface Situation {
   /** Records in the state service; null: it doesn't serve this controller. */
   store: Records | null;
-  /** What another controller reads there; null: the state service serves no other one. */
+  /** Records that another controller reads there; null: the state service serves no other controller. */
   peerStore: Records | null;
   catalogKnown: boolean;
 }
 
-/** A store over some records that takes every write and notes its keys. */
+/** A store with the given records that accepts every write and adds its keys to `writtenKeys`. */
 function storeWith(records: Records, writtenKeys: string[]): StoreFake {
   return {
     get: (key) => Promise.resolve(readResult(key, records.get(key))),
@@ -54,7 +55,7 @@
   };
 }
 
-/** What another controller replies that reads these records. */
+/** The reply of another controller that reads these records. */
 function peerReply(records: Records | null, request: PeerRequest): PeerReply | null {
   if (!records || request.kind !== 'lookup') return null;
   if (!records.has(KEYS.open(request.jobId))) return { kind: 'notFound' };
@@ -90,7 +91,7 @@
   { store: null, peerStore: new Map(), catalogKnown: false },
 ];
 
-test('a malformed submission gets 400 and nothing is written, wherever its id can be looked up', async () => {
+test('a malformed submission gets 400 and nothing is written, whichever controller looks its id up', async () => {
   await fc.assert(
     fc.asyncProperty(
       malformedSubmission,
@@ -106,7 +107,7 @@
   );
 });
 
-test('a submission that can never run gets 422; only for machines must their types be known', async () => {
+test('an infeasible submission gets 422, for which only the check against machines needs the machine types', async () => {
   for (const situation of SITUATIONS_WITH_LOOKUP) {
     const bodies = situation.catalogKnown
       ? [...INFEASIBLE_FOR_TEAM, ...INFEASIBLE_ON_MACHINES]
@@ -127,7 +128,7 @@
 });
 
 test('a submission is idempotent: an accepted job is answered with its state, whatever else is sent', async () => {
-  // A 400 or 422 there would call an accepted job forgotten.
+  // A 400 or 422 would tell the user that an accepted job is lost.
   await fc.assert(
     fc.asyncProperty(
       malformedSubmission,
@@ -147,7 +148,7 @@
   );
 });
 
-test('a submission whose id no controller can look up is neither accepted nor refused for good', async () => {
+test('a submission whose id no controller can look up gets 503, and 400 only if it has no id', async () => {
   for (const catalogKnown of [true, false]) {
     const situation = { store: null, peerStore: null, catalogKnown };
     const bodies = [...INFEASIBLE_FOR_TEAM, ...INFEASIBLE_ON_MACHINES, { ...FEASIBLE, loaves: 0 }];
--- a/test/jobs/consistency.test.ts
+++ b/test/jobs/consistency.test.ts
@@ -22,7 +22,7 @@
 
 const JOBS = 4;
 const LAST_STEP_MS = 15_000;
-/** Late transactions are carried out at most 12 s after they were sent. */
+/** Late transactions are applied at most 12 s after they were sent. */
 const END_MS = 40_000;
 
 const node = fc.nat(CONTROLLER_COUNT - 1);
@@ -51,9 +51,9 @@
   seed: fc.integer({ min: 1, max: 2 ** 31 }),
   faults: fc.record({
     answerLost: chanceUpTo(0.6),
-    late: chanceUpTo(0.3),
+    appliedLate: chanceUpTo(0.3),
     refused: chanceUpTo(0.2),
-    slow: chanceUpTo(0.3),
+    answerSlow: chanceUpTo(0.3),
     peersSlow: chanceUpTo(0.3),
   }),
   steps: fc.array(fc.record({ atMs: fc.integer({ min: 0, max: LAST_STEP_MS }), step: anyStep }), {
@@ -113,7 +113,7 @@
       }),
       { ...PROPERTY_OPTIONS, includeErrorInReport: true },
     );
-    // The interleavings did something: jobs were accepted, done, cancelled and polled before they were submitted.
+    // The scenarios cover all cases: jobs were accepted, completed, cancelled, and polled before their submission.
     assert.ok(
       counts.open > 5000 && counts.done > 1000 && counts.aborted > 1000 && counts.unknown > 50,
       JSON.stringify(counts),
@@ -129,10 +129,10 @@
     }),
     PROPERTY_OPTIONS,
   );
-  assert.ok(checked.failed, 'the history must show that the guard is away');
+  assert.ok(checked.failed, 'the history must show that unconfirmed terminal writes are not checked');
 });
 
-/** A leader, and job 1 that was accepted a second after the start. */
+/** Controllers with a leader and with job 1, which was submitted a second after the start. */
 async function controllersWithAcceptedJob(): Promise<Controllers> {
   const controllers = new Controllers(SEED, NO_FAULTS);
   controllers.elect(0);
@@ -142,14 +142,14 @@
   return controllers;
 }
 
-/** The stage that the user was told, or the status of the refusal. */
+/** The stage in the answer to the user, or the HTTP status of a refusal. */
 function outcomeOf({ answer }: UserRequest): unknown {
   if (!answer) return 'no answer';
   return answer.status === 200 ? stageIn(answer) : String(answer.status);
 }
 
-test('while the answer to its terminal write is lost, every controller answers for a cancelled job from the store', async () => {
-  // The leader once told `pending` from its memory while another controller told `aborted` from the store.
+test('while the result of its terminal write is unknown, every controller answers for a cancelled job from the store', async () => {
+  // Otherwise the leader answers `pending` from memory while another controller answers `aborted` from the store.
   const controllers = await controllersWithAcceptedJob();
   controllers.faults = { ...NO_FAULTS, answerLost: 1 };
   const cancellation = controllers.request(1, 'cancel', 1);
@@ -162,7 +162,7 @@
   assert.deepEqual(controllers.history.violations, []);
 });
 
-test('while the store refuses all calls, a poll for a job whose terminal state may be written is refused at once', async () => {
+test('while the store refuses all calls, a poll for a job whose terminal write is in doubt is refused at once', async () => {
   const controllers = await controllersWithAcceptedJob();
   controllers.faults = { ...NO_FAULTS, answerLost: 1 };
   controllers.request(0, 'cancel', 1);
@@ -174,8 +174,8 @@
   assert.equal(poll.answer?.retryAfterS, 1);
 });
 
-test('a terminal write that the store has only ever refused is not in doubt, and its job stays open', async () => {
-  // Else every poll for it would be refused for as long as an outage lasts, while others are answered.
+test('a terminal write that the store has refused every time is not in doubt, and its job stays open', async () => {
+  // Otherwise polls for the job are refused as long as an outage lasts, while polls for other jobs are answered.
   const controllers = await controllersWithAcceptedJob();
   controllers.faults = { ...NO_FAULTS, refused: 1 };
   controllers.request(0, 'cancel', 1);
--- a/test/jobs/job.test.ts
+++ b/test/jobs/job.test.ts
@@ -5,7 +5,7 @@
 import { decodeJob } from '../../src/wire/user.ts';
 import { JOB } from '../wire/sample.ts';
 
-/** A job array of so many tasks, as the leader of an empty cluster knows it. */
+/** A job array of `tasks` tasks, all of them pending. */
 function jobArray(tasks: number): Job {
   const decoded = decodeJob(JSON.stringify({ ...JOB, shape: 'array', samePlace: false, loaves: tasks }));
   assert.ok(decoded.ok);
@@ -34,14 +34,14 @@
   assert.equal(job.markDone(job.spec.tasks), false, 'there is no such task');
 });
 
-test('a wait begins anew when the first task is requeued', () => {
+test('the waiting time starts anew when the first task is requeued', () => {
   const job = jobArray(2);
   const tasks = [job.takePending(), job.takePending()];
   for (const [index, task] of tasks.entries()) job.requeue(task, 100 + index);
   assert.equal(job.waitingSince, 100);
 });
 
-test('only tasks whose completion is durable are told as done, until the job is terminal', () => {
+test('the status counts only tasks whose completion is durable as done, until the job is terminal', () => {
   const job = jobArray(3);
   job.markDone(0);
   job.runningCount = 1;
--- a/test/jobs/polls.test.ts
+++ b/test/jobs/polls.test.ts
@@ -26,11 +26,11 @@
   { minLength: 1, maxLength: 200 },
 );
 
-/** The differences between neighbours. */
+/** The differences between successive times. */
 const intervals = (times: readonly number[]): number[] =>
   times.slice(1).map((at, index) => at - required(times[index], 'the time before'));
 
-/** Reads of a value that changes with time: each returns when it was carried out. */
+/** Shared reads of a value that changes with time: each read returns the simulated time of its start. */
 function sharedReads(sim: Sim, reads: StartedRead[], durationMs: () => number): SharedReads<number, Urgency> {
   return new SharedReads({
     now: () => sim.at,
@@ -47,8 +47,8 @@
   });
 }
 
-test('a shared read starts after every request that shares it, and reads of one key keep their interval', async () => {
-  // A request that joined a read in flight could be told what was true before it came in.
+test('a shared read starts after every request that shares it, and reads of one key keep the minimum interval', async () => {
+  // A request that joins a read in flight could get a value from before the request came in.
   await fc.assert(
     fc.asyncProperty(anyPolls, fc.integer({ min: 1, max: 2000 }), async (polls, maxDurationMs) => {
       const sim = new Sim(SEED);
@@ -60,11 +60,8 @@
           const requestedAt = sim.at;
           void shared.get(`job ${job}`, 'poll').then((readAt) => {
             answered += 1;
-            assert.ok(readAt >= requestedAt, 'told from a read that had started before');
-            assert.ok(
-              readAt <= requestedAt + MIN_READ_INTERVAL_MS,
-              'kept waiting for longer than the interval',
-            );
+            assert.ok(readAt >= requestedAt, 'answered from a read that had started before the request');
+            assert.ok(readAt <= requestedAt + MIN_READ_INTERVAL_MS, 'waited for longer than the interval');
           });
         });
       }
@@ -74,7 +71,7 @@
         const times = reads.filter((read) => read.key === key).map((read) => read.at);
         for (const interval of intervals(times)) assert.ok(interval >= MIN_READ_INTERVAL_MS);
       }
-      assert.equal(shared.recentKeyCount, 0, 'nothing is remembered of keys that nobody reads');
+      assert.equal(shared.recentKeyCount, 0, 'keys that are no longer read are still stored');
     }),
     { seed: SEED, numRuns: 30 },
   );
@@ -120,7 +117,7 @@
   });
 }
 
-/** `done` carries when the leader was asked, `running` which job was meant. */
+/** Each answer carries the time of the batch in `done` and the job's number in `running`. */
 const answersOf = (batch: SentBatch): PollAnswer[] =>
   batch.jobIds.map((id) => ({
     kind: 'status',
@@ -130,7 +127,7 @@
     running: Number(id),
   }));
 
-test('each poll of a batch gets the answer for its own job, asked after it came in', async () => {
+test('each poll gets the answer for its own job, from a batch that was sent after the poll came in', async () => {
   await fc.assert(
     fc.asyncProperty(anyPolls, fc.integer({ min: 1, max: 600 }), async (polls, maxDurationMs) => {
       const sim = new Sim(SEED);
@@ -161,7 +158,7 @@
   );
 });
 
-test('without an answer every poll of a batch is told so, and no batch grows without bound', async () => {
+test('every poll of a batch that the leader does not answer gets null, and the size of a batch is bounded', async () => {
   const sim = new Sim(SEED);
   const batches: SentBatch[] = [];
   const batcher = pollBatcher(sim, batches, () => Promise.resolve(null));
@@ -177,7 +174,7 @@
   assert.ok(batches.every((batch) => batch.jobIds.length <= MAX_BATCH_JOBS));
 });
 
-test('a job whose lookup takes a while does not hold up the other answers of its batch', () => {
+test('a slow lookup of one job does not delay the other answers of its batch', () => {
   const lateReplies: ((answer: PollAnswer) => void)[] = [];
   const answers = answerBatch(['a', 'slow', 'b'], (id, reply) => {
     if (id === 'slow') lateReplies.push(reply);
--- a/test/jobs/start-watermarks.test.ts
+++ b/test/jobs/start-watermarks.test.ts
@@ -9,7 +9,7 @@
 
 const PAGE_BYTES = 400;
 
-/** A store that takes writes in order when told to; a value is taken when it is sent, and durable later. */
+/** A store that sends and confirms queued writes on request: a value is built when sent, durable when confirmed. */
 class SlowStore {
   readonly pages = new Map<string, unknown>();
   private readonly queue: DeferredWrite[] = [];
@@ -38,7 +38,7 @@
     write.done();
   }
 
-  /** Sends and confirms whatever waits. */
+  /** Sends and confirms all queued writes. */
   flush(): void {
     while (this.queue.length > 0 || this.inFlight) {
       this.send();
@@ -63,7 +63,7 @@
   });
 }
 
-/** What a leader that takes over now would restore. */
+/** The watermarks that a new leader would restore now. */
 function durableWatermarks(store: SlowStore): Map<string, number> {
   return createWatermarks(new SlowStore()).restore(
     store.items(),
@@ -86,13 +86,13 @@
   },
 );
 
-/** Leaders one after the other over one store, and what each of them may count on. */
+/** Successive leaders over one store, and the watermarks that were confirmed to them. */
 class WatermarkModel {
   private readonly store = new SlowStore();
   private watermarks = createWatermarks(this.store);
   private term = 0;
   private readonly requested = new Map<string, number>();
-  /** Watermarks that the leader was told are durable. */
+  /** Watermarks that were confirmed to a leader as durable. */
   private readonly confirmed = new Map<string, number>();
   private readonly completed = new Set<string>();
 
@@ -111,7 +111,7 @@
         this.store.confirm();
         return;
       case 'failover':
-        // Rarer than the others.
+        // Failovers are rarer than the other operations.
         if (number === 0) this.failOver();
     }
   }
@@ -169,7 +169,7 @@
   );
 });
 
-test('all jobs that start together cost one change, and completed jobs leave the page with the next', () => {
+test('jobs that start together share one write, and the next write of the page removes completed jobs', () => {
   const store = new SlowStore();
   const watermarks = createWatermarks(store);
   for (let number = 0; number < 9; number++) watermarks.raise(jobId(number), 1, () => undefined);
@@ -183,7 +183,7 @@
   assert.deepEqual([...durableWatermarks(store).keys()].sort(), [jobId(8), jobId(20)]);
 });
 
-test('a page that cannot be read makes this and every later leader take all tasks for started', () => {
+test('a page that cannot be read makes this and every later leader assume that all tasks may have been started', () => {
   const store = new SlowStore();
   store.pages.set('b/0', { b: 'damaged' });
   store.pages.set('b/2', { b: [[jobId(1), 3]] });
--- a/test/jobs/support/answer-history.ts
+++ b/test/jobs/support/answer-history.ts
@@ -3,10 +3,10 @@
 
 export type RequestKind = 'submit' | 'poll' | 'cancel';
 
-/** How far a job is, as an answer tells it; no answer may be behind an earlier one. */
+/** Progress of a job according to an answer; no answer may be behind an earlier one. */
 export type Stage = 'unknown' | 'open' | 'done' | 'aborted';
 
-const RANK: Record<Stage, number> = { unknown: 0, open: 1, done: 2, aborted: 2 };
+const STAGE_RANK: Record<Stage, number> = { unknown: 0, open: 1, done: 2, aborted: 2 };
 const TERMINAL_RANK = 2;
 
 /** A user's request and, once it is there, the answer. */
@@ -19,7 +19,7 @@
   answer: Answer | null;
 }
 
-/** The stage that an answer tells, or null if it tells none. */
+/** The stage in an answer, or null if it has none. */
 function stageOf(answer: Answer): Stage | null {
   if (answer.status === 404) return 'unknown';
   if (answer.status !== 200 && answer.status !== 201) return null;
@@ -27,15 +27,15 @@
   return stage === 'done' || stage === 'aborted' ? stage : 'open';
 }
 
-/** The history of all answers, and what was wrong with them. */
+/** The answers so far, and the violations found in them. */
 export class AnswerHistory {
   readonly violations: string[] = [];
-  /** How often each stage was told. */
+  /** How many answers had each stage. */
   readonly counts: Record<Stage, number> = { unknown: 0, open: 0, done: 0, aborted: 0 };
   private readonly newest = new Map<number, Stage>();
   private readonly cancelRequested = new Set<number>();
 
-  /** The furthest stage that was told of a job. */
+  /** The most advanced stage in all answers about a job. */
   newestStage(job: number): Stage {
     return this.newest.get(job) ?? 'unknown';
   }
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Records an answer at a time in simulated milliseconds. `before` is the newest stage as its request was sent.
-   * Returns whether the answer told something new.
+   * Records an answer. `before`: the newest stage when its request was sent. `at`: time of the answer in simulated ms.
+   * Returns whether the answer advanced the newest stage.
    */
   recordAnswer(request: UserRequest, answer: Answer, before: Stage, at: number): boolean {
     const stage = stageOf(answer);
@@ -57,18 +57,19 @@
         `job ${request.job} at ${Math.round(request.at)} (${request.kind}) of ${request.node}: ${violation}`,
       );
     }
-    if (RANK[stage] <= RANK[this.newestStage(request.job)]) return false;
+    if (STAGE_RANK[stage] <= STAGE_RANK[this.newestStage(request.job)]) return false;
     this.newest.set(request.job, stage);
     return true;
   }
 
   private violationsOf({ kind, job }: UserRequest, stage: Stage, before: Stage, at: number): string[] {
     const violations: string[] = [];
-    const otherOutcome = RANK[stage] === TERMINAL_RANK && RANK[before] === TERMINAL_RANK && stage !== before;
-    if (RANK[stage] < RANK[before] || otherOutcome) {
+    const otherOutcome =
+      STAGE_RANK[stage] === TERMINAL_RANK && STAGE_RANK[before] === TERMINAL_RANK && stage !== before;
+    if (STAGE_RANK[stage] < STAGE_RANK[before] || otherOutcome) {
       violations.push(`was ${before}, then ${stage} at ${Math.round(at)}`);
     }
-    if (kind === 'cancel' && stage === 'open') violations.push('cancelled, and told it is open');
+    if (kind === 'cancel' && stage === 'open') violations.push('cancelled, but answered as open');
     if (stage === 'aborted' && !this.cancelRequested.has(job)) violations.push('cancelled without a request');
     return violations;
   }
--- a/test/jobs/support/controllers.ts
+++ b/test/jobs/support/controllers.ts
@@ -25,19 +25,19 @@
 import { failTest } from '../../helpers.ts';
 
 export const CONTROLLER_COUNT = 3;
-/** Without renewal the leader key is gone after this time; the leader counts the margin less. */
+/** Lifetime of the leader key without renewal; the leader's own lease ends earlier by the margin. */
 const LEASE_MS = 3000;
 const LEASE_MARGIN_MS = 100;
 const ELECTION_RETRY_MS = 100;
 const MAX_REQUESTS = 4000;
-/** When users ask again once something new was told. */
+/** Delays after which users ask again once an answer advanced the newest stage. */
 const FOLLOW_UP_MS = [1, 5, 40, 200, 700, 1500, 3000];
 const HEARTBEAT_MS = 400;
 const LAST_HEARTBEAT_MS = 60_000;
 
 /**
- * Three controllers with the real users' side, leader and writer over one shared state service, in simulated time.
- * Every answer is compared with those that were given before its request was sent.
+ * Three controllers with the real handling of user requests, the real leader and writer, and one shared state service,
+ * in simulated time. Every answer is compared with those that were given before its request was sent.
  */
 export class Controllers {
   readonly sim: Sim;
@@ -49,7 +49,7 @@
   private requestCount = 0;
   private heartbeatSequence = 0;
 
-  /** `trustMemory`: takes the guard away, a leader tells its memory even while a terminal state is being written. */
+  /** `trustMemory`: a leader doesn't check for unconfirmed terminal writes and answers from its memory all the same. */
   constructor(
     seed: number,
     public faults: FaultRates,
@@ -83,7 +83,7 @@
     controller.runAfter(this.sim.between(0, 2), () => {
       const reply: Reply = (answer) => {
         request.answer = answer;
-        if (this.history.recordAnswer(request, answer, before, this.sim.at)) this.followUp(job);
+        if (this.history.recordAnswer(request, answer, before, this.sim.at)) this.scheduleFollowUps(job);
       };
       const { userRequests } = controller;
       if (kind === 'submit') userRequests.submit(sampleSubmission(jobId(job)), reply);
@@ -93,8 +93,8 @@
     return request;
   }
 
-  /** Users ask all controllers, within milliseconds and for a while, once something new was told. */
-  private followUp(job: number): void {
+  /** Users ask all controllers again, within milliseconds and for some seconds, after the newest stage advanced. */
+  private scheduleFollowUps(job: number): void {
     if (this.requestCount > MAX_REQUESTS) return;
     for (const { index } of this.controllers) {
       for (const afterMs of FOLLOW_UP_MS) {
@@ -158,7 +158,7 @@
 
   // ---- leadership ----
 
-  /** Lets a controller lead, once nobody's lease is left; the others learn of it a little later. */
+  /** Makes a controller the leader once the leader key is free; the other controllers learn of it a little later. */
   elect(node: number): void {
     const controller = this.at(node);
     const isSameProcess = controller.createProcessCheck();
@@ -184,7 +184,10 @@
     }
   }
 
-  /** The leader's lease expires: it knows that in time, and finds the key gone up to a second later. */
+  /**
+   * Lets the leader's lease expire: the leader stops relying on it in time, and steps down up to a second after the
+   * leader key is gone.
+   */
   expireLease(): void {
     const leaderKey = this.state.data.get(KEYS.leader);
     if (!leaderKey) return;
@@ -205,7 +208,7 @@
 
   // ---- the worker ----
 
-  /** Heartbeats report all tasks of a job as done to whoever leads, until users are told of a terminal state. */
+  /** Sends the leader heartbeats that report all tasks of a job as done, until an answer has a terminal state. */
   complete(job: number): void {
     const controller = this.controllers.find(({ leader }) => leader);
     const known = controller?.leader?.lookup(jobId(job));
--- a/test/jobs/support/fault-rates.ts
+++ b/test/jobs/support/fault-rates.ts
@@ -1,15 +1,21 @@
-/** Chances by which the state service and the network misbehave, each per call. */
+/** Probabilities of faults of the state service and the network, each per call. */
 export interface FaultRates {
-  /** A transaction is carried out and its answer lost. */
+  /** A transaction is applied, and its answer is lost. */
   answerLost: number;
-  /** A transaction is carried out seconds later; its answer is lost. */
-  late: number;
+  /** A transaction is applied seconds later, and its answer is lost. */
+  appliedLate: number;
   /** The state service refuses a call. */
   refused: number;
-  /** An answer of the state service comes late, up to beyond the time-out. */
-  slow: number;
-  /** A message between controllers comes late, up to beyond the time-out. */
+  /** An answer of the state service comes late, possibly after the timeout. */
+  answerSlow: number;
+  /** A message between controllers comes late, possibly after the timeout. */
   peersSlow: number;
 }
 
-export const NO_FAULTS: FaultRates = { answerLost: 0, late: 0, refused: 0, slow: 0, peersSlow: 0 };
+export const NO_FAULTS: FaultRates = {
+  answerLost: 0,
+  appliedLate: 0,
+  refused: 0,
+  answerSlow: 0,
+  peersSlow: 0,
+};
--- a/test/jobs/support/leaderless-write.ts
+++ b/test/jobs/support/leaderless-write.ts
@@ -2,7 +2,7 @@
 import type { KeyValueStore } from '../../../src/store/key-value-store.ts';
 import { KEYS } from '../../../src/store/keys.ts';
 
-/** A leaderless write; the store decides whether there is a leader when the transaction arrives. */
+/** A leaderless write; the store checks that there is no leader when the transaction arrives. */
 export function leaderlessWrite(store: Pick<KeyValueStore, 'compareAndSwap'>): LeaderlessWrite {
   return {
     term: 0,
--- a/test/jobs/support/peer-network.ts
+++ b/test/jobs/support/peer-network.ts
@@ -4,7 +4,7 @@
 import type { FaultRates } from './fault-rates.ts';
 import type { SimulatedController } from './simulated-controller.ts';
 
-/** As a controller answers another one. */
+/** Answers a request of another controller, as a controller does. */
 function answerPeer(
   { userRequests }: SimulatedController,
   request: PeerRequest,
@@ -28,7 +28,7 @@
   reply({ kind: 'pollAnswers', answers: answerBatch(request.jobIds, answerOne) });
 }
 
-/** Messages between controllers, some of them slow. */
+/** The network between controllers, on which some messages are slow. */
 export class PeerNetwork {
   constructor(
     private readonly sim: Sim,
@@ -36,7 +36,7 @@
     private readonly faults: () => FaultRates,
   ) {}
 
-  /** null: no answer within the time. */
+  /** Sends a request to a controller; null: no answer within `timeoutMs`. */
   call(
     from: SimulatedController,
     to: SimulatedController,
@@ -57,14 +57,14 @@
     });
   }
 
-  /** null: this controller leads or knows of no leader, or there is no answer. */
+  /** Asks the leader; null: this controller leads or knows of no leader, or there is no answer. */
   callLeader(from: SimulatedController, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     const leader = this.controllers.find(({ index }) => index === from.knownLeader);
     if (!leader || leader === from) return Promise.resolve(null);
     return this.call(from, leader, request, timeoutMs);
   }
 
-  /** The first answer that is of use; null: there is none. */
+  /** Asks all other controllers and returns the first usable answer; null: there is none. */
   async callOthers(
     from: SimulatedController,
     request: PeerRequest,
--- a/test/jobs/support/simulated-controller.ts
+++ b/test/jobs/support/simulated-controller.ts
@@ -11,7 +11,7 @@
   leaseValidUntil: number;
 }
 
-/** One controller's process in simulated time: it hangs, and it restarts with nothing in its memory. */
+/** One controller's process in simulated time, which can hang, and can restart with an empty memory. */
 export class SimulatedController {
   knownLeader: number | null = null;
   held: HeldLeadership | null = null;
@@ -28,7 +28,7 @@
     this.userRequests = createUserRequests(this);
   }
 
-  /** Runs something in the process after a time: later if it hangs then, never if it restarts before. */
+  /** Calls `run` in the process after a time: later if the process hangs then, never if it restarts before. */
   runAfter(afterMs: number, run: () => void): void {
     const isSameProcess = this.createProcessCheck();
     this.sim.after(afterMs, () => {
@@ -38,7 +38,7 @@
     });
   }
 
-  /** A check whether the process is still the one of now. */
+  /** Returns a function that tells whether the process has not been restarted since this call. */
   createProcessCheck(): () => boolean {
     const { restarts } = this;
     return () => this.restarts === restarts;
@@ -48,7 +48,7 @@
     this.hungUntil = Math.max(this.hungUntil, this.sim.at + ms);
   }
 
-  /** Its memory is gone, and it is back at once; the leader key stays until its lease expires. */
+  /** Restarts the process at once with an empty memory; the leader key stays until its lease expires. */
   restart(): void {
     this.restarts += 1;
     this.hungUntil = 0;
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -22,7 +22,7 @@
   sim: Sim;
   state: StateModel;
   store: UnreliableStateService;
-  /** Takes the guard away: the leader tells its memory even of a job whose terminal state is being written. */
+  /** The leader doesn't check for unconfirmed terminal writes and answers from its memory all the same. */
   trustMemory: boolean;
 }
 
@@ -36,7 +36,7 @@
   list: () => Promise.resolve(null),
 };
 
-/** Nothing is placed here: the tests' own machine runs what is to be done. */
+/** Options under which the leader places and rents nothing: the tests report the tasks by heartbeats of their own. */
 function optionsWithoutPlacement(): Options {
   const options = defaultOptions();
   options.scheduling.takeover_wait_s = 1e6;
@@ -44,7 +44,7 @@
   return options;
 }
 
-/** Lets a controller lead with the leadership that it holds. */
+/** Starts the leader of a controller that holds the leader key. */
 export function startLeader(
   environment: LeaderEnvironment,
   controller: SimulatedController,
@@ -122,7 +122,7 @@
   });
 }
 
-/** The records are listed, and restored when the answer is there; later changes are passed on in their order. */
+/** Lists the records, restores them when the answer arrives, and forwards later changes in their order. */
 function recover(
   { sim, state }: LeaderEnvironment,
   controller: SimulatedController,
--- a/test/jobs/support/unreliable-state-service.ts
+++ b/test/jobs/support/unreliable-state-service.ts
@@ -8,7 +8,7 @@
 const READ_TIMEOUT_MS = 1500;
 const WRITE_TIMEOUT_MS = 2000;
 
-/** The state service as controllers reach it: calls are refused, answered late or never, or carried out late. */
+/** The state service as controllers see it: calls are refused, answered late or never, or applied late. */
 export class UnreliableStateService {
   constructor(
     private readonly sim: Sim,
@@ -31,37 +31,37 @@
     mutations: readonly Mutation[],
     timeoutMs = WRITE_TIMEOUT_MS,
   ): Promise<CompareAndSwapResult> {
-    const late = this.sim.chance(this.faults().late);
-    const answerLost = late || this.sim.chance(this.faults().answerLost);
-    const carryOut = (): CompareAndSwapResult => this.state.apply(conditions, mutations);
+    const appliedLate = this.sim.chance(this.faults().appliedLate);
+    const answerLost = appliedLate || this.sim.chance(this.faults().answerLost);
+    const execute = (): CompareAndSwapResult => this.state.apply(conditions, mutations);
     const result = await this.call(caller, timeoutMs, () => {
-      if (!late) return carryOut();
-      this.sim.after(this.sim.between(2000, 12_000), carryOut);
+      if (!appliedLate) return execute();
+      this.sim.after(this.sim.between(2000, 12_000), execute);
       return null;
     });
     if (result === 'refused' || result === 'unknown') return { kind: result };
     if (result !== null && !answerLost) return result;
-    // No answer comes: the time-out is what ends the wait.
+    // No answer comes: the wait ends with the timeout.
     await new Promise<void>((resolve) => {
       caller.runAfter(timeoutMs, resolve);
     });
     return { kind: 'unknown' };
   }
 
-  /** A call: it arrives, is carried out, and its answer comes back, late, or never. */
+  /** Simulates a call: it arrives, is refused or executed, and its answer comes back, possibly after the timeout. */
   private call<T>(
     caller: SimulatedController,
     timeoutMs: number,
-    carryOut: () => T,
+    execute: () => T,
   ): Promise<T | 'refused' | 'unknown'> {
     return new Promise((resolve) => {
       caller.runAfter(timeoutMs, () => {
         resolve('unknown');
       });
       this.sim.after(this.sim.between(1, 8), () => {
-        const { refused, slow } = this.faults();
-        const result = this.sim.chance(refused) ? 'refused' : carryOut();
-        const backMs = this.sim.chance(slow) ? this.sim.between(100, 2500) : this.sim.between(1, 8);
+        const { refused, answerSlow } = this.faults();
+        const result = this.sim.chance(refused) ? 'refused' : execute();
+        const backMs = this.sim.chance(answerSlow) ? this.sim.between(100, 2500) : this.sim.between(1, 8);
         caller.runAfter(backMs, () => {
           resolve(result);
         });
--- a/test/jobs/support/user-requests.ts
+++ b/test/jobs/support/user-requests.ts
@@ -1,4 +1,4 @@
-/** The users' side of a controller over fakes, and requests to it. */
+/** The handling of user requests over fakes, and functions that send requests to it. */
 import { defaultOptions } from '../../../src/config/options.ts';
 import { Catalog } from '../../../src/fleet/catalog.ts';
 import type { Answer, Reply } from '../../../src/http/server.ts';
@@ -29,7 +29,7 @@
   return JSON.stringify({ ...JOB, uid: id });
 }
 
-/** A controller that follows, knows of no leader and reaches no other controller, unless `overrides` say so. */
+/** A follower that knows of no leader and reaches no other controller, unless `overrides` replace these parts. */
 export function createUserRequests(
   store: StoreFake,
   overrides: Partial<Omit<UserRequestDeps, 'store'>> = {},
@@ -51,7 +51,7 @@
   });
 }
 
-/** What a read of a key returns that holds the value, or that doesn't exist. */
+/** Result of a read of a key that holds `value`, or that doesn't exist if that is undefined. */
 export function readResult(key: string, value: unknown): StoreResult<Item | null> {
   return { kind: 'ok', value: value === undefined ? null : { key, value, version: 1, lease: null } };
 }
@@ -84,7 +84,7 @@
   });
 }
 
-/** The stage that an answer tells, as users see it. */
+/** The stage in an answer, as users see it. */
 export function stageIn({ body }: Answer): unknown {
   return (JSON.parse(body) as { stage?: string }).stage;
 }
--- a/test/jobs/terminal-writes.test.ts
+++ b/test/jobs/terminal-writes.test.ts
@@ -9,7 +9,7 @@
 const REFUSED: CompareAndSwapResult = { kind: 'refused' };
 const UNKNOWN: CompareAndSwapResult = { kind: 'unknown' };
 
-/** Terminal writes of a leader, and a way to send one for job 1 that comes to a given result. */
+/** Tracked terminal writes of a leader, and a function that sends one for job 1 with a given result. */
 function createTerminalWrites(isOutcomeUnconfirmed: (id: string) => boolean = () => true): {
   writes: TerminalWrites;
   send: (result: CompareAndSwapResult, key?: string) => Promise<CompareAndSwapResult>;
@@ -22,7 +22,7 @@
   return { writes, send };
 }
 
-test('a terminal write in flight may be carried out; one that was always refused was not', async () => {
+test('a terminal write in flight may be in the store; one that was refused every time is not', async () => {
   const { writes, send } = createTerminalWrites();
   assert.equal(writes.mayBeWritten(ID), false);
   const firstAttempt = send(REFUSED);
@@ -40,7 +40,7 @@
   assert.equal(writes.mayBeWritten(ID), false);
 });
 
-test('a conflict leaves a terminal write in doubt: an earlier copy of it may be what it met', async () => {
+test('a conflict leaves a terminal write in doubt, because an earlier attempt of it may be the cause', async () => {
   const { writes, send } = createTerminalWrites();
   await send({ kind: 'conflict', failed: [KEYS.fence] });
   assert.equal(writes.mayBeWritten(ID), true);
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -30,7 +30,7 @@
 /** How long users wait for an answer. */
 const USER_TIMEOUTS = { pollMs: 2000 };
 
-/** A controller without a leader over a store whose calls take a given time, on the controller's own clock. */
+/** A controller that knows of no leader; each call to its store takes `ms` on the controller's clock. */
 function withSlowStore(records: Record<string, unknown>, ms: number): UserRequests {
   const clock = new FakeClock();
   const store: StoreFake = {
@@ -47,7 +47,7 @@
   return createUserRequests(store, { clock });
 }
 
-/** A controller that the state service refuses alone and that knows of no leader. */
+/** A controller that knows of no leader and is refused by the state service, but reaches other controllers. */
 function refusedByStore(answerOfPeers: (request: PeerRequest) => PeerReply | null): {
   userRequests: UserRequests;
   peerRequests: PeerRequest[];
@@ -62,8 +62,8 @@
   return { userRequests, peerRequests };
 }
 
-test('a controller that the state service refuses alone answers with the help of the others', async () => {
-  // Its users' polls were once refused for as long as it was, while those of other nodes were answered.
+test('a controller that alone is refused by the state service answers through the other controllers', async () => {
+  // Otherwise its users' polls are refused for as long as it is, while those on other nodes are answered.
   const running = { kind: 'status', created: false, stage: 'running', done: 1, running: 2 } as const;
   const cancelled = { ...running, stage: 'cancelled', running: 0 } as const;
   const { userRequests, peerRequests } = refusedByStore((request) => {
@@ -84,7 +84,7 @@
   );
 });
 
-test('a job is not found only if a controller read the store and found nothing; else the answer is 503 at once', async () => {
+test('a poll gets 404 only if a controller read the store and found no record, and otherwise 503 at once', async () => {
   const notFound = refusedByStore(() => ({ kind: 'notFound' }));
   assert.equal((await poll(notFound.userRequests, jobId(2))).status, 404);
   const unavailable = refusedByStore(() => null);
@@ -93,8 +93,8 @@
   assert.ok((refusal.retryAfterS ?? 0) >= 1);
 });
 
-test('an answer from a read that took long is refused unless it is a terminal state', async () => {
-  // Meanwhile another controller may have told the user something newer.
+test('the result of a slow read is refused unless it is a terminal state', async () => {
+  // During the read another controller may have given the user a newer answer.
   assert.ok(MAX_LOOKUP_AGE_MS < USER_TIMEOUTS.pollMs, 'users wait for 2 s');
   const tooLate = MAX_LOOKUP_AGE_MS + 1;
   const open = { [KEYS.open(ID)]: OPEN_RECORD };
@@ -105,7 +105,7 @@
   assert.equal((await poll(withSlowStore(archived, tooLate), ID)).status, 200);
 });
 
-test('a submission that was carried out but answered late is looked up before it is answered', async () => {
+test('a submission whose write was confirmed late is looked up before it is answered', async () => {
   const body = JSON.stringify(JOB);
   assert.equal((await submit(withSlowStore({}, 10), body)).status, 201);
   const archived = { [KEYS.archived(JOB.uid)]: { s: 'cancelled', n: 0 } };
@@ -119,7 +119,7 @@
   assert.equal((await cancel(userRequests, ID)).status, 503);
 });
 
-test('what was read in one term brings no job back in the next one of the same controller', async () => {
+test('an open record that was read in one term is not passed to the leader of a later term', async () => {
   // Another controller may have led in between and ended the job.
   let term = 1;
   const observed: string[] = [];
@@ -141,7 +141,7 @@
   assert.deepEqual(observed, []);
 });
 
-/** A follower that the state service serves, with no leader to ask. */
+/** A follower that reaches the state service and knows of no leader. */
 function follower(
   store: MemoryStore,
   submissionsPerSecond = 5,
@@ -164,14 +164,14 @@
 const submitJob = (userRequests: UserRequests, number: number): Promise<Answer> =>
   submit(userRequests, sampleSubmission(jobId(number)));
 
-test('a terminal state replaces the open record, and is told wherever it is moved later', async () => {
+test('a terminal state replaces the open record, and is found before and after it is archived', async () => {
   const store = new MemoryStore();
   const { userRequests } = follower(store);
   assert.equal((await submitJob(userRequests, 1)).status, 201);
   assert.equal(stageIn(await poll(userRequests, ID)), 'pending');
   assert.equal(stageIn(await cancel(userRequests, ID)), 'aborted');
   assert.deepEqual([...store.data.keys()], [KEYS.open(ID)]);
-  // From here on by controllers that remember nothing, before and after the move to the archive.
+  // The following answers come from controllers with an empty cache, before and after the record is archived.
   for (const place of ['record', 'archive']) {
     assert.equal(stageIn(await poll(follower(store).userRequests, ID)), 'aborted', place);
     const resubmission = await submitJob(follower(store).userRequests, 1);
@@ -184,7 +184,7 @@
   }
 });
 
-test("submissions beyond this controller's share are refused at once and cost the state service nothing", async () => {
+test("submissions beyond this controller's share are refused at once, without a write to the state service", async () => {
   const store = new MemoryStore();
   const { userRequests, clock, peerRequests } = follower(store, 5);
   const statuses: number[] = [];
@@ -198,7 +198,7 @@
   assert.equal(store.changes, 5);
   clock.at += 1000;
   assert.equal((await submitJob(userRequests, 7)).status, 201);
-  // Refused for its rate by the service itself: this controller leaves the changes to others for a while.
+  // If the state service itself refuses a write because of its rate limit, this controller pauses submissions.
   store.fates.push('over_limit');
   assert.equal((await submitJob(userRequests, 8)).status, 503);
   const changesBefore = store.changes;
@@ -207,10 +207,10 @@
   assert.equal(store.changes, changesBefore);
   clock.at += 300;
   assert.equal((await submitJob(userRequests, 8)).status, 201);
-  assert.deepEqual(peerRequests, [], 'others were asked to spend what this controller may not');
+  assert.deepEqual(peerRequests, [], 'other controllers were asked although this one is over its share');
 });
 
-test('a submission that was carried out though its answer was lost is accepted after a read', async () => {
+test('a submission whose write was applied although its answer was lost is accepted after a read', async () => {
   const store = new MemoryStore();
   const { userRequests } = follower(store);
   store.fates.push('lost');
