--- a/src/jobs/archive.ts
+++ b/src/jobs/archive.ts
@@ -37,7 +37,7 @@
     return this.unarchivedRecords.size;
   }
 
-  /** Archives as many surplus records as fit one transaction, if no other write is queued or in flight. */
+  /** Archives as many surplus records as fit into one transaction, if no other write is queued or in flight. */
   tick(): void {
     const surplus = this.unarchivedRecords.size - this.deps.maxUnarchived;
     if (surplus <= 0 || this.moving || !this.deps.isWriterIdle()) return;
--- a/src/jobs/job-cancellation.ts
+++ b/src/jobs/job-cancellation.ts
@@ -67,7 +67,7 @@
     );
   }
 
-  /** Cancels the job through the leader on this node. */
+  /** Cancels the job through the leader on this node; if the leader doesn't know the job, its open record is read. */
   async cancelAsLeader(id: string): Promise<JobLookup> {
     const term = this.deps.leader()?.term;
     const cancelled = await this.cancelByLocalLeader(id);
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -33,7 +33,7 @@
   return status.stage === 'done' || status.stage === 'cancelled';
 }
 
-/** Returns the lookup, or `unavailable` if it may be outdated. `ageMs`: time since the lookup began. */
+/** Returns the lookup, or `unavailable` if it is too old and not terminal. `ageMs`: time since the lookup began. */
 export function discardIfStale(lookup: JobLookup, ageMs: number): JobLookup {
   if (ageMs <= MAX_LOOKUP_AGE_MS) return lookup;
   return lookup.kind === 'found' && isTerminal(lookup.status) ? lookup : { kind: 'unavailable' };
--- a/src/jobs/job-state-reader.ts
+++ b/src/jobs/job-state-reader.ts
@@ -58,7 +58,7 @@
     const open = await this.deps.store.get(KEYS.open(id), urgency);
     if (open.kind !== 'ok') return { kind: 'unavailable' };
     if (open.value) {
-      return { kind: 'found', status: decodeTerminalRecord(open.value.value) ?? this.statusOfOpen(id) };
+      return { kind: 'found', status: decodeTerminalRecord(open.value.value) ?? this.openJobStatus(id) };
     }
     const archived = await this.deps.store.get(KEYS.archived(id), urgency);
     if (archived.kind !== 'ok') return { kind: 'unavailable' };
@@ -68,7 +68,7 @@
   }
 
   /** Status of a job that is open in the store: from a leader on this node if it is certain, else pending. */
-  private statusOfOpen(id: string): JobStatus {
+  private openJobStatus(id: string): JobStatus {
     const known = this.lookupInMemory(id);
     return known.kind === 'found' ? known.status : PENDING_STATUS;
   }
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -20,7 +20,7 @@
 const RATE_LIMIT_PAUSE_MS = 1000;
 
 /** Result of the write of a new job's record. A `JobLookup`: the job may have existed before. */
-export type Creation =
+export type JobCreationResult =
   | JobLookup
   | { kind: 'created' }
   /** Over this node's submission rate or the state service's rate limit; nothing was written. */
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Returns the refusal, unless the id belongs to an accepted job, whose submission must not be refused as if the job
-   * had been lost.
+   * Returns the refusal, unless the id belongs to an accepted job: to refuse its submission would tell the user that
+   * the job has been lost.
    */
   private async refuseUnlessAccepted(id: string, refusal: Answer): Promise<Answer> {
     const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
@@ -103,7 +103,7 @@
   }
 
   /** Writes the record of a new job, on condition that no open or archived record exists under its id. */
-  async create(job: JobRequest): Promise<Creation> {
+  async create(job: JobRequest): Promise<JobCreationResult> {
     if (!this.deps.submissionBudget.take()) return { kind: 'rateLimited' };
     const value = encodeOpenRecord(job, this.deps.clock.wall());
     const startedAt = this.deps.clock.now();
--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -23,9 +23,9 @@
 
 /**
  * Forwards polls to the leader in batches, so that the leader's load depends on the number of controllers and of
- * unfinished jobs and not on how often users poll. A poll is sent at once if the last batch is at least the interval
- * ago; otherwise it waits for the next batch. A poll only joins a batch that is sent after the poll came in, so its
- * answer is as fresh as if it had been sent alone.
+ * unfinished jobs and not on how often users poll. A poll is sent at once if at least `MIN_BATCH_INTERVAL_MS` have
+ * passed since the last batch; otherwise it waits for the next one. A poll only joins a batch that is sent after the
+ * poll came in, so its answer is as fresh as if it had been sent alone.
  */
 export class PollBatcher {
   private pendingPolls = new Map<string, PollCallback[]>();
--- a/src/jobs/shared-reads.ts
+++ b/src/jobs/shared-reads.ts
@@ -36,10 +36,10 @@
 
   /** Reads the key, at once or with the next shared read. Rejected if that read is. */
   get(key: string, priority: Priority): Promise<Result> {
-    const joined = this.scheduled.get(key);
-    if (joined) {
-      if (this.deps.isMoreUrgent(priority, joined.priority)) joined.priority = priority;
-      return joined.result;
+    const scheduledRead = this.scheduled.get(key);
+    if (scheduledRead) {
+      if (this.deps.isMoreUrgent(priority, scheduledRead.priority)) scheduledRead.priority = priority;
+      return scheduledRead.result;
     }
     const waitMs = (this.lastStartedAt.get(key) ?? -Infinity) + MIN_READ_INTERVAL_MS - this.deps.now();
     if (waitMs <= 0) return this.start(key, priority);
--- a/src/jobs/terminal-writes.ts
+++ b/src/jobs/terminal-writes.ts
@@ -16,7 +16,7 @@
 type WriteState = 'inFlight' | 'inDoubt';
 
 /** The jobs whose open records a transaction changes. */
-function changedJobs(mutations: readonly Mutation[]): string[] {
+function changedJobIds(mutations: readonly Mutation[]): string[] {
   const keys = mutations.map((mutation) => ('put' in mutation ? mutation.put : mutation.delete));
   return keys
     .filter((key) => key.startsWith(KEYS.openPrefix))
@@ -30,7 +30,7 @@
  * open.
  */
 export class TerminalWrites {
-  private readonly states = new Map<string, WriteState>();
+  private readonly writeStates = new Map<string, WriteState>();
 
   /** `isOutcomeUnconfirmed`: the leader has begun to end the job, and its terminal record isn't known to be durable. */
   constructor(private readonly isOutcomeUnconfirmed: (id: string) => boolean) {}
@@ -38,9 +38,9 @@
   /** Wraps the function so that the result of every write of a terminal record is recorded. */
   trackResults<Rest extends unknown[]>(compareAndSwap: CompareAndSwap<Rest>): CompareAndSwap<Rest> {
     return async (conditions, mutations, ...rest) => {
-      const ids = changedJobs(mutations).filter((id) => this.isOutcomeUnconfirmed(id));
+      const ids = changedJobIds(mutations).filter((id) => this.isOutcomeUnconfirmed(id));
       for (const id of ids) {
-        if (!this.states.has(id)) this.states.set(id, 'inFlight');
+        if (!this.writeStates.has(id)) this.writeStates.set(id, 'inFlight');
       }
       const result = await compareAndSwap(conditions, mutations, ...rest);
       for (const id of ids) this.recordResult(id, result);
@@ -49,17 +49,17 @@
   }
 
   private recordResult(id: string, result: CompareAndSwapResult): void {
-    if (result.kind !== 'refused') this.states.set(id, 'inDoubt');
-    else if (this.states.get(id) === 'inFlight') this.states.delete(id);
+    if (result.kind !== 'refused') this.writeStates.set(id, 'inDoubt');
+    else if (this.writeStates.get(id) === 'inFlight') this.writeStates.delete(id);
   }
 
   /** Whether the job's terminal record may be in the state service but isn't known to be durable. */
   mayBeWritten(id: string): boolean {
-    return this.states.has(id);
+    return this.writeStates.has(id);
   }
 
   /** Ends the tracking of a job whose terminal record is known to be durable. */
   markDurable(id: string): void {
-    this.states.delete(id);
+    this.writeStates.delete(id);
   }
 }
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -75,7 +75,7 @@
     }
   }
 
-  /** The status if this node's memory is certain of it, else null. */
+  /** Looks the job up in this node's memory; null if the memory isn't certain. */
   private lookupIfCertain(id: string): JobLookup | null {
     const known = this.reader.lookupInMemory(id);
     return known.kind === 'found' ? known : null;
--- a/test/jobs/support/controllers.ts
+++ b/test/jobs/support/controllers.ts
@@ -67,7 +67,7 @@
     }
   }
 
-  private at(index: number): SimulatedController {
+  private controllerAt(index: number): SimulatedController {
     return required(this.controllers[index], `controller ${index}`);
   }
 
@@ -79,7 +79,7 @@
     this.requestCount += 1;
     const before = this.history.newestStage(job);
     this.history.recordRequest(request);
-    const controller = this.at(node);
+    const controller = this.controllerAt(node);
     controller.runAfter(this.sim.between(0, 2), () => {
       const reply: Reply = (answer) => {
         request.answer = answer;
@@ -149,18 +149,18 @@
   }
 
   hang(node: number, ms: number): void {
-    this.at(node).hang(ms);
+    this.controllerAt(node).hang(ms);
   }
 
   restart(node: number): void {
-    this.at(node).restart();
+    this.controllerAt(node).restart();
   }
 
   // ---- leadership ----
 
   /** Makes a controller the leader once the leader key is free; the other controllers learn of it a little later. */
   elect(node: number): void {
-    const controller = this.at(node);
+    const controller = this.controllerAt(node);
     const isSameProcess = controller.createProcessCheck();
     const acquired = this.state.acquire(LEASE_MS * 1e6);
     if (!acquired) {
