--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -189,7 +189,7 @@
     now,
     after,
     read: (key, urgency) => store.get(key, urgency),
-    moreUrgent: isMoreUrgent,
+    isMoreUrgent,
   });
   return new UserRequests({
     clock,
@@ -200,7 +200,7 @@
         store.compareAndSwap(conditions, mutations, urgency, timeoutMs),
     },
     terminalStates,
-    submissions: createSubmissionBudget(state.write_rps, nodes, now),
+    submissionBudget: createSubmissionBudget(state.write_rps, nodes, now),
     teams,
     catalog: () => catalog.current,
     leader,
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -3,37 +3,37 @@
 import type { PeerReply } from '../peers/messages.ts';
 import { KEYS } from '../store/keys.ts';
 import { decodeJob, peekJobId, type JobRequest } from '../wire/user.ts';
-import { infeasibility } from './admission.ts';
+import { findInfeasibility } from './admission.ts';
 import { MAX_LOOKUP_AGE_MS, type JobLookup } from './job-lookup.ts';
 import { PENDING_STATUS, type JobStateReader } from './job-state-reader.ts';
 import { lookupFromReply, submitRequest, wasCreated } from './peer-messages.ts';
-import { openValue } from './records.ts';
+import { encodeOpenRecord } from './records.ts';
 import type { UserAnswers } from './user-answers.ts';
 import type { UserRequestDeps } from './user-request-deps.ts';
 
-/** Wait in ms for the answer to the write of a new job's record, before a read whether it is there. */
+/** Timeout in ms of the write of a new job's record; afterwards a read checks whether the record exists. */
 const CREATE_TIMEOUT_MS = 1000;
 /**
- * Time in ms in which no submission is sent after the state service has refused one for its rate: what it still
- * takes is for other writes.
+ * Pause of submissions in ms after the state service has refused one because of its rate limit. The requests that it
+ * still accepts are left to other writes.
  */
-const OVER_LIMIT_REST_MS = 1000;
+const RATE_LIMIT_PAUSE_MS = 1000;
 
-/** What came of the write of a new job's record. A lookup tells that the job may have been there before. */
-export type Creation =
+/** Result of the write of a new job's record. A `JobLookup`: the job may have existed before. */
+export type JobCreationResult =
   | JobLookup
   | { kind: 'created' }
-  /** Too many submissions for the state service; nothing was written. */
+  /** Over this node's submission rate or the state service's rate limit; nothing was written. */
   | { kind: 'rateLimited' };
 
 type JobSubmissionDeps = Pick<
   UserRequestDeps,
-  'callOthers' | 'catalog' | 'clock' | 'onError' | 'options' | 'store' | 'submissions' | 'teams'
+  'callOthers' | 'catalog' | 'clock' | 'onError' | 'options' | 'store' | 'submissionBudget' | 'teams'
 >;
 
 /**
- * Accepts new jobs. That needs the store alone. A submission is idempotent: a job that is known already is answered
- * with its state, whatever else was sent with its id.
+ * Accepts new jobs, which needs the store but no leader. A submission is idempotent: for a job that has already been
+ * accepted, the answer is its state, whatever else was sent with its id.
  */
 export class JobSubmission {
   constructor(
@@ -53,14 +53,15 @@
     const known = this.reader.lookupInMemory(id);
     if (known.kind === 'found') return this.answers.status(id, known.status);
     if (known.kind === 'uncertain') return this.answerFromStore(id);
-    if (!decoded.ok) return this.unlessAccepted(id, failure(400, decoded.reason));
+    if (!decoded.ok) return this.refuseUnlessAccepted(id, failure(400, decoded.reason));
     const job = decoded.value;
     const catalog = this.deps.catalog();
     const team = this.deps.teams.find(({ name }) => name === job.team);
-    // An unknown team or a limit that is too small needs no machine types to be told.
-    const reason = infeasibility(job, team, catalog);
-    if (reason !== null) return this.unlessAccepted(id, failure(422, reason));
-    if (!catalog) return this.unlessAccepted(id, this.answers.unavailable('machine types not known yet'));
+    // An unknown team or a limit that is too small is detected even while the machine types are not known.
+    const reason = findInfeasibility(job, team, catalog);
+    if (reason !== null) return this.refuseUnlessAccepted(id, failure(422, reason));
+    if (!catalog)
+      return this.refuseUnlessAccepted(id, this.answers.unavailable('machine types not known yet'));
     const creation = await this.create(job);
     if (creation.kind === 'created') return this.answers.status(id, PENDING_STATUS, 201);
     if (creation.kind === 'found') return this.answers.status(id, creation.status);
@@ -68,11 +69,11 @@
     return this.createByPeers(id, body);
   }
 
-  /** Hands the submission on: perhaps the state service refuses this node alone. */
+  /** Forwards the submission to the other controllers: the state service may refuse this node alone. */
   private async createByPeers(id: string, body: string): Promise<Answer> {
     const timeoutMs = this.deps.options.users.forward_ms * 2;
     const received: { reply: PeerReply | null } = { reply: null };
-    const lookup = await this.reader.unlessOvertaken(async () => {
+    const lookup = await this.reader.readUnlessStale(async () => {
       received.reply = await this.deps.callOthers(submitRequest(id, body), timeoutMs);
       return lookupFromReply(received.reply);
     });
@@ -80,15 +81,18 @@
     return this.answers.status(id, lookup.status, wasCreated(received.reply) ? 201 : 200);
   }
 
-  /** A job whose terminal state is being written: only the store can say whether it is durable. */
+  /** Answers for a job whose terminal state is being written: only the store tells whether it is durable. */
   private async answerFromStore(id: string): Promise<Answer> {
     const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
     if (lookup.kind === 'found') return this.answers.status(id, lookup.status);
     return this.answers.unavailable('state not known now');
   }
 
-  /** The refusal, unless the id is that of an accepted job: to refuse that would call it forgotten. */
-  private async unlessAccepted(id: string, refusal: Answer): Promise<Answer> {
+  /**
+   * Returns the refusal, unless the id belongs to an accepted job: to refuse its submission would tell the user that
+   * the job has been lost.
+   */
+  private async refuseUnlessAccepted(id: string, refusal: Answer): Promise<Answer> {
     const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
     if (lookup.kind === 'found') return this.answers.status(id, lookup.status);
     return lookup.kind === 'notFound' ? refusal : this.storeUnavailable();
@@ -98,10 +102,10 @@
     return this.answers.unavailable('the state service can not be reached');
   }
 
-  /** Writes the record of a new job, conditional on there being none of that id, neither open nor archived. */
-  async create(job: JobRequest): Promise<Creation> {
-    if (!this.deps.submissions.take()) return { kind: 'rateLimited' };
-    const value = openValue(job, this.deps.clock.wall());
+  /** Writes the record of a new job, on condition that no open or archived record exists under its id. */
+  async create(job: JobRequest): Promise<JobCreationResult> {
+    if (!this.deps.submissionBudget.take()) return { kind: 'rateLimited' };
+    const value = encodeOpenRecord(job, this.deps.clock.wall());
     const startedAt = this.deps.clock.now();
     const result = await this.deps.store.compareAndSwap(
       [
@@ -114,17 +118,17 @@
     );
     if (result.kind === 'conflict') return this.reader.lookupInStore(job.id);
     if (result.kind === 'refused' && result.overLimit) {
-      this.deps.submissions.blockFor(OVER_LIMIT_REST_MS);
+      this.deps.submissionBudget.blockFor(RATE_LIMIT_PAUSE_MS);
       return { kind: 'rateLimited' };
     }
     if (result.kind === 'unknown') {
       const lookup = await this.reader.lookupInStore(job.id);
-      // The write may be carried out later still, so that nothing is there proves nothing.
+      // The write may still be applied later, so a missing record doesn't prove that the submission failed.
       return lookup.kind === 'found' ? lookup : { kind: 'unavailable' };
     }
     if (result.kind !== 'ok') return { kind: 'unavailable' };
-    // After a slow answer the job may be terminal already, and its user may have been told so elsewhere.
-    const tookMs = this.deps.clock.now() - startedAt;
-    return tookMs <= MAX_LOOKUP_AGE_MS ? { kind: 'created' } : this.reader.lookupInStore(job.id);
+    // After a slow answer the job may already be terminal, and another controller may have reported that.
+    const elapsedMs = this.deps.clock.now() - startedAt;
+    return elapsedMs <= MAX_LOOKUP_AGE_MS ? { kind: 'created' } : this.reader.lookupInStore(job.id);
   }
 }
--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -1,34 +1,34 @@
-/** Batching of polls that one controller hands on to the leader. */
+/** Batching of the polls that a controller forwards to the leader. */
 import { BatchPacer, type PacerTimers } from '../base/batch-pacer.ts';
 import type { PollAnswer } from '../peers/messages.ts';
 
-/** Least time in ms between two batches to the leader. */
+/** Minimum time in ms between two batches to the leader. */
 export const MIN_BATCH_INTERVAL_MS = 10;
-/** Most jobs in one batch; a frame between controllers holds several times as many. */
+/** Maximum number of jobs in one batch; a frame between controllers holds several times as many. */
 export const MAX_BATCH_JOBS = 1000;
 
-/** Gets the answer to one poll; null: the leader can't be asked now. */
-type Waiter = (answer: PollAnswer | null) => void;
+/** Receives the answer to one poll; null: the leader can't be asked now. */
+type PollCallback = (answer: PollAnswer | null) => void;
 
-/** Timers, and the way to the leader. */
+/** Timers, and the call to the leader. */
 export interface PollBatcherDeps extends PacerTimers {
   /**
-   * Asks the leader of now for the answers in the order of `jobIds`; null when there is none or it doesn't answer in
-   * time. Never rejected.
+   * Asks the current leader; the answers are in the order of `jobIds`. null: there is no leader, or it doesn't answer
+   * in time. Never rejected.
    */
   send(jobIds: string[]): Promise<readonly PollAnswer[] | null>;
-  /** A batch failed by a defect; its polls get no answer. */
+  /** Called when a defect makes a batch fail; its polls get no answer. */
   onError: (error: unknown) => void;
 }
 
 /**
- * Hands polls to the leader in batches, so that the leader's work depends on the number of controllers and of
- * unfinished jobs and not on how often users ask. A poll alone is sent at once; the next ones wait until the interval
- * is over. A poll only ever shares a batch that is sent after it came in: its answer is as fresh as if it had been
- * sent alone.
+ * Forwards polls to the leader in batches, so that the leader's load depends on the number of controllers and of
+ * unfinished jobs and not on how often users poll. A poll is sent at once if at least `MIN_BATCH_INTERVAL_MS` have
+ * passed since the last batch; otherwise it waits for the next one. A poll only joins a batch that is sent after the
+ * poll came in, so its answer is as fresh as if it had been sent alone.
  */
 export class PollBatcher {
-  private waiting = new Map<string, Waiter[]>();
+  private pendingPolls = new Map<string, PollCallback[]>();
   private readonly pacer: BatchPacer;
 
   constructor(private readonly deps: PollBatcherDeps) {
@@ -40,32 +40,32 @@
   /** The leader's answer for one job; null: the leader can't be asked now. Never rejected. */
   poll(jobId: string): Promise<PollAnswer | null> {
     return new Promise((resolve) => {
-      const sharing = this.waiting.get(jobId);
-      if (sharing) {
-        sharing.push(resolve);
+      const callbacks = this.pendingPolls.get(jobId);
+      if (callbacks) {
+        callbacks.push(resolve);
         return;
       }
-      if (this.waiting.size >= MAX_BATCH_JOBS) {
+      if (this.pendingPolls.size >= MAX_BATCH_JOBS) {
         resolve(null);
         return;
       }
-      this.waiting.set(jobId, [resolve]);
+      this.pendingPolls.set(jobId, [resolve]);
       this.pacer.schedule();
     });
   }
 
   private flush(): void {
-    const batch = this.waiting;
-    this.waiting = new Map();
+    const batch = this.pendingPolls;
+    this.pendingPolls = new Map();
     this.pacer.noteSent();
     this.deps
       .send([...batch.keys()])
       .then((answers) => {
         let index = 0;
-        for (const waiters of batch.values()) {
+        for (const callbacks of batch.values()) {
           const answer = answers?.[index] ?? null;
           index += 1;
-          for (const waiter of waiters) waiter(answer);
+          for (const callback of callbacks) callback(answer);
         }
       })
       .catch(this.deps.onError);
@@ -73,8 +73,8 @@
 }
 
 /**
- * Answers a batch from what is known without waiting. A job whose lookup takes a while is answered as unavailable,
- * so that one of them doesn't hold up all others; the asking controller then looks it up by itself.
+ * Answers a batch with what is known immediately. A job whose lookup takes longer is answered as unavailable, so that
+ * it doesn't delay the other answers of the batch; the controller that sent the batch then looks the job up itself.
  */
 export function answerBatch(
   jobIds: readonly string[],
--- a/src/jobs/start-watermarks.ts
+++ b/src/jobs/start-watermarks.ts
@@ -2,45 +2,45 @@
 import { KEYS } from '../store/keys.ts';
 import type { DeferredWrite } from '../store/write-queues.ts';
 import type { Item } from '../wire/state.ts';
-import { readStartWatermarks, startWatermarksValue } from './records.ts';
+import { decodeStartWatermarks, encodeStartWatermarks } from './records.ts';
 
 interface Page {
   index: number;
-  /** By job: tasks from this number on have never been started. */
+  /** Start watermark by job id: tasks from this number on have never been started. */
   entries: Map<string, number>;
   /** Estimated size of the page's value. */
   bytes: number;
-  /** Waits in the writer's queue; whatever is raised until it is sent is in it. */
+  /** Whether a write of the page is queued; it includes all watermarks that are raised before it is sent. */
   queued: boolean;
   /** Called once the next write of the page is durable. */
   onDurable: (() => void)[];
 }
 
-/** Limits, and the way to the store. */
+/** Limits of the pages, and access to the writer. */
 export interface StartWatermarksDeps {
-  /** Pages stay below this, so that a change rewrites little and a value is never too long. */
+  /** Maximum size of a page, so that a mutation rewrites little and a value is never too long for the store. */
   pageBytes: number;
   enqueueWrite(write: DeferredWrite): void;
-  /** Puts a command in the queue of the single writer of the state. */
+  /** Adds a command to the command queue, which runs every change of the leader's state. */
   enqueue(command: () => void): void;
 }
 
-/** What an earlier leader has written. */
+/** The start watermarks that earlier leaders have written. */
 export interface RestoredWatermarks {
-  /** By job. */
+  /** Start watermark by job id. */
   watermarks: Map<string, number>;
-  /** A page can't be read: any task of any job may have been started. */
-  unreadable: boolean;
+  /** True if a page can't be read: any task of any job may have been started. */
+  hasUnreadablePage: boolean;
 }
 
 /** Upper bound of an entry's size without its job id: number, quotes, brackets and commas. */
-const ENTRY_BYTES = 24;
+const MAX_ENTRY_OVERHEAD_BYTES = 24;
 
 /**
- * Which tasks may have been started, as the store knows it: tasks of a job below its start watermark. Watermarks are
- * written ahead, before the starts, many jobs to a page, so that one change covers all jobs that start in a round.
- * The entry of a job that is completed does no harm; it leaves its page when the page is written the next time. A
- * page that can't be read is never written again, so that it makes every later leader as careful as this one.
+ * Keeps in the store which tasks may have been started: those below the start watermark of their job. A watermark is
+ * written before the tasks start. A page holds many jobs, so that one mutation covers all jobs that start in a round.
+ * The entry of a completed job does no harm and is removed by the next write of its page. A page that can't be read is
+ * never overwritten, so that every later leader, too, assumes that any task of any job may have been started.
  */
 export class StartWatermarks {
   private readonly pages = new Map<number, Page>();
@@ -50,25 +50,25 @@
   constructor(private readonly deps: StartWatermarksDeps) {}
 
   /**
-   * Takes over what an earlier leader left. `isOpen`: entries of other jobs are dropped with the next write.
-   * `onMalformed` is told the key of every page that can't be read.
+   * Restores the pages that earlier leaders wrote. `isOpen`: whether a job is open; entries of other jobs are dropped
+   * with the next write. `onMalformed`: called with the key of every page that can't be read.
    */
   restore(
     items: readonly Item[],
     isOpen: (id: string) => boolean,
     onMalformed: (key: string) => void,
   ): RestoredWatermarks {
-    const restored: RestoredWatermarks = { watermarks: new Map(), unreadable: false };
+    const restored: RestoredWatermarks = { watermarks: new Map(), hasUnreadablePage: false };
     for (const item of items) {
       const index = Number(item.key.slice(KEYS.startWatermarksPrefix.length));
-      const entries = readStartWatermarks(item.value);
+      const entries = decodeStartWatermarks(item.value);
       if (!entries || !Number.isSafeInteger(index) || index < 0) {
         onMalformed(item.key);
-        restored.unreadable = true;
+        restored.hasUnreadablePage = true;
         this.unreadablePages.add(index);
         continue;
       }
-      const page = this.pageAt(index);
+      const page = this.getOrCreatePage(index);
       for (const [id, watermark] of entries) {
         if (!isOpen(id)) continue;
         this.setEntry(page, id, watermark);
@@ -78,9 +78,9 @@
     return restored;
   }
 
-  /** Raises a job's watermark: tasks below it may be started once `onDurable` is called. */
+  /** Raises a job's watermark; the tasks below it may be started once `onDurable` has been called. */
   raise(id: string, watermark: number, onDurable: () => void): void {
-    const page = this.pageOfJob.get(id) ?? this.pageWithSpace(entryBytes(id));
+    const page = this.pageOfJob.get(id) ?? this.findPageWithSpace(entryBytes(id));
     this.setEntry(page, id, Math.max(watermark, page.entries.get(id) ?? 0));
     page.onDurable.push(onDurable);
     if (!page.queued) this.enqueueWrite(page);
@@ -95,7 +95,7 @@
     page.bytes -= entryBytes(id);
   }
 
-  private pageAt(index: number): Page {
+  private getOrCreatePage(index: number): Page {
     let page = this.pages.get(index);
     if (!page) {
       page = { index, entries: new Map(), bytes: 0, queued: false, onDurable: [] };
@@ -110,8 +110,8 @@
     this.pageOfJob.set(id, page);
   }
 
-  /** A page with space left: one that is to be written anyway, if there is one. */
-  private pageWithSpace(bytes: number): Page {
+  /** A page with space for `bytes` more, preferably one whose write is queued already; a new one if all are full. */
+  private findPageWithSpace(bytes: number): Page {
     let firstWithSpace: Page | null = null;
     for (const page of this.pages.values()) {
       if (page.bytes + bytes > this.deps.pageBytes) continue;
@@ -121,7 +121,7 @@
     if (firstWithSpace) return firstWithSpace;
     let index = 0;
     while (this.pages.has(index) || this.unreadablePages.has(index)) index += 1;
-    return this.pageAt(index);
+    return this.getOrCreatePage(index);
   }
 
   private enqueueWrite(page: Page): void {
@@ -129,13 +129,13 @@
     let callbacks: (() => void)[] = [];
     this.deps.enqueueWrite({
       kind: 'deferred',
-      // Entries can still grow in number until it is sent, up to the size of a page.
+      // Entries can still be added until the write is sent, up to the size of a page.
       maxBytes: this.deps.pageBytes,
       build: () => {
         page.queued = false;
         callbacks = page.onDurable;
         page.onDurable = [];
-        return { put: KEYS.startWatermarks(page.index), value: startWatermarksValue(page.entries) };
+        return { put: KEYS.startWatermarks(page.index), value: encodeStartWatermarks(page.entries) };
       },
       onCommitted: () => {
         this.deps.enqueue(() => {
@@ -147,5 +147,5 @@
 }
 
 function entryBytes(id: string): number {
-  return id.length + ENTRY_BYTES;
+  return id.length + MAX_ENTRY_OVERHEAD_BYTES;
 }
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -87,7 +87,7 @@
       // Under a backlog the jobs with the least slack go first, new ones included, so the wait of a job for its first
       // task has no bound. A few tasks of a starving job therefore go before all others of its priority; the rest of
       // its tasks are ordered like those of other jobs.
-      const starving = !spec.gang && job.neverStarted && waitedMs > scheduling.begin_after_s * 1000;
+      const starving = !spec.gang && job.hasNeverStarted && waitedMs > scheduling.begin_after_s * 1000;
       let pending = starving ? Math.min(startableCount, MAX_STARVING_TASKS) : startableCount;
       // One task shows whether the job still fails; a gang needs all of its tasks for that.
       if (probe && !spec.gang) pending = 1;
--- a/test/jobs/support/controllers.ts
+++ b/test/jobs/support/controllers.ts
@@ -25,19 +25,19 @@
 import { failTest } from '../../helpers.ts';
 
 export const CONTROLLER_COUNT = 3;
-/** Without renewal the leader key is gone after this time; the leader counts the margin less. */
+/** Lifetime of the leader key without renewal; the leader's own lease ends earlier by the margin. */
 const LEASE_MS = 3000;
 const LEASE_MARGIN_MS = 100;
 const ELECTION_RETRY_MS = 100;
 const MAX_REQUESTS = 4000;
-/** When users ask again once something new was told. */
+/** Delays after which users ask again once an answer advanced the newest stage. */
 const FOLLOW_UP_MS = [1, 5, 40, 200, 700, 1500, 3000];
 const HEARTBEAT_MS = 400;
 const LAST_HEARTBEAT_MS = 60_000;
 
 /**
- * Three controllers with the real users' side, leader and writer over one shared state service, in simulated time.
- * Every answer is compared with those that were given before its request was sent.
+ * Three controllers with the real handling of user requests, the real leader and writer, and one shared state service,
+ * in simulated time. Every answer is compared with those that were given before its request was sent.
  */
 export class Controllers {
   readonly sim: Sim;
@@ -49,7 +49,7 @@
   private requestCount = 0;
   private heartbeatSequence = 0;
 
-  /** `trustMemory`: takes the guard away, a leader tells its memory even while a terminal state is being written. */
+  /** `trustMemory`: a leader doesn't check for unconfirmed terminal writes and answers from its memory all the same. */
   constructor(
     seed: number,
     public faults: FaultRates,
@@ -67,7 +67,7 @@
     }
   }
 
-  private at(index: number): SimulatedController {
+  private controllerAt(index: number): SimulatedController {
     return required(this.controllers[index], `controller ${index}`);
   }
 
@@ -79,11 +79,11 @@
     this.requestCount += 1;
     const before = this.history.newestStage(job);
     this.history.recordRequest(request);
-    const controller = this.at(node);
-    controller.deliver(this.sim.between(0, 2), () => {
+    const controller = this.controllerAt(node);
+    controller.runAfter(this.sim.between(0, 2), () => {
       const reply: Reply = (answer) => {
         request.answer = answer;
-        if (this.history.recordAnswer(request, answer, before, this.sim.at)) this.followUp(job);
+        if (this.history.recordAnswer(request, answer, before, this.sim.at)) this.scheduleFollowUps(job);
       };
       const { userRequests } = controller;
       if (kind === 'submit') userRequests.submit(sampleSubmission(jobId(job)), reply);
@@ -93,8 +93,8 @@
     return request;
   }
 
-  /** Users ask all controllers, within milliseconds and for a while, once something new was told. */
-  private followUp(job: number): void {
+  /** Users ask all controllers again, within milliseconds and for some seconds, after the newest stage advanced. */
+  private scheduleFollowUps(job: number): void {
     if (this.requestCount > MAX_REQUESTS) return;
     for (const { index } of this.controllers) {
       for (const afterMs of FOLLOW_UP_MS) {
@@ -111,7 +111,7 @@
     const { users } = defaultOptions();
     const now = (): number => this.sim.at;
     const after = (ms: number, run: () => void): void => {
-      controller.deliver(ms, run);
+      controller.runAfter(ms, run);
     };
     const polls = new PollBatcher({
       onError: failTest,
@@ -127,7 +127,7 @@
       now,
       after,
       read: (key) => this.store.get(controller, key),
-      moreUrgent: isMoreUrgent,
+      isMoreUrgent,
     });
     const store: StoreFake = {
       get: (key, urgency) => reads.get(key, urgency),
@@ -137,7 +137,7 @@
     return createUserRequests(store, {
       clock: { now, wall: now },
       terminalStates: new TerminalStateCache(users.final_cache),
-      submissions: new RateBudget(1000, now),
+      submissionBudget: new RateBudget(1000, now),
       leader: () => controller.leader,
       beginLeaderlessWrite: () => Promise.resolve(leaderlessWrite(store)),
       callLeader: (request, timeoutMs) =>
@@ -149,19 +149,19 @@
   }
 
   hang(node: number, ms: number): void {
-    this.at(node).hang(ms);
+    this.controllerAt(node).hang(ms);
   }
 
   restart(node: number): void {
-    this.at(node).restart();
+    this.controllerAt(node).restart();
   }
 
   // ---- leadership ----
 
-  /** Lets a controller lead, once nobody's lease is left; the others learn of it a little later. */
+  /** Makes a controller the leader once the leader key is free; the other controllers learn of it a little later. */
   elect(node: number): void {
-    const controller = this.at(node);
-    const isSameProcess = controller.sameProcess();
+    const controller = this.controllerAt(node);
+    const isSameProcess = controller.createProcessCheck();
     const acquired = this.state.acquire(LEASE_MS * 1e6);
     if (!acquired) {
       this.sim.after(ELECTION_RETRY_MS, () => {
@@ -178,13 +178,16 @@
       held,
     );
     for (const other of this.controllers) {
-      other.deliver(this.sim.between(1, 400), () => {
+      other.runAfter(this.sim.between(1, 400), () => {
         other.knownLeader = node;
       });
     }
   }
 
-  /** The leader's lease expires: it knows that in time, and finds the key gone up to a second later. */
+  /**
+   * Lets the leader's lease expire: the leader stops relying on it in time, and steps down up to a second after the
+   * leader key is gone.
+   */
   expireLease(): void {
     const leaderKey = this.state.data.get(KEYS.leader);
     if (!leaderKey) return;
@@ -205,7 +208,7 @@
 
   // ---- the worker ----
 
-  /** Heartbeats report all tasks of a job as done to whoever leads, until users are told of a terminal state. */
+  /** Sends the leader heartbeats that report all tasks of a job as done, until an answer has a terminal state. */
   complete(job: number): void {
     const controller = this.controllers.find(({ leader }) => leader);
     const known = controller?.leader?.lookup(jobId(job));
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -22,7 +22,7 @@
   sim: Sim;
   state: StateModel;
   store: UnreliableStateService;
-  /** Takes the guard away: the leader tells its memory even of a job whose terminal state is being written. */
+  /** The leader doesn't check for unconfirmed terminal writes and answers from its memory all the same. */
   trustMemory: boolean;
 }
 
@@ -36,7 +36,7 @@
   list: () => Promise.resolve(null),
 };
 
-/** Nothing is placed here: the tests' own machine runs what is to be done. */
+/** Options under which the leader places and rents nothing: the tests report the tasks by heartbeats of their own. */
 function optionsWithoutPlacement(): Options {
   const options = defaultOptions();
   options.scheduling.takeover_wait_s = 1e6;
@@ -44,14 +44,14 @@
   return options;
 }
 
-/** Lets a controller lead with the leadership that it holds. */
+/** Starts the leader of a controller that holds the leader key. */
 export function startLeader(
   environment: LeaderEnvironment,
   controller: SimulatedController,
   held: HeldLeadership,
 ): void {
   const { sim, trustMemory } = environment;
-  const isSameProcess = controller.sameProcess();
+  const isSameProcess = controller.createProcessCheck();
   const isCurrent = (): boolean => isSameProcess() && controller.held === held;
   const terminalWrites = new TerminalWrites((id) => leader.isOutcomeUnconfirmed(id));
   const terminalJobs = new Set<string>();
@@ -64,12 +64,12 @@
       inspect: () => Promise.resolve({ kind: 'unanswered' }),
       onTerminalState: (id) => {
         terminalJobs.add(id);
-        terminalWrites.forget(id);
+        terminalWrites.markDurable(id);
       },
       isTerminal: (id) => terminalJobs.has(id),
       outcomeMayBeWritten: (id) => !trustMemory && terminalWrites.mayBeWritten(id),
       enqueue: (command) => {
-        controller.deliver(0, () => {
+        controller.runAfter(0, () => {
           if (isCurrent()) command();
         });
       },
@@ -102,7 +102,7 @@
   return new LeaderWriter({
     onError: failTest,
     host: {
-      compareAndSwap: terminalWrites.tracking((conditions, mutations, timeoutMs: number) =>
+      compareAndSwap: terminalWrites.trackResults((conditions, mutations, timeoutMs: number) =>
         store.compareAndSwap(controller, conditions, mutations, timeoutMs),
       ),
       readVersion: async (key) => {
@@ -122,7 +122,7 @@
   });
 }
 
-/** The records are listed, and restored when the answer is there; later changes are passed on in their order. */
+/** Lists the records, restores them when the answer arrives, and forwards later changes in their order. */
 function recover(
   { sim, state }: LeaderEnvironment,
   controller: SimulatedController,
@@ -131,15 +131,15 @@
 ): void {
   const changes: WatchEvent[] = [];
   let recovered = false;
-  const passOn = (): void => {
+  const forwardChanges = (): void => {
     if (recovered && isCurrent() && changes.length > 0) leader.onStoreEvents(changes.splice(0));
   };
   const watch = (events: WatchEvent[]): void => {
     changes.push(...events);
-    controller.deliver(sim.between(1, 300), passOn);
+    controller.runAfter(sim.between(1, 300), forwardChanges);
     if (!isCurrent()) state.watchers.delete(watch);
   };
-  controller.deliver(sim.between(1, 20), () => {
+  controller.runAfter(sim.between(1, 20), () => {
     state.watchers.add(watch);
     const stored = {
       open: state.list(KEYS.openPrefix),
@@ -147,11 +147,11 @@
       startWatermarks: state.list(KEYS.startWatermarksPrefix),
       machineRegistry: state.list(KEYS.machineRegistryPrefix),
     };
-    controller.deliver(sim.between(5, 500), () => {
+    controller.runAfter(sim.between(5, 500), () => {
       if (!isCurrent()) return;
       leader.recover(stored);
       recovered = true;
-      passOn();
+      forwardChanges();
     });
   });
 }
--- a/test/jobs/terminal-writes.test.ts
+++ b/test/jobs/terminal-writes.test.ts
@@ -9,20 +9,20 @@
 const REFUSED: CompareAndSwapResult = { kind: 'refused' };
 const UNKNOWN: CompareAndSwapResult = { kind: 'unknown' };
 
-/** Terminal writes of a leader, and a way to send one for job 1 that comes to a given result. */
-function createTerminalWrites(outcomeUnconfirmed: (id: string) => boolean = () => true): {
+/** Tracked terminal writes of a leader, and a function that sends one for job 1 with a given result. */
+function createTerminalWrites(isOutcomeUnconfirmed: (id: string) => boolean = () => true): {
   writes: TerminalWrites;
   send: (result: CompareAndSwapResult, key?: string) => Promise<CompareAndSwapResult>;
 } {
-  const writes = new TerminalWrites(outcomeUnconfirmed);
+  const writes = new TerminalWrites(isOutcomeUnconfirmed);
   const send = (result: CompareAndSwapResult, key = KEYS.open(ID)): Promise<CompareAndSwapResult> => {
-    const compareAndSwap = writes.tracking(() => Promise.resolve(result));
+    const compareAndSwap = writes.trackResults(() => Promise.resolve(result));
     return compareAndSwap([], [{ put: key, value: {} }]);
   };
   return { writes, send };
 }
 
-test('a terminal write in flight may be carried out; one that was always refused was not', async () => {
+test('a terminal write in flight may be in the store; one that was refused every time is not', async () => {
   const { writes, send } = createTerminalWrites();
   assert.equal(writes.mayBeWritten(ID), false);
   const firstAttempt = send(REFUSED);
@@ -36,11 +36,11 @@
   await send(UNKNOWN);
   await send(REFUSED);
   assert.equal(writes.mayBeWritten(ID), true);
-  writes.forget(ID);
+  writes.markDurable(ID);
   assert.equal(writes.mayBeWritten(ID), false);
 });
 
-test('a conflict leaves a terminal write in doubt: an earlier copy of it may be what it met', async () => {
+test('a conflict leaves a terminal write in doubt, because an earlier attempt of it may be the cause', async () => {
   const { writes, send } = createTerminalWrites();
   await send({ kind: 'conflict', failed: [KEYS.fence] });
   assert.equal(writes.mayBeWritten(ID), true);
