--- a/src/controller/cluster-catalog.ts
+++ b/src/controller/cluster-catalog.ts
@@ -1,5 +1,5 @@
 /** The machine types of the cluster, as a controller knows them. */
-import { Catalog, catalogValue, readCatalogValue } from '../fleet/catalog.ts';
+import { Catalog, encodeStoredCatalog, decodeStoredCatalog } from '../fleet/catalog.ts';
 import type { CloudClient } from '../fleet/cloud.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
@@ -48,7 +48,7 @@
 
   /** Stores a catalog for controllers that start later, if it fits a value of the store. */
   save(catalog: Catalog, writer: Pick<LeaderWriter, 'enqueue'>): void {
-    const value = catalogValue(catalog);
+    const value = encodeStoredCatalog(catalog);
     if (JSON.stringify(value).length > this.deps.maxValueBytes) return;
     const mutations = [{ put: KEYS.catalog, value }];
     writer.enqueue({ kind: 'ready', mutations, done: () => undefined }, 'background');
@@ -58,7 +58,7 @@
     this.deps.store
       .get(KEYS.catalog, 'user')
       .then((stored) => {
-        if (stored.kind === 'ok' && stored.value) this.known ??= readCatalogValue(stored.value.value);
+        if (stored.kind === 'ok' && stored.value) this.known ??= decodeStoredCatalog(stored.value.value);
       })
       .catch(this.deps.onError);
   }
--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -17,8 +17,8 @@
 const ROUND_OPTIONS: RoundOptions = {
   reserveAfterMs: 1000,
   maxGroups: GROUPS,
-  turn: 0,
-  rentRound: 0,
+  roundNumber: 0,
+  roundDownFraction: 0,
   rentBiasS: 1,
   warmSteps: 1,
   fetchSteps: 1,
@@ -39,7 +39,7 @@
     spot: true,
     oneZone: job % 3 === 0,
     zoneHint: -1,
-    zoneCap: Infinity,
+    maxTasksPerZone: Infinity,
     liveByZone: new Map(),
     latencySensitive: job % 2 === 0,
     expected: false,
@@ -56,7 +56,7 @@
     maxQueueingDelayS: 10,
     slackS: 20 * job - 20,
     guaranteed: job % 2 === 0,
-    size: 0,
+    relativeWork: 0,
   }));
 }
 
@@ -74,13 +74,16 @@
         memory: MACHINE_SIZE.memory - TASK_SIZE.memory * tasks,
       },
       perAccelerator: TASK_SIZE,
-      releases: Array.from({ length: tasks }, (_task, index) => ({ inS: 10 * (index + 1), room: TASK_SIZE })),
+      releases: Array.from({ length: tasks }, (_task, index) => ({
+        inS: 10 * (index + 1),
+        resources: TASK_SIZE,
+      })),
       load: tasks,
       bootsInS: machine % 11 === 0 ? 20 : 0,
       fetchS: (image: string, gb: number) => (image === `i${machine % 3}` ? 0 : gb),
-      warm: 0,
+      warmImageCount: 0,
       surplus: false,
-      penalty: 0,
+      penaltySteps: 0,
       price: 1 + (machine % 3),
     };
   });
@@ -92,7 +95,7 @@
   zone,
   spot: zone === 0,
   size: MACHINE_SIZE,
-  max: 10,
+  maxMachines: 10,
   price: 1,
   bootS: 30,
   fetchGbPerS: 1,
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -15,7 +15,7 @@
   }
 }
 
-const record = z.object({
+const storedCatalogSchema = z.object({
   types: z.array(
     z.object({
       name: z.string(),
@@ -33,12 +33,12 @@
 });
 
 /** The catalog as it is kept in the store. */
-export function catalogValue(catalog: Catalog): { types: readonly MachineTypeInfo[] } {
+export function encodeStoredCatalog(catalog: Catalog): { types: readonly MachineTypeInfo[] } {
   return { types: catalog.types };
 }
 
 /** Reads the stored form of the catalog; null: it has none, or an empty one. */
-export function readCatalogValue(value: unknown): Catalog | null {
-  const read = record.safeParse(value);
-  return read.success && read.data.types.length > 0 ? new Catalog(read.data.types) : null;
+export function decodeStoredCatalog(value: unknown): Catalog | null {
+  const parsed = storedCatalogSchema.safeParse(value);
+  return parsed.success && parsed.data.types.length > 0 ? new Catalog(parsed.data.types) : null;
 }
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -14,7 +14,7 @@
 /** What the fleet needs of a cloud. */
 export interface Cloud {
   /** True if a call can be made now without going over the rate. */
-  ready(reserve?: number): boolean;
+  canRequest(reserve?: number): boolean;
   catalog(): Promise<wire.MachineTypeInfo[] | null>;
   rent(request: wire.RentRequest): Promise<RentResult>;
   /** True: the machines and everything on them are gone. */
@@ -24,7 +24,7 @@
 }
 
 const TIMEOUT_MS = 4000;
-const LIST_PAGE = 500;
+const LIST_PAGE_SIZE = 500;
 
 /** The cloud by its published protocol, within its request rate. */
 export class CloudClient implements Cloud {
@@ -42,7 +42,7 @@
     this.budget = new RateBudget(rps * 0.8, now);
   }
 
-  ready(reserve = 0): boolean {
+  canRequest(reserve = 0): boolean {
     return this.budget.waitMs(1 + reserve) === 0;
   }
 
@@ -85,7 +85,7 @@
     let after = '';
     for (;;) {
       this.budget.take();
-      const path = wire.CLOUD_PATHS.list(after, LIST_PAGE);
+      const path = wire.CLOUD_PATHS.list(after, LIST_PAGE_SIZE);
       const result = await this.http.send('GET', path, null, TIMEOUT_MS);
       if (result.kind !== 'answer' || result.status !== 200) return null;
       const decoded = wire.decodeMachineList(result.body);
--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -32,10 +32,10 @@
   /** Refused lately: not asked for again before this. */
   notBefore: number;
   refusals: number;
-  asking: number;
+  requestedCount: number;
 }
 
-interface Booting {
+interface BootingMachine {
   index: number;
   name: string;
   type: number;
@@ -60,12 +60,12 @@
 const LISTED_GRACE_MS = 15_000;
 const MAX_MACHINES_PER_TERMINATION = 100;
 /** Reports and lists of a machine that is gone may still come for much longer than a lease. */
-const TERMINATED_KEPT_MS = 3_600_000;
+const TERMINATED_RETENTION_MS = 3_600_000;
 
 /** Rents and returns machines: what was asked of the cloud, what is booting, what is on its way back. */
 export class MachineProvisioner {
   private readonly options: OptionState[] = [];
-  private readonly bootingByName = new Map<string, Booting>();
+  private readonly bootingByName = new Map<string, BootingMachine>();
   private readonly rentedAt = new Map<string, number>();
   private bootIndex = 0;
   private requestCount = 0;
@@ -74,7 +74,7 @@
   private readonly terminated = new Map<string, number>();
   private listInFlight = false;
   /** The machine list has been read at least once by this leader. */
-  listed = false;
+  hasListedMachines = false;
   private lastListAt = -Infinity;
   private lastCatalogAt: number;
 
@@ -90,7 +90,7 @@
             spot,
             notBefore: -Infinity,
             refusals: 0,
-            asking: 0,
+            requestedCount: 0,
           });
         }
       }
@@ -101,60 +101,60 @@
    * Machines on their way, those among them that the cloud was asked for and has not answered about: without
    * them every round during the call would ask for the same room again, of another kind or zone.
    */
-  booting(): Booting[] {
-    const found = [...this.bootingByName.values()].filter((b) => !this.terminating.has(b.name));
+  booting(): BootingMachine[] {
+    const machines = [...this.bootingByName.values()].filter((b) => !this.terminating.has(b.name));
     const now = this.deps.clock.now();
-    for (const o of this.options) {
-      for (let i = 0; i < o.asking; i++) {
-        const index = this.bootIndex + found.length;
-        found.push({
+    for (const option of this.options) {
+      for (let i = 0; i < option.requestedCount; i++) {
+        const index = this.bootIndex + machines.length;
+        machines.push({
           index,
           name: '',
-          type: o.type,
-          zone: o.zone,
-          spot: o.spot,
+          type: option.type,
+          zone: option.zone,
+          spot: option.spot,
           rentedAt: now,
           keepUntil: now,
           running: false,
         });
       }
     }
-    return found;
+    return machines;
   }
 
   /** Options of the flow graph: machines that could be rented now. */
-  rentable(dark: ReadonlySet<number>): ProvisioningOption[] {
+  provisioningOptions(unreachableZones: ReadonlySet<number>): ProvisioningOption[] {
     const now = this.deps.clock.now();
     // Of a zone that is cut off one machine is on trial at a time: it tells when the zone is back.
-    const tried = new Set<number>();
-    for (const b of this.bootingByName.values()) tried.add(b.zone);
-    for (const o of this.options) if (o.asking > 0) tried.add(o.zone);
-    const views: ProvisioningOption[] = [];
+    const triedZones = new Set<number>();
+    for (const b of this.bootingByName.values()) triedZones.add(b.zone);
+    for (const o of this.options) if (o.requestedCount > 0) triedZones.add(o.zone);
+    const available: ProvisioningOption[] = [];
     for (const o of this.options) {
-      if (now < o.notBefore || o.asking > 0) continue;
-      if (dark.has(o.zone) && tried.has(o.zone)) continue;
+      if (now < o.notBefore || o.requestedCount > 0) continue;
+      if (unreachableZones.has(o.zone) && triedZones.has(o.zone)) continue;
       const type = required(this.deps.catalog.types[o.type], 'machine type of the option');
-      views.push({
+      available.push({
         option: o.index,
         type: o.type,
         zone: o.zone,
         spot: o.spot,
         size: resourcesOf(type),
-        max: dark.has(o.zone) ? 1 : this.deps.options.fleet.rent_at_once,
+        maxMachines: unreachableZones.has(o.zone) ? 1 : this.deps.options.fleet.rent_at_once,
         price: o.spot ? type.spotPrice : type.price,
         bootS: type.bootS,
         fetchGbPerS: type.fetchGbPerS,
       });
     }
-    return views;
+    return available;
   }
 
   /** Takes the round's wishes. What can't be asked for now is wished for again by the next round. */
-  setDemand(rents: ReadonlyMap<number, number>): void {
-    for (const [index, count] of rents) {
+  setDemand(demand: ReadonlyMap<number, number>): void {
+    for (const [index, count] of demand) {
       const option = this.options[index];
-      if (!option || option.asking > 0 || count <= 0) continue;
-      if (!this.deps.cloud.ready(1)) return;
+      if (!option || option.requestedCount > 0 || count <= 0) continue;
+      if (!this.deps.cloud.canRequest(1)) return;
       void this.provision(option, Math.min(count, MAX_MACHINES_PER_RENTAL));
     }
   }
@@ -171,7 +171,7 @@
       spot: option.spot,
       count,
     };
-    option.asking = count;
+    option.requestedCount = count;
     log.info(rental, 'provisioning machines');
     for (let attempt = 0; attempt < 5 && this.deps.hasValidLease(); attempt++) {
       const rentedAt = clock.now();
@@ -179,7 +179,7 @@
       if (result.kind === 'rented') {
         this.deps.enqueue(() => {
           option.refusals = 0;
-          option.asking = 0;
+          option.requestedCount = 0;
           for (const name of result.names) this.addBooting(name, option, rentedAt, rentedAt);
           if (result.names.length < count) this.backOff(option, 'partly filled');
         });
@@ -187,7 +187,7 @@
       }
       if (result.kind === 'no_capacity' || (result.kind === 'refused' && attempt > 0)) {
         this.deps.enqueue(() => {
-          option.asking = 0;
+          option.requestedCount = 0;
           this.backOff(option, result.kind);
         });
         return;
@@ -196,7 +196,7 @@
       await this.deps.pause(700 * (attempt + 1));
     }
     this.deps.enqueue(() => {
-      option.asking = 0;
+      option.requestedCount = 0;
       this.backOff(option, 'no answer');
     });
   }
@@ -262,15 +262,15 @@
    * Gives idle machines back. What takes long to boot is kept a little longer, since renting it anew costs
    * that time again; within the least time that is charged anyway nothing is gained by returning.
    */
-  offerIdle(idle: readonly IdleMachine[]): void {
+  terminateIdle(idle: readonly IdleMachine[]): void {
     const { idle_s, idle_boot_share, least_charge_s } = this.deps.options.fleet;
     const now = this.deps.clock.now();
     const names: string[] = [];
-    for (const m of idle) {
-      const bootS = this.deps.catalog.types[m.type]?.bootS ?? 0;
-      const rentedAt = this.rentedAt.get(m.name) ?? -Infinity;
+    for (const machine of idle) {
+      const bootS = this.deps.catalog.types[machine.type]?.bootS ?? 0;
+      const rentedAt = this.rentedAt.get(machine.name) ?? -Infinity;
       if (now - rentedAt < least_charge_s * 1000) continue;
-      if (m.idleMs > Math.max(idle_s, bootS * idle_boot_share) * 1000) names.push(m.name);
+      if (machine.idleMs > Math.max(idle_s, bootS * idle_boot_share) * 1000) names.push(machine.name);
     }
     if (names.length === 0) return;
     this.deps.log.info({ machines: names, reason: 'idle' }, 'machines terminated');
@@ -281,7 +281,7 @@
    * The controller stood still or was overloaded until now: whatever came up meanwhile could not report to it.
    * Machines that were booting get as long as those of an earlier leader to find it again.
    */
-  resumed(): void {
+  extendBootGrace(): void {
     const keepUntil = this.deps.clock.now() + LISTED_GRACE_MS;
     for (const b of this.bootingByName.values()) b.keepUntil = Math.max(b.keepUntil, keepUntil);
   }
@@ -299,18 +299,22 @@
    */
   tick(overloaded: boolean): void {
     if (!this.deps.hasValidLease()) return;
-    if (overloaded) this.resumed();
+    if (overloaded) this.extendBootGrace();
     const now = this.deps.clock.now();
-    for (const b of this.bootingByName.values()) {
-      const bootS = this.deps.catalog.types[b.type]?.bootS ?? 60;
-      const patience = (bootS * this.deps.options.fleet.boot_patience + 15) * 1000;
-      if (now - b.rentedAt > patience && now > b.keepUntil && !this.terminating.has(b.name)) {
-        this.deps.log.info({ machine: b.name, reason: 'neverJoined' }, 'machine terminated');
-        this.terminate([b.name]);
+    for (const booting of this.bootingByName.values()) {
+      const bootS = this.deps.catalog.types[booting.type]?.bootS ?? 60;
+      const bootTimeoutMs = (bootS * this.deps.options.fleet.boot_patience + 15) * 1000;
+      if (
+        now - booting.rentedAt > bootTimeoutMs &&
+        now > booting.keepUntil &&
+        !this.terminating.has(booting.name)
+      ) {
+        this.deps.log.info({ machine: booting.name, reason: 'neverJoined' }, 'machine terminated');
+        this.terminate([booting.name]);
       }
     }
     this.terminateDue();
-    if (now - this.lastCatalogAt > 60_000 && this.deps.cloud.ready(1)) {
+    if (now - this.lastCatalogAt > 60_000 && this.deps.cloud.canRequest(1)) {
       this.lastCatalogAt = now;
       void this.refreshPrices();
     }
@@ -322,7 +326,7 @@
    */
   private terminateDue(): void {
     if (this.terminating.size === 0 || this.terminationInFlight) return;
-    if (this.deps.hasValidLease() && this.deps.cloud.ready()) void this.sendTerminations();
+    if (this.deps.hasValidLease() && this.deps.cloud.canRequest()) void this.sendTerminations();
   }
 
   private async refreshPrices(): Promise<void> {
@@ -341,11 +345,11 @@
     const now = this.deps.clock.now();
     const names = [...this.terminating].filter(([, after]) => now >= after).map(([name]) => name);
     const batch = names.slice(0, MAX_MACHINES_PER_TERMINATION);
-    const done = batch.length > 0 && (await this.deps.cloud.terminate(batch));
+    const succeeded = batch.length > 0 && (await this.deps.cloud.terminate(batch));
     this.deps.enqueue(() => {
       this.terminationInFlight = false;
       for (const name of batch) {
-        if (!done) {
+        if (!succeeded) {
           this.terminating.set(name, this.deps.clock.now() + 1000);
           continue;
         }
@@ -354,7 +358,7 @@
         this.rentedAt.delete(name);
         this.terminated.set(name, this.deps.clock.now());
       }
-      if (done) this.deps.onTerminated(batch);
+      if (succeeded) this.deps.onTerminated(batch);
     });
   }
 
@@ -362,37 +366,44 @@
   reconcileMachineList(known: { has(name: string): boolean }): void {
     const now = this.deps.clock.now();
     if (this.listInFlight || now - this.lastListAt < this.deps.options.fleet.list_s * 1000) return;
-    if (!this.deps.cloud.ready(1)) return;
+    if (!this.deps.cloud.canRequest(1)) return;
     this.lastListAt = now;
     this.listInFlight = true;
     void this.deps.cloud.list().then((machines) => {
       this.deps.enqueue(() => {
         this.listInFlight = false;
         if (!machines) return;
-        this.listed = true;
-        const at = this.deps.clock.now();
+        this.hasListedMachines = true;
+        const listedAt = this.deps.clock.now();
         const unexpected: string[] = [];
-        for (const m of machines) {
-          const awaited = this.bootingByName.get(m.name);
-          const running = m.state === 'running';
-          if (awaited) awaited.running = running;
+        for (const machine of machines) {
+          const booting = this.bootingByName.get(machine.name);
+          const running = machine.state === 'running';
+          if (booting) booting.running = running;
           // The list lags, so what was returned lately may still stand in it.
-          if (this.terminated.has(m.name) || this.terminating.has(m.name)) continue;
-          if (m.state === 'failed') {
-            this.terminate([m.name]);
-          } else if (!known.has(m.name) && !this.bootingByName.has(m.name)) {
-            const type = this.deps.catalog.typeIndex(m.machineType);
-            const place = { type, zone: this.deps.zones.index(m.zone), spot: m.spot };
-            unexpected.push(m.name);
-            if (type < 0) this.terminate([m.name]);
-            else this.addBooting(m.name, place, at - m.ageS * 1000, at + LISTED_GRACE_MS, running);
+          if (this.terminated.has(machine.name) || this.terminating.has(machine.name)) continue;
+          if (machine.state === 'failed') {
+            this.terminate([machine.name]);
+          } else if (!known.has(machine.name) && !this.bootingByName.has(machine.name)) {
+            const type = this.deps.catalog.typeIndex(machine.machineType);
+            const place = { type, zone: this.deps.zones.index(machine.zone), spot: machine.spot };
+            unexpected.push(machine.name);
+            if (type < 0) this.terminate([machine.name]);
+            else
+              this.addBooting(
+                machine.name,
+                place,
+                listedAt - machine.ageS * 1000,
+                listedAt + LISTED_GRACE_MS,
+                running,
+              );
           }
         }
         // In one line: a new leader finds hundreds.
         if (unexpected.length > 0)
           this.deps.log.info({ machines: unexpected }, 'unknown machines listed by the cloud');
-        for (const [name, when] of this.terminated)
-          if (at - when > TERMINATED_KEPT_MS) this.terminated.delete(name);
+        for (const [name, terminatedAt] of this.terminated)
+          if (listedAt - terminatedAt > TERMINATED_RETENTION_MS) this.terminated.delete(name);
       });
     });
   }
--- a/src/leader/arrivals.ts
+++ b/src/leader/arrivals.ts
@@ -21,8 +21,8 @@
 
   /** Records a job; `createdWall` is when its user was answered, in wall-clock milliseconds. */
   record(job: JobRequest, createdWall: number): void {
-    this.forecast.note(job, createdWall);
-    if (this.forecast.watches(job.className)) this.recordImage(job.image);
+    this.forecast.record(job, createdWall);
+    if (this.forecast.isWatched(job.className)) this.recordImage(job.image);
   }
 
   private recordImage(image: string): void {
--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -2,7 +2,7 @@
 import type { StartWatermarks } from '../jobs/start-watermarks.ts';
 import type { Job } from '../jobs/job.ts';
 import { ASSIGNED } from '../jobs/job.ts';
-import { fetchTime } from '../scheduling/snapshot.ts';
+import { computeFetchS } from '../scheduling/snapshot.ts';
 import { Attempt, attemptKey } from '../workers/attempt.ts';
 import type { Machine } from '../workers/machine.ts';
 import { isFailing, recordFailure, recordSuccess, retryDelayMs } from '../workers/failure-attribution.ts';
@@ -64,7 +64,7 @@
   private expectFetch(machine: Machine, job: Job): void {
     const gbPerS = this.deps.catalog.types[machine.type]?.fetchGbPerS ?? 0;
     if (machine.images.has(job.spec.image) || gbPerS <= 0) return;
-    machine.images.noteFetch(job.spec.image, fetchTime(job.spec.imageGb, gbPerS) * 1000, this.now());
+    machine.images.noteFetch(job.spec.image, computeFetchS(job.spec.imageGb, gbPerS) * 1000, this.now());
   }
 
   /**
--- a/src/leader/best-effort-work.ts
+++ b/src/leader/best-effort-work.ts
@@ -1,7 +1,7 @@
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import type { IdleTask } from '../scheduling/idle-work.ts';
-import { fits, resourcesOf, allocate, type Resources } from '../scheduling/snapshot.ts';
+import { countFittingTasks, resourcesOf, allocate, type Resources } from '../scheduling/snapshot.ts';
 import type { Machine } from '../workers/machine.ts';
 import { slackOf } from './job-slack.ts';
 import { OUTLIVED_SHARE, type SnapshotDeps } from './snapshot-sources.ts';
@@ -30,7 +30,7 @@
     let least = Infinity;
     for (const type of this.deps.catalog.types) {
       if (job.spec.types && !job.spec.types.includes(type.name)) continue;
-      const tasks = fits(job.spec, type);
+      const tasks = countFittingTasks(job.spec, type);
       if (tasks === 0) continue;
       const price = job.spec.spot ? Math.min(type.price, type.spotPrice) : type.price;
       least = Math.min(least, price / tasks);
@@ -53,8 +53,8 @@
       const ranS = (now - a.runningSince) / 1000;
       const { checkpointIntervalS, checkpointDurationS, estimateS } = job.spec;
       tasks.push({
-        worth: this.worthOf(job),
-        remainS: Math.max(estimateS - ranS, ranS * OUTLIVED_SHARE),
+        maxPrice: this.worthOf(job),
+        remainingS: Math.max(estimateS - ranS, ranS * OUTLIVED_SHARE),
         lossS: checkpointIntervalS > 0 ? checkpointDurationS : ranS,
       });
     }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -291,7 +291,8 @@
    */
   private mayProvision(): boolean {
     const waitMs = this.deps.options.fleet.takeover_rent_s * 1000;
-    if (!this.cluster.recovered || !this.provisioner.listed || this.msSinceStart() < waitMs) return false;
+    if (!this.cluster.recovered || !this.provisioner.hasListedMachines || this.msSinceStart() < waitMs)
+      return false;
     return this.cluster.allReconciled() && this.deps.host.hasValidLease();
   }
 }
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -137,7 +137,7 @@
    */
   private resumeAfterPause(now: number): void {
     this.listeningSince = now;
-    this.deps.provisioner.resumed();
+    this.deps.provisioner.extendBootGrace();
     this.deps.host.log.info({ pausedMs: Math.round(now - this.lastCheckAt) }, 'process paused');
   }
 
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -1,6 +1,6 @@
 import { required } from '../base/required.ts';
 import {
-  fetchTime,
+  computeFetchS,
   mergeReleases,
   resourcesOf,
   allocate,
@@ -58,7 +58,7 @@
         // A task past its estimate has outlived it: it is given a good part of what it has run.
         inS = Math.max(spec.estimateS - ranS, ranS * OUTLIVED_SHARE, 3);
       }
-      leaving.push({ inS, room });
+      leaving.push({ inS, resources: room });
     }
     return mergeReleases(leaving.sort((x, y) => x.inS - y.inS));
   }
@@ -106,12 +106,12 @@
         fetchS: (image, gb) => {
           const readyAt = m.images.get(image);
           // Several images share the rate.
-          if (readyAt === undefined) return fetchTime(gb, type.fetchGbPerS) + fetchingS;
+          if (readyAt === undefined) return computeFetchS(gb, type.fetchGbPerS) + fetchingS;
           return Math.max(0, readyAt - now) / 1000;
         },
-        warm: this.warmth(m),
+        warmImageCount: this.warmth(m),
         surplus: false,
-        penalty: this.failurePenalty(m),
+        penaltySteps: this.failurePenalty(m),
         price: m.id.spot ? type.spotPrice : type.price,
       });
     }
@@ -134,10 +134,10 @@
         releases: [],
         load: 0,
         bootsInS: Math.max(1, type.bootS - (now - b.rentedAt) / 1000),
-        fetchS: (_image, gb) => fetchTime(gb, type.fetchGbPerS),
-        warm: 0,
+        fetchS: (_image, gb) => computeFetchS(gb, type.fetchGbPerS),
+        warmImageCount: 0,
         surplus: false,
-        penalty: 0,
+        penaltySteps: 0,
         price: b.spot ? type.spotPrice : type.price,
       });
     }
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -2,7 +2,7 @@
 import type { MachineProvisioner, IdleMachine } from '../fleet/machine-provisioner.ts';
 import type { Job } from '../jobs/job.ts';
 import { selectVictims, type PreemptionCandidate } from '../scheduling/preempt.ts';
-import { worthKeeping } from '../scheduling/idle-work.ts';
+import { isWorthKeeping } from '../scheduling/idle-work.ts';
 import { runRound } from '../scheduling/round.ts';
 import {
   resourcesOf,
@@ -84,7 +84,7 @@
     if (place) this.placingSince = Math.min(this.placingSince, start);
     if (place) this.carryOut(groups, machines, teamRoom, result);
     this.tookMs = this.now() - start;
-    this.learn(groups.length, result.leftOut);
+    this.learn(groups.length, result.deferredGroupCount);
     this.deps.host.log.debug(
       {
         groups: groups.length,
@@ -118,7 +118,7 @@
     return runRound(
       [...groups, ...this.snapshots.expectedGroups()],
       machines,
-      this.provisioner.rentable(this.cluster.unreachableZones),
+      this.provisioner.provisioningOptions(this.cluster.unreachableZones),
       // Expected tasks have no team yet.
       [...teamRoom, { cpus: Infinity, gpus: Infinity }],
       (type) => {
@@ -127,14 +127,14 @@
       },
       {
         reserveAfterMs: scheduling.reserve_after_s * 1000,
-        turn: this.count,
+        roundNumber: this.count,
         maxGroups: Math.min(scheduling.max_groups, this.mostGroups),
         fetchSteps: scheduling.fetch_steps,
         priceSteps: scheduling.price_steps,
         rentSteps: scheduling.rent_steps,
         rentBiasS: scheduling.rent_bias_s,
         warmSteps: scheduling.warm_steps,
-        rentRound: scheduling.rent_round,
+        roundDownFraction: scheduling.rent_round,
       },
       () => this.now() > deadline,
     );
@@ -170,8 +170,8 @@
       this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: p.count }, 'tasks placed');
     }
     // Whoever was left out may need what is idle now: it was once returned, and rented anew a moment later.
-    if (result.leftOut === 0) {
-      this.provisioner.offerIdle(this.idleMachines(result.held));
+    if (result.deferredGroupCount === 0) {
+      this.provisioner.terminateIdle(this.idleMachines(result.heldForExpected));
       this.consolidate(machines, result);
     }
     if (result.unplaced.size + result.awaiting.size > 0) {
@@ -201,7 +201,10 @@
       const m = this.cluster.machinesByIndex[view.machine];
       if (!m) continue;
       const needed =
-        !view.surplus || used.has(m.index) || result.held.has(m.index) || result.reserved.has(m.index);
+        !view.surplus ||
+        used.has(m.index) ||
+        result.heldForExpected.has(m.index) ||
+        result.reserved.has(m.index);
       const tasks = needed || !m.reconciled ? null : this.snapshots.idleTasks(m);
       if (!tasks) {
         this.bestEffortOnlySince.delete(m);
@@ -209,7 +212,7 @@
       }
       const since = this.bestEffortOnlySince.get(m) ?? now;
       this.bestEffortOnlySince.set(m, since);
-      if (now - since < this.deps.options.fleet.idle_s * 1000 || worthKeeping(view.price, tasks)) continue;
+      if (now - since < this.deps.options.fleet.idle_s * 1000 || isWorthKeeping(view.price, tasks)) continue;
       for (const a of m.live()) this.stopGracefully(a, 'consolidation for scale-in');
     }
   }
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -3,7 +3,7 @@
 import type { IdleTask } from '../scheduling/idle-work.ts';
 import type { PreemptionCandidate } from '../scheduling/preempt.ts';
 import {
-  fits,
+  countFittingTasks,
   resourcesOf,
   type TaskGroup,
   type MachineSnapshot,
@@ -104,12 +104,17 @@
         need += shareOf(used, size);
       }
       for (const g of groups) {
-        if (g.bestEffort || (g.types && !g.types.has(type)) || fits(g.need, size) === 0) continue;
-        need += g.pending / fits(g.need, size);
+        if (g.bestEffort || (g.types && !g.types.has(type)) || countFittingTasks(g.need, size) === 0)
+          continue;
+        need += g.pending / countFittingTasks(g.need, size);
       }
       const active = Math.ceil(need + park_headroom);
       present.sort(
-        (a, b) => a.price - b.price || b.load - a.load || a.warm - b.warm || a.machine - b.machine,
+        (a, b) =>
+          a.price - b.price ||
+          b.load - a.load ||
+          a.warmImageCount - b.warmImageCount ||
+          a.machine - b.machine,
       );
       for (const m of present.slice(active)) m.surplus = true;
     });
@@ -132,7 +137,7 @@
       const last = m.releases.at(-1)?.inS ?? m.bootsInS;
       m.releases.push({
         inS: last + seconds / tasks,
-        room: resourcesOf(size),
+        resources: resourcesOf(size),
       });
     }
   }
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -1,8 +1,8 @@
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import { MeanWork } from '../scheduling/mean-work.ts';
-import { shareGuarantees, type GuaranteeLeft } from '../scheduling/urgency.ts';
-import { fits, resourcesOf, type TaskGroup } from '../scheduling/snapshot.ts';
+import { assignGuarantees, type GuaranteeHeadroom } from '../scheduling/urgency.ts';
+import { countFittingTasks, resourcesOf, type TaskGroup } from '../scheduling/snapshot.ts';
 import type { JobRequest } from '../wire/user.ts';
 import { isFailing } from '../workers/failure-attribution.ts';
 import type { Cluster } from './cluster.ts';
@@ -108,9 +108,9 @@
         // A single task is in one zone whatever its job says, so the flow may choose among all.
         oneZone: spec.oneZone && spec.tasks > 1,
         zoneHint: job.zoneHint,
-        zoneCap: spec.spread ? Math.ceil(spec.tasks / 2) : Infinity,
+        maxTasksPerZone: spec.spread ? Math.ceil(spec.tasks / 2) : Infinity,
         liveByZone,
-        latencySensitive: this.sources.forecast.watches(spec.className),
+        latencySensitive: this.sources.forecast.isWatched(spec.className),
         expected: false,
         waitedMs: probe ? 0 : starving ? LONGEST_MS + waitedMs : waitedMs,
         probe,
@@ -127,21 +127,21 @@
         maxQueueingDelayS,
         slackS,
         guaranteed: false,
-        size: 0,
+        relativeWork: 0,
       });
-      work.note(
+      work.record(
         required(groups.at(-1), 'newest group'),
         spec.className,
         job.pendingCount * spec.estimateS,
         perTask || spec.gang,
       );
     }
-    work.giveSizes();
-    shareGuarantees(groups, this.guaranteesLeft(), scheduling.reserve_after_s * 1000);
+    work.setRelativeWork();
+    assignGuarantees(groups, this.guaranteesLeft(), scheduling.reserve_after_s * 1000);
     return groups;
   }
 
-  private guaranteesLeft(): GuaranteeLeft[] {
+  private guaranteesLeft(): GuaranteeHeadroom[] {
     return this.deps.teams.map((team, index) => {
       const usage = required(this.cluster.usage[index], 'usage of the team');
       return { cpus: team.cpus > 0 ? team.cpus - usage.cpus : null, gpus: team.gpus - usage.gpus };
@@ -155,12 +155,12 @@
       let best: { price: number; bootS: number } | null = null;
       for (const type of this.deps.catalog.types) {
         if (job.types && !job.types.includes(type.name)) continue;
-        if (fits(job, type) === 0) continue;
+        if (countFittingTasks(job, type) === 0) continue;
         if (!best || type.price < best.price) best = type;
       }
       return best?.bootS ?? 0;
     };
-    const expected = this.sources.forecast.expected(
+    const expected = this.sources.forecast.expectedTasks(
       this.deps.host.clock.wall(),
       bootOf,
       scheduling.spare_swing,
@@ -171,13 +171,13 @@
       pending: e.tasks,
       gang: false,
       priority: 0,
-      need: resourcesOf(e.like),
-      types: e.like.types ? new Set(e.like.types.map((t) => this.deps.catalog.typeIndex(t))) : null,
+      need: resourcesOf(e.template),
+      types: e.template.types ? new Set(e.template.types.map((t) => this.deps.catalog.typeIndex(t))) : null,
       zone: -1,
-      spot: e.like.spot,
+      spot: e.template.spot,
       oneZone: false,
       zoneHint: -1,
-      zoneCap: Infinity,
+      maxTasksPerZone: Infinity,
       liveByZone: new Map(),
       latencySensitive: true,
       expected: true,
@@ -186,7 +186,7 @@
       mayProvision: true,
       bestEffort: false,
       maxProvisionPrice: Infinity,
-      image: e.like.image,
+      image: e.template.image,
       imageGb: 0,
       excludedMachines: new Set(),
       nominatedMachine: -1,
@@ -194,7 +194,7 @@
       maxQueueingDelayS: scheduling.spare_patience_s,
       slackS: Infinity,
       guaranteed: false,
-      size: 0,
+      relativeWork: 0,
     }));
   }
 }
--- a/src/scheduling/extract.ts
+++ b/src/scheduling/extract.ts
@@ -2,10 +2,10 @@
 import type { FlowNetwork } from './solver.ts';
 import type { Target } from './targets.ts';
 import {
-  fits,
-  groupFits,
+  countFittingTasks,
+  countFittingGroupTasks,
   allocate,
-  quotaFits,
+  countTasksWithinQuota,
   type TaskGroup,
   type MachineSnapshot,
   type Placement,
@@ -15,23 +15,23 @@
 } from './snapshot.ts';
 
 /** An arc of the network over which a group's tasks can flow to a target. `group`: index into the round's groups. */
-export interface Edge {
+export interface NetworkArc {
   group: number;
   target: Target;
   arc: number;
 }
 
-interface Member {
-  view: MachineSnapshot;
-  room: Resources;
-  added: number;
+interface MachineAllocation {
+  snapshot: MachineSnapshot;
+  free: Resources;
+  taskCount: number;
   /** Images that tasks placed in this round bring to it. */
   images: Set<string>;
 }
 
 /** The equal machines of a target with what the round has put on them so far. */
-class Members {
-  private readonly lists = new Map<Target, Member[]>();
+class MachineAllocations {
+  private readonly byTarget = new Map<Target, MachineAllocation[]>();
 
   constructor(private readonly fetchSteps: number) {}
 
@@ -41,100 +41,120 @@
    * machines once made forty fetches, and machines that fetched the images of four jobs at the same time.
    */
   place(target: Target, group: TaskGroup, count: number, placed: Placement[]): number {
-    let list = this.lists.get(target);
-    if (!list) {
-      list = target.views.map((view) => ({ view, room: { ...view.free }, added: 0, images: new Set() }));
-      this.lists.set(target, list);
+    let allocations = this.byTarget.get(target);
+    if (!allocations) {
+      allocations = target.snapshots.map((snapshot) => ({
+        snapshot,
+        free: { ...snapshot.free },
+        taskCount: 0,
+        images: new Set(),
+      }));
+      this.byTarget.set(target, allocations);
     }
-    const fetch =
-      required(list[0], 'machine of the target').view.fetchS(group.image, group.imageGb) * this.fetchSteps;
-    const given = new Map<Member, number>();
-    let left = count;
-    while (left > 0) {
-      let best: Member | null = null;
+    const fetchCost =
+      required(allocations[0], 'machine of the target').snapshot.fetchS(group.image, group.imageGb) *
+      this.fetchSteps;
+    const newTasks = new Map<MachineAllocation, number>();
+    let tasksLeft = count;
+    while (tasksLeft > 0) {
+      let best: MachineAllocation | null = null;
       let bestCost = Infinity;
-      for (const m of list) {
-        const cost = m.added + (fetch > 0 && !m.images.has(group.image) ? fetch : 0);
-        if (cost >= bestCost || groupFits(group, m.room, m.view.perAccelerator) === 0) continue;
-        best = m;
+      for (const allocation of allocations) {
+        const cost =
+          allocation.taskCount + (fetchCost > 0 && !allocation.images.has(group.image) ? fetchCost : 0);
+        if (
+          cost >= bestCost ||
+          countFittingGroupTasks(group, allocation.free, allocation.snapshot.perAccelerator) === 0
+        )
+          continue;
+        best = allocation;
         bestCost = cost;
         if (cost === 0) break;
       }
       if (!best) break;
       // What follows on the same machine costs less than the first there, as long as steps don't add up to more.
-      const more = fetch > 0 ? Math.max(1, Math.floor(fetch)) : 1;
-      const n = Math.min(left, more, groupFits(group, best.room, best.view.perAccelerator));
-      allocate(best.room, group.need, n);
-      best.added += n;
+      const maxTasks = fetchCost > 0 ? Math.max(1, Math.floor(fetchCost)) : 1;
+      const taskCount = Math.min(
+        tasksLeft,
+        maxTasks,
+        countFittingGroupTasks(group, best.free, best.snapshot.perAccelerator),
+      );
+      allocate(best.free, group.need, taskCount);
+      best.taskCount += taskCount;
       best.images.add(group.image);
-      left -= n;
-      given.set(best, (given.get(best) ?? 0) + n);
+      tasksLeft -= taskCount;
+      newTasks.set(best, (newTasks.get(best) ?? 0) + taskCount);
     }
-    for (const [m, n] of given) placed.push({ job: group.job, machine: m.view.machine, count: n });
-    return count - left;
+    for (const [allocation, taskCount] of newTasks)
+      placed.push({ job: group.job, machine: allocation.snapshot.machine, count: taskCount });
+    return count - tasksLeft;
   }
 }
 
 /** Takes the placements out of the flow, in order of urgency, as far as room and limits really allow. */
-export function extract(
+export function extractPlacements(
   groups: readonly TaskGroup[],
-  edges: readonly Edge[],
+  arcs: readonly NetworkArc[],
   net: FlowNetwork,
-  teamRoom: readonly QuotaHeadroom[],
-  costs: { rentRound: number; fetchSteps: number },
+  quotaHeadroom: readonly QuotaHeadroom[],
+  costs: { roundDownFraction: number; fetchSteps: number },
   result: RoundResult,
 ): number[] {
-  const members = new Members(costs.fetchSteps);
-  const teams = teamRoom.map((t) => ({ ...t }));
+  const allocations = new MachineAllocations(costs.fetchSteps);
+  const headroomByTeam = quotaHeadroom.map((t) => ({ ...t }));
   const demand = new Map<number, number>();
   const dropped: number[] = [];
-  const byGroup: Edge[][] = groups.map(() => []);
-  for (const edge of edges) {
-    if (net.flow(edge.arc) > 0) required(byGroup[edge.group], 'group of the edge').push(edge);
+  const arcsByGroup: NetworkArc[][] = groups.map(() => []);
+  for (const arc of arcs) {
+    if (net.flow(arc.arc) > 0) required(arcsByGroup[arc.group], 'group of the edge').push(arc);
   }
   groups.forEach((group, index) => {
     const placed: Placement[] = [];
-    let total = 0;
-    let later = 0;
-    const wants: { option: number; machines: number }[] = [];
-    for (const edge of required(byGroup[index], 'edges of the group')) {
-      const { target } = edge;
-      const flow = net.flow(edge.arc);
+    let placedCount = 0;
+    let laterCount = 0;
+    const provisioningDemand: { option: number; machines: number }[] = [];
+    for (const groupArc of required(arcsByGroup[index], 'edges of the group')) {
+      const { target } = groupArc;
+      const flow = net.flow(groupArc.arc);
       if (target.option) {
-        wants.push({ option: target.option.option, machines: flow / fits(group.need, target.option.size) });
-        later += flow;
+        provisioningDemand.push({
+          option: target.option.option,
+          machines: flow / countFittingTasks(group.need, target.option.size),
+        });
+        laterCount += flow;
       } else if (target.kind === 'later') {
-        later += flow;
+        laterCount += flow;
       } else {
-        const team = required(teams[group.team], 'room of the team');
-        const count = Math.min(flow, quotaFits(group.need, team));
+        const teamHeadroom = required(headroomByTeam[group.team], 'room of the team');
+        const count = Math.min(flow, countTasksWithinQuota(group.need, teamHeadroom));
         if (count <= 0) continue;
-        const found = members.place(target, group, count, placed);
-        team.cpus -= group.need.cpus * found;
-        team.gpus -= group.need.gpus * found;
-        total += found;
+        const allocated = allocations.place(target, group, count, placed);
+        teamHeadroom.cpus -= group.need.cpus * allocated;
+        teamHeadroom.gpus -= group.need.gpus * allocated;
+        placedCount += allocated;
       }
     }
-    for (const want of wants) demand.set(want.option, (demand.get(want.option) ?? 0) + want.machines);
+    for (const optionDemand of provisioningDemand)
+      demand.set(optionDemand.option, (demand.get(optionDemand.option) ?? 0) + optionDemand.machines);
     if (group.expected) {
-      for (const p of placed) result.held.add(p.machine);
+      for (const p of placed) result.heldForExpected.add(p.machine);
       return;
     }
-    if (later > 0) result.awaiting.set(group.job, later);
-    const missing = group.pending - total - later;
-    if (missing > 0) result.unplaced.set(group.job, missing);
+    if (laterCount > 0) result.awaiting.set(group.job, laterCount);
+    const unplacedCount = group.pending - placedCount - laterCount;
+    if (unplacedCount > 0) result.unplaced.set(group.job, unplacedCount);
     else result.unplaced.delete(group.job);
-    if (group.gang && total < group.pending) {
+    if (group.gang && placedCount < group.pending) {
       // With the rest on its way the room found is kept; otherwise the gang steps back for this round.
-      if (total > 0 && missing > 0) dropped.push(group.job);
+      if (placedCount > 0 && unplacedCount > 0) dropped.push(group.job);
       return;
     }
     result.placements.push(...placed);
   });
   for (const [option, amount] of demand) {
     // A small part of a further machine isn't worth one: those tasks find room when others end.
-    const spared = amount > 1 ? costs.rentRound : 1e-6;
-    result.demand.set(option, Math.max(1, Math.ceil(amount - spared)));
+    const ignoredFraction = amount > 1 ? costs.roundDownFraction : 1e-6;
+    result.demand.set(option, Math.max(1, Math.ceil(amount - ignoredFraction)));
   }
   return dropped;
 }
--- a/src/scheduling/forecast.ts
+++ b/src/scheduling/forecast.ts
@@ -8,16 +8,16 @@
 }
 
 /** Tasks that are likely to arrive, with the latest job of their class as a pattern. */
-export interface Expected {
-  like: JobRequest;
+export interface ExpectedTasks {
+  template: JobRequest;
   /** Tasks for which room should be at hand. */
   tasks: number;
 }
 
 const WINDOW_MS = 300_000;
 /** Before this much has been watched, a rate would be a guess from too little. */
-const SETTLE_MS = 60_000;
-const QUIET_GAPS = 6;
+const MIN_OBSERVATION_MS = 60_000;
+const MAX_QUIET_GAPS = 6;
 
 /**
  * What is likely to arrive while a machine boots, for classes whose tasks are expected to start within a
@@ -28,41 +28,45 @@
   private readonly classes = new Map<string, ClassHistory>();
   private firstAt = Infinity;
 
-  constructor(private readonly watched: ReadonlySet<string>) {}
+  constructor(private readonly watchedClasses: ReadonlySet<string>) {}
 
-  watches(className: string): boolean {
-    return this.watched.has(className);
+  isWatched(className: string): boolean {
+    return this.watchedClasses.has(className);
   }
 
   /** Takes in an arrival by the time of day, so that jobs of an earlier leader count as well. */
-  note(job: JobRequest, atMs: number): void {
-    if (!this.watched.has(job.className)) return;
+  record(job: JobRequest, atMs: number): void {
+    if (!this.watchedClasses.has(job.className)) return;
     this.firstAt = Math.min(this.firstAt, atMs);
-    const known = this.classes.get(job.className);
-    if (!known) {
+    const history = this.classes.get(job.className);
+    if (!history) {
       this.classes.set(job.className, { arrivals: [atMs], tasks: [job.tasks], latest: job });
       return;
     }
-    known.arrivals.push(atMs);
-    known.tasks.push(job.tasks);
-    if (known.tasks.length > 20) known.tasks.shift();
-    known.latest = job;
+    history.arrivals.push(atMs);
+    history.tasks.push(job.tasks);
+    if (history.tasks.length > 20) history.tasks.shift();
+    history.latest = job;
   }
 
-  expected(nowMs: number, bootS: (job: JobRequest) => number, swing: number): Expected[] {
-    const found: Expected[] = [];
+  expectedTasks(
+    nowMs: number,
+    bootS: (job: JobRequest) => number,
+    fluctuationFactor: number,
+  ): ExpectedTasks[] {
+    const expected: ExpectedTasks[] = [];
     for (const history of this.classes.values()) {
       const last = required(history.arrivals.at(-1), 'arrival of a noted class');
       while (last - (history.arrivals[0] ?? last) > WINDOW_MS) history.arrivals.shift();
-      const spanMs = Math.min(WINDOW_MS, Math.max(SETTLE_MS, last - this.firstAt));
+      const spanMs = Math.min(WINDOW_MS, Math.max(MIN_OBSERVATION_MS, last - this.firstAt));
       const perMs = history.arrivals.length / spanMs;
       // When the class has gone quiet for much longer than its usual gap, room kept for it is paid for nothing.
-      if (nowMs - last > QUIET_GAPS / perMs) continue;
-      const jobs = swing * Math.sqrt(perMs * bootS(history.latest) * 1000);
-      const mean = history.tasks.reduce((a, b) => a + b, 0) / history.tasks.length;
-      const tasks = Math.round(jobs * mean);
-      if (tasks > 0) found.push({ like: history.latest, tasks });
+      if (nowMs - last > MAX_QUIET_GAPS / perMs) continue;
+      const jobs = fluctuationFactor * Math.sqrt(perMs * bootS(history.latest) * 1000);
+      const meanTasks = history.tasks.reduce((a, b) => a + b, 0) / history.tasks.length;
+      const tasks = Math.round(jobs * meanTasks);
+      if (tasks > 0) expected.push({ template: history.latest, tasks });
     }
-    return found;
+    return expected;
   }
 }
--- a/src/scheduling/idle-work.ts
+++ b/src/scheduling/idle-work.ts
@@ -1,15 +1,15 @@
 /** What a machine runs that nobody waits for. */
 export interface IdleTask {
   /** Greatest hourly price that the task is worth, in the cloud's currency. */
-  worth: number;
+  maxPrice: number;
   /** Seconds until it ends, by its owner's estimate. */
-  remainS: number;
+  remainingS: number;
   /** Seconds of its work that are lost if it is stopped now. */
   lossS: number;
 }
 
 /** Seconds for which a machine is still paid once its tasks have been told to stop. */
-const RETURN_S = 15;
+const TERMINATION_DELAY_S = 15;
 
 /**
  * Whether a machine whose only tasks are these is worth its price until they end. If not, they had better be stopped
@@ -17,12 +17,12 @@
  *
  * `price`: of the machine, an hour.
  */
-export function worthKeeping(price: number, tasks: readonly IdleTask[]): boolean {
-  let remainS = 0;
-  let elsewhere = 0;
+export function isWorthKeeping(price: number, tasks: readonly IdleTask[]): boolean {
+  let remainingS = 0;
+  let costElsewhere = 0;
   for (const task of tasks) {
-    remainS = Math.max(remainS, task.remainS);
-    elsewhere += task.worth * (task.remainS + task.lossS);
+    remainingS = Math.max(remainingS, task.remainingS);
+    costElsewhere += task.maxPrice * (task.remainingS + task.lossS);
   }
-  return price * remainS <= elsewhere + price * RETURN_S;
+  return price * remainingS <= costElsewhere + price * TERMINATION_DELAY_S;
 }
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -1,10 +1,16 @@
 import { required } from '../base/required.ts';
-import { allowed, fetchOn, fitting, type Needs, type Target } from './targets.ts';
-import { BAND, urgency } from './urgency.ts';
 import {
-  fits,
-  groupFits,
-  quotaFits,
+  isAllowed,
+  estimateFetchS,
+  countFittingOnTarget,
+  type DistinctNeeds,
+  type Target,
+} from './targets.ts';
+import { COST_BAND, computeUrgency } from './urgency.ts';
+import {
+  countFittingTasks,
+  countFittingGroupTasks,
+  countTasksWithinQuota,
   type TaskGroup,
   type MachineSnapshot,
   type QuotaHeadroom,
@@ -28,20 +34,20 @@
 }
 
 /** A further task on a machine costs one step more. Steps are scaled so that preferences can be finer. */
-export const STEP = 10;
+export const COST_PER_STEP = 10;
 /** More than any load or preference adds on a present machine. */
-const PARK_STEPS = 2000;
+const SURPLUS_STEPS = 2000;
 /** More images than this don't make a machine any warmer. */
-const MOST_WARM = 3;
+const MAX_WARM_IMAGES = 3;
 
-const clamp = (cost: number): number => Math.min(BAND - 1, Math.max(0, Math.round(cost)));
+const clampToBand = (cost: number): number => Math.min(COST_BAND - 1, Math.max(0, Math.round(cost)));
 
 /** What a group's tasks can flow to, and what each costs there. */
-export interface Bid {
+export interface PreferenceArc {
   target: Target;
   /** Tasks of the group that one machine takes (now), or all of the target. */
-  each: number;
-  count: number;
+  slots: number;
+  capacity: number;
   cost: number;
 }
 
@@ -49,15 +55,15 @@
 export interface GroupPlan {
   group: TaskGroup;
   wanted: number;
-  press: number;
+  urgency: number;
   /** The zone that was chosen for a group that must stay together, or -1. */
   zone: number;
-  bids: Bid[];
+  preferenceArcs: PreferenceArc[];
 }
 
 /** Tasks of the group that its team's limit takes; a gang goes whole or not at all. */
-export function wantedOf(group: TaskGroup, teamRoom: readonly QuotaHeadroom[]): number {
-  const limit = quotaFits(group.need, required(teamRoom[group.team], 'room of the team'));
+export function countAdmissibleTasks(group: TaskGroup, quotaHeadroom: readonly QuotaHeadroom[]): number {
+  const limit = countTasksWithinQuota(group.need, required(quotaHeadroom[group.team], 'room of the team'));
   if (group.gang) return limit >= group.pending ? group.pending : 0;
   return Math.min(group.pending, limit);
 }
@@ -65,98 +71,131 @@
 /** A task's cost on a machine besides its load: the image, the price of a type it doesn't need, known faults. */
 function machineCost(
   group: TaskGroup,
-  m: MachineSnapshot,
-  each: number,
-  cheapest: number,
+  snapshot: MachineSnapshot,
+  fittingTasks: number,
+  cheapestPrice: number,
   options: CostOptions,
 ): number {
   // One fetch serves all of the group's tasks that go there.
-  const fetch = m.fetchS(group.image, group.imageGb) / Math.max(1, Math.min(each, group.pending));
-  const dearer = Math.max(0, m.price - cheapest);
-  const parked = m.surplus && !group.latencySensitive ? PARK_STEPS : 0;
+  const fetchSPerTask =
+    snapshot.fetchS(group.image, group.imageGb) / Math.max(1, Math.min(fittingTasks, group.pending));
+  const extraPrice = Math.max(0, snapshot.price - cheapestPrice);
+  const surplusSteps = snapshot.surplus && !group.latencySensitive ? SURPLUS_STEPS : 0;
   // Machines with the images of classes that must start soon are left to those, as far as others will do.
-  const lacking = Math.max(0, MOST_WARM - m.warm);
-  const affinity =
-    (group.expected ? lacking : group.latencySensitive ? 0 : Math.min(MOST_WARM, m.warm)) * options.warmSteps;
-  return (fetch * options.fetchSteps + dearer * options.priceSteps + m.penalty + affinity + parked) * STEP;
+  const missingWarmImages = Math.max(0, MAX_WARM_IMAGES - snapshot.warmImageCount);
+  const imageSteps =
+    (group.expected
+      ? missingWarmImages
+      : group.latencySensitive
+        ? 0
+        : Math.min(MAX_WARM_IMAGES, snapshot.warmImageCount)) * options.warmSteps;
+  return (
+    (fetchSPerTask * options.fetchSteps +
+      extraPrice * options.priceSteps +
+      snapshot.penaltySteps +
+      imageSteps +
+      surplusSteps) *
+    COST_PER_STEP
+  );
 }
 
 /**
  * Makes the plans of a round. Jobs of one class may use the same machines: which those are is found once for all
  * of them, since looking at every target for every group was most of a round of some hundred machines.
  */
-export class Planner {
-  private readonly usable = new Map<string, Target[]>();
+export class GroupPlanner {
+  private readonly usableByKey = new Map<string, Target[]>();
 
   constructor(
-    private readonly needs: Needs,
+    private readonly needs: DistinctNeeds,
     private readonly targets: readonly Target[],
     private readonly options: CostOptions,
   ) {}
 
-  private usableFor(group: TaskGroup, need: number): Target[] {
+  private usableFor(group: TaskGroup, needIndex: number): Target[] {
     const types = group.types ? [...group.types].join() : '*';
-    const key = `${types}/${group.zone}/${group.spot}/${need}`;
-    let found = this.usable.get(key);
-    if (!found) {
-      found = this.targets.filter(
-        (t) => allowed(group, t.type, t.zone, t.spot) && fitting(t, this.needs, need) > 0,
+    const key = `${types}/${group.zone}/${group.spot}/${needIndex}`;
+    let usableTargets = this.usableByKey.get(key);
+    if (!usableTargets) {
+      usableTargets = this.targets.filter(
+        (t) => isAllowed(group, t.type, t.zone, t.spot) && countFittingOnTarget(t, this.needs, needIndex) > 0,
       );
-      this.usable.set(key, found);
+      this.usableByKey.set(key, usableTargets);
     }
-    return found;
+    return usableTargets;
   }
 
-  plan(group: TaskGroup, teamRoom: readonly QuotaHeadroom[]): GroupPlan | null {
-    const wanted = wantedOf(group, teamRoom);
+  planGroup(group: TaskGroup, quotaHeadroom: readonly QuotaHeadroom[]): GroupPlan | null {
+    const wanted = countAdmissibleTasks(group, quotaHeadroom);
     if (wanted === 0) return null;
-    const need = this.needs.index(group.need);
-    const press = urgency(group, this.options.reserveAfterMs);
-    let usable = this.usableFor(group, need);
-    const zone = group.oneZone ? pickZone(group, need, wanted, this.needs, usable) : -1;
-    const plan: GroupPlan = { group, wanted, press, zone, bids: [] };
+    const needIndex = this.needs.addNeed(group.need);
+    const urgency = computeUrgency(group, this.options.reserveAfterMs);
+    let usable = this.usableFor(group, needIndex);
+    const zone = group.oneZone ? pickZone(group, needIndex, wanted, this.needs, usable) : -1;
+    const plan: GroupPlan = { group, wanted, urgency, zone, preferenceArcs: [] };
     if (group.oneZone && zone < 0) return plan;
     if (zone >= 0) usable = usable.filter((t) => t.zone === zone);
-    let cheapest = Infinity;
-    for (const t of usable) if (t.kind !== 'later') cheapest = Math.min(cheapest, t.price);
+    let cheapestPrice = Infinity;
+    for (const target of usable)
+      if (target.kind !== 'later') cheapestPrice = Math.min(cheapestPrice, target.price);
     for (const target of usable) {
       if (target.holder >= 0 && target.holder !== group.job) continue;
-      if (group.nominatedMachine >= 0 && target.views[0]?.machine !== group.nominatedMachine) continue;
-      const bid = this.bid(group, target, fitting(target, this.needs, need), wanted, press, cheapest);
-      if (bid) plan.bids.push(bid);
+      if (group.nominatedMachine >= 0 && target.snapshots[0]?.machine !== group.nominatedMachine) continue;
+      const arc = this.makePreferenceArc(
+        group,
+        target,
+        countFittingOnTarget(target, this.needs, needIndex),
+        wanted,
+        urgency,
+        cheapestPrice,
+      );
+      if (arc) plan.preferenceArcs.push(arc);
     }
     return plan;
   }
 
-  private bid(
+  private makePreferenceArc(
     group: TaskGroup,
     target: Target,
-    each: number,
+    fittingTasks: number,
     wanted: number,
-    press: number,
-    cheapest: number,
-  ): Bid | null {
+    urgency: number,
+    cheapestPrice: number,
+  ): PreferenceArc | null {
     const { options } = this;
     if (target.kind === 'now') {
-      const first = required(target.views[0], 'machine of the target');
-      if (group.excludedMachines.has(first.machine)) return null;
-      const room = group.bestEffort ? groupFits(group, first.free, first.perAccelerator) : each;
-      if (room === 0) return null;
+      const snapshot = required(target.snapshots[0], 'machine of the target');
+      if (group.excludedMachines.has(snapshot.machine)) return null;
+      const slots = group.bestEffort
+        ? countFittingGroupTasks(group, snapshot.free, snapshot.perAccelerator)
+        : fittingTasks;
+      if (slots === 0) return null;
       // An idle machine beyond the present need had better go back than be kept up for it.
-      if (first.surplus && first.load === 0 && first.price / room > group.maxProvisionPrice) return null;
-      const count = Math.min(wanted, room * target.views.length);
-      return { target, each: room, count, cost: clamp(machineCost(group, first, each, cheapest, options)) };
+      if (snapshot.surplus && snapshot.load === 0 && snapshot.price / slots > group.maxProvisionPrice)
+        return null;
+      const capacity = Math.min(wanted, slots * target.snapshots.length);
+      return {
+        target,
+        slots,
+        capacity,
+        cost: clampToBand(machineCost(group, snapshot, fittingTasks, cheapestPrice, options)),
+      };
     }
     if (target.kind === 'rent' && !group.mayProvision) return null;
-    const fetchS = fetchOn(target, group.image, group.imageGb);
-    const count = Math.min(wanted, each);
+    const fetchS = estimateFetchS(target, group.image, group.imageGb);
+    const capacity = Math.min(wanted, fittingTasks);
     if (!target.option)
-      return { target, each, count, cost: BAND + press + clamp((fetchS + target.inS) * STEP) };
+      return {
+        target,
+        slots: fittingTasks,
+        capacity,
+        cost: COST_BAND + urgency + clampToBand((fetchS + target.inS) * COST_PER_STEP),
+      };
     const { price, bootS, size } = target.option;
     const waitS = bootS + fetchS + group.maxQueueingDelayS + options.rentBiasS;
-    const perTask = price / fits(group.need, size);
-    if (perTask > group.maxProvisionPrice) return null;
-    const cost = BAND + press + clamp(perTask * options.rentSteps + waitS * STEP);
-    return { target, each, count, cost };
+    const pricePerTask = price / countFittingTasks(group.need, size);
+    if (pricePerTask > group.maxProvisionPrice) return null;
+    const cost = COST_BAND + urgency + clampToBand(pricePerTask * options.rentSteps + waitS * COST_PER_STEP);
+    return { target, slots: fittingTasks, capacity, cost };
   }
 }
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -1,8 +1,8 @@
 import { required } from '../base/required.ts';
 import {
-  fits,
+  countFittingTasks,
   allocate,
-  quotaFits,
+  countTasksWithinQuota,
   type TaskGroup,
   type MachineSnapshot,
   type Resources,
@@ -43,60 +43,64 @@
  */
 export function selectVictims<T>(
   group: TaskGroup,
-  waiting: number,
+  waitingTasks: number,
   machines: readonly MachineSnapshot[],
   victimsOn: (machine: number) => PreemptionCandidate<T>[],
-  teamRoom: readonly QuotaHeadroom[],
+  quotaHeadroom: readonly QuotaHeadroom[],
   guaranteeAfterMs: number,
   reserved: ReadonlyMap<number, number>,
   /** Takes the machines that the group will find its room on, those with room already included. */
-  counted = new Set<number>(),
+  chosenMachines = new Set<number>(),
 ): T[] | null {
-  let want = Math.min(waiting, quotaFits(group.need, required(teamRoom[group.team], 'room of the team')));
-  if (group.gang && want < group.pending) return [];
+  let tasksLeft = Math.min(
+    waitingTasks,
+    countTasksWithinQuota(group.need, required(quotaHeadroom[group.team], 'room of the team')),
+  );
+  if (group.gang && tasksLeft < group.pending) return [];
   const plans: { machine: number; items: T[]; count: number; loss: number; zone: number }[] = [];
-  for (const m of machines) {
-    if (m.bootsInS > 0 || group.excludedMachines.has(m.machine)) continue;
+  for (const snapshot of machines) {
+    if (snapshot.bootsInS > 0 || group.excludedMachines.has(snapshot.machine)) continue;
     // A machine kept free for another job would take that job's tasks, and the stopped ones would come to nothing.
-    const holder = reserved.get(m.machine);
+    const holder = reserved.get(snapshot.machine);
     if (holder !== undefined && holder !== group.job) continue;
-    if (m.spot && !group.spot) continue;
-    if (group.zone >= 0 && group.zone !== m.zone) continue;
-    if (group.types && !group.types.has(m.type)) continue;
-    const free = { ...m.free };
-    const victims = victimsOn(m.machine);
+    if (snapshot.spot && !group.spot) continue;
+    if (group.zone >= 0 && group.zone !== snapshot.zone) continue;
+    if (group.types && !group.types.has(snapshot.type)) continue;
+    const free = { ...snapshot.free };
+    const victims = victimsOn(snapshot.machine);
     for (const v of victims) if (v.stopping) allocate(free, v.need, -1);
-    const already = fits(group.need, free);
-    if (already > 0) {
+    const fittingTasks = countFittingTasks(group.need, free);
+    if (fittingTasks > 0) {
       // Free room, or room that is being made: the next rounds will use it.
-      if (want > 0) counted.add(m.machine);
-      want -= Math.min(want, already);
+      if (tasksLeft > 0) chosenMachines.add(snapshot.machine);
+      tasksLeft -= Math.min(tasksLeft, fittingTasks);
       continue;
     }
     const candidates = victims.filter((v) => !v.stopping && mayPreempt(group, v, guaranteeAfterMs));
     candidates.sort((a, b) => a.priority - b.priority || a.lossS - b.lossS);
     const items: T[] = [];
     let loss = 0;
-    for (const v of candidates) {
-      if (fits(group.need, free) > 0) break;
-      allocate(free, v.need, -1);
-      items.push(v.item);
-      loss += v.lossS + 2;
+    for (const candidate of candidates) {
+      if (countFittingTasks(group.need, free) > 0) break;
+      allocate(free, candidate.need, -1);
+      items.push(candidate.item);
+      loss += candidate.lossS + 2;
     }
-    const count = fits(group.need, free);
-    if (count > 0 && items.length > 0) plans.push({ machine: m.machine, items, count, loss, zone: m.zone });
+    const count = countFittingTasks(group.need, free);
+    if (count > 0 && items.length > 0)
+      plans.push({ machine: snapshot.machine, items, count, loss, zone: snapshot.zone });
   }
-  if (want <= 0) return null;
+  if (tasksLeft <= 0) return null;
   plans.sort((a, b) => a.loss / a.count - b.loss / b.count);
   const chosen: T[] = [];
   const zone = group.oneZone ? plans[0]?.zone : undefined;
   for (const plan of plans) {
-    if (want <= 0) break;
+    if (tasksLeft <= 0) break;
     if (zone !== undefined && plan.zone !== zone) continue;
     chosen.push(...plan.items);
-    counted.add(plan.machine);
-    want -= plan.count;
+    chosenMachines.add(plan.machine);
+    tasksLeft -= plan.count;
   }
   // A gang gains nothing from room for a part of it.
-  return group.gang && want > 0 ? [] : chosen;
+  return group.gang && tasksLeft > 0 ? [] : chosen;
 }
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -1,10 +1,16 @@
 import { FlowNetwork } from './solver.ts';
-import { extract, type Edge } from './extract.ts';
-import { Planner, STEP, wantedOf, type CostOptions, type GroupPlan } from './plan.ts';
-import { allowed, makeTargets, Needs, type Target } from './targets.ts';
-import { BAND, urgency } from './urgency.ts';
+import { extractPlacements, type NetworkArc } from './extract.ts';
 import {
-  fits,
+  GroupPlanner,
+  COST_PER_STEP,
+  countAdmissibleTasks,
+  type CostOptions,
+  type GroupPlan,
+} from './plan.ts';
+import { isAllowed, makeTargets, DistinctNeeds, type Target } from './targets.ts';
+import { COST_BAND, computeUrgency } from './urgency.ts';
+import {
+  countFittingTasks,
   type TaskGroup,
   type MachineSnapshot,
   type ProvisioningOption,
@@ -18,25 +24,25 @@
   /** Groups in one round; the others wait for the next. */
   maxGroups: number;
   /** Counts rounds: who is left out gets a turn. */
-  turn: number;
+  roundNumber: number;
   /** The part of a further machine that is not rented for. */
-  rentRound: number;
+  roundDownFraction: number;
 }
 
 /** Machines kept free for one job that waits long; of a gang as many as it has tasks, within reason. */
-const MOST_KEPT = 4;
+const MAX_RESERVED_MACHINES = 4;
 /** Who waited longest is served first: more jobs at a time would keep all machines free of everybody. */
-const MOST_KEEPING = 12;
-const MOST_KEPT_GANG = 64;
+const MAX_RESERVING_GROUPS = 12;
+const MAX_RESERVED_MACHINES_GANG = 64;
 /** Dearer than any machine, whatever the group's urgency adds. */
-const UNSCHEDULED = 30 * BAND;
+const UNSCHEDULED_COST = 30 * COST_BAND;
 
 /**
  * Machines kept free for jobs that wait long, who waited longest first: the nearest to fitting, and of a gang
  * all that it needs, in the one zone it is bound to. A gang of sixteen once had four kept for it, and small
  * jobs took the rest for ever.
  */
-function reserve(
+function reserveMachines(
   groups: readonly TaskGroup[],
   machines: readonly MachineSnapshot[],
   sizeOf: (type: number) => Resources | null,
@@ -47,65 +53,73 @@
   for (const group of groups) for (const machine of group.reservedMachines) reserved.set(machine, group.job);
   const waiting = groups.filter((g) => !g.expected && g.waitedMs >= options.reserveAfterMs);
   waiting.sort((a, b) => b.waitedMs - a.waitedMs);
-  for (const group of waiting.slice(0, MOST_KEEPING)) {
-    const found: { machine: number; zone: number; room: number; missing: number }[] = [];
-    const byZone = new Map<number, number>();
-    for (const m of machines) {
-      if (m.bootsInS > 0 || reserved.has(m.machine) || group.excludedMachines.has(m.machine)) continue;
-      if (!allowed(group, m.type, m.zone, m.spot)) continue;
-      const size = sizeOf(m.type);
-      const room = size ? fits(group.need, size) : 0;
-      if (room === 0) continue;
-      found.push({
-        machine: m.machine,
-        zone: m.zone,
-        room,
-        missing: m.load - fits(group.need, m.free) * 100,
+  for (const group of waiting.slice(0, MAX_RESERVING_GROUPS)) {
+    const candidates: { machine: number; zone: number; fittingTasks: number; shortfall: number }[] = [];
+    const fittingTasksByZone = new Map<number, number>();
+    for (const snapshot of machines) {
+      if (
+        snapshot.bootsInS > 0 ||
+        reserved.has(snapshot.machine) ||
+        group.excludedMachines.has(snapshot.machine)
+      )
+        continue;
+      if (!isAllowed(group, snapshot.type, snapshot.zone, snapshot.spot)) continue;
+      const size = sizeOf(snapshot.type);
+      const fittingTasks = size ? countFittingTasks(group.need, size) : 0;
+      if (fittingTasks === 0) continue;
+      candidates.push({
+        machine: snapshot.machine,
+        zone: snapshot.zone,
+        fittingTasks,
+        shortfall: snapshot.load - countFittingTasks(group.need, snapshot.free) * 100,
       });
-      byZone.set(m.zone, (byZone.get(m.zone) ?? 0) + room);
+      fittingTasksByZone.set(snapshot.zone, (fittingTasksByZone.get(snapshot.zone) ?? 0) + fittingTasks);
     }
     let zone = group.zone;
     if (group.oneZone && zone < 0) {
-      const held = [...group.liveByZone].find(([, count]) => count > 0);
-      if (held) zone = held[0];
-      else if ((byZone.get(group.zoneHint) ?? 0) > 0) zone = group.zoneHint;
-      else zone = [...byZone].sort((a, b) => b[1] - a[1])[0]?.[0] ?? -1;
+      const liveZone = [...group.liveByZone].find(([, count]) => count > 0);
+      if (liveZone) zone = liveZone[0];
+      else if ((fittingTasksByZone.get(group.zoneHint) ?? 0) > 0) zone = group.zoneHint;
+      else zone = [...fittingTasksByZone].sort((a, b) => b[1] - a[1])[0]?.[0] ?? -1;
     }
-    found.sort((a, b) => a.missing - b.missing || a.machine - b.machine);
-    let want = group.pending;
-    let most = group.gang ? MOST_KEPT_GANG : MOST_KEPT;
-    for (const f of found) {
-      if (want <= 0 || most <= 0) break;
-      if (zone >= 0 && f.zone !== zone) continue;
-      reserved.set(f.machine, group.job);
-      want -= f.room;
-      most -= 1;
+    candidates.sort((a, b) => a.shortfall - b.shortfall || a.machine - b.machine);
+    let tasksLeft = group.pending;
+    let machinesLeft = group.gang ? MAX_RESERVED_MACHINES_GANG : MAX_RESERVED_MACHINES;
+    for (const candidate of candidates) {
+      if (tasksLeft <= 0 || machinesLeft <= 0) break;
+      if (zone >= 0 && candidate.zone !== zone) continue;
+      reserved.set(candidate.machine, group.job);
+      tasksLeft -= candidate.fittingTasks;
+      machinesLeft -= 1;
     }
   }
   return reserved;
 }
 
 /** Part of a full round's places that goes to the most urgent; the rest is taken in turn. */
-const MOST_URGENT = 0.75;
+const URGENT_PLACES_RATIO = 0.75;
 
 /**
  * The first in order, and of the others some in turn: with the most urgent alone, those that find no room would
  * keep everybody else out of every round for as long as they wait.
  */
-function inTurn<T>(ordered: readonly T[], most: number, turn: number): readonly T[] {
-  if (ordered.length <= most) return ordered;
-  const first = Math.ceil(most * MOST_URGENT);
-  const others = ordered.length - first;
-  const places = most - first;
-  const from = (turn * places) % others;
-  return ordered.filter((_, at) => at < first || (at - first - from + others) % others < places);
+function selectForRound<T>(ordered: readonly T[], maxCount: number, roundNumber: number): readonly T[] {
+  if (ordered.length <= maxCount) return ordered;
+  const urgentCount = Math.ceil(maxCount * URGENT_PLACES_RATIO);
+  const otherCount = ordered.length - urgentCount;
+  const rotatingPlaces = maxCount - urgentCount;
+  const start = (roundNumber * rotatingPlaces) % otherCount;
+  return ordered.filter(
+    (_, index) =>
+      index < urgentCount || (index - urgentCount - start + otherCount) % otherCount < rotatingPlaces,
+  );
 }
 
 /**
  * Tasks of a group that must stay together may be in two zones: some of them are old news, such as a copy of a
  * report from before a takeover. Until it is known which, no zone is right, and no room is made for the group.
  */
-function heldInTwoZones(group: TaskGroup): boolean {
+function isLiveInSeveralZones(group: TaskGroup): boolean {
   return group.oneZone && group.liveByZone.size > 1;
 }
 
@@ -118,8 +132,8 @@
 export function runRound(
   allGroups: readonly TaskGroup[],
   machines: readonly MachineSnapshot[],
-  rentable: readonly ProvisioningOption[],
-  teamRoom: readonly QuotaHeadroom[],
+  provisioningOptions: readonly ProvisioningOption[],
+  quotaHeadroom: readonly QuotaHeadroom[],
   sizeOf: (type: number) => Resources | null,
   options: RoundOptions,
   expired: () => boolean = () => false,
@@ -129,46 +143,46 @@
     demand: new Map(),
     awaiting: new Map(),
     unplaced: new Map(),
-    held: new Set(),
+    heldForExpected: new Set(),
     reserved: new Map(),
-    leftOut: 0,
+    deferredGroupCount: 0,
     zones: new Map(),
   };
   // What a team's limit keeps waiting must not use up the places in the round.
-  const able = allGroups.filter((g) => {
-    if (heldInTwoZones(g)) return false;
-    if (wantedOf(g, teamRoom) > 0) return true;
+  const admissible = allGroups.filter((g) => {
+    if (isLiveInSeveralZones(g)) return false;
+    if (countAdmissibleTasks(g, quotaHeadroom) > 0) return true;
     if (!g.expected) result.unplaced.set(g.job, g.pending);
     return false;
   });
-  const keyed = able.map((group) => ({ group, key: urgency(group, options.reserveAfterMs) }));
+  const keyed = admissible.map((group) => ({ group, key: computeUrgency(group, options.reserveAfterMs) }));
   keyed.sort((a, b) => b.key - a.key);
-  const groups = inTurn(keyed, options.maxGroups, options.turn).map((k) => k.group);
-  result.leftOut = keyed.length - groups.length;
-  result.reserved = reserve(groups, machines, sizeOf, options);
+  const groups = selectForRound(keyed, options.maxGroups, options.roundNumber).map((k) => k.group);
+  result.deferredGroupCount = keyed.length - groups.length;
+  result.reserved = reserveMachines(groups, machines, sizeOf, options);
   for (const group of groups) {
     if (group.nominatedMachine >= 0) result.reserved.set(group.nominatedMachine, group.job);
   }
-  const needs = new Needs();
-  for (const group of groups) needs.index(group.need);
-  const targets = makeTargets(groups, needs, machines, rentable, result.reserved);
-  const planner = new Planner(needs, targets, options);
-  const plans = groups.map((g) => planner.plan(g, teamRoom)).filter((p) => p !== null);
+  const needs = new DistinctNeeds();
+  for (const group of groups) needs.addNeed(group.need);
+  const targets = makeTargets(groups, needs, machines, provisioningOptions, result.reserved);
+  const planner = new GroupPlanner(needs, targets, options);
+  const plans = groups.map((g) => planner.planGroup(g, quotaHeadroom)).filter((p) => p !== null);
   // A gang of which only a part found room must not hold the rest back: it is left out and the round repeated.
   const skipped = new Set<number>();
   for (let pass = 0; pass < 3; pass++) {
-    const left = plans.filter((p) => !skipped.has(p.group.job));
-    const found: RoundResult = {
+    const remaining = plans.filter((p) => !skipped.has(p.group.job));
+    const passResult: RoundResult = {
       ...result,
       placements: [],
       demand: new Map(),
       awaiting: new Map(),
-      held: new Set<number>(),
+      heldForExpected: new Set<number>(),
     };
-    const dropped = solveOnce(left, targets, teamRoom, options, found, expired);
+    const dropped = solveOnce(remaining, targets, quotaHeadroom, options, passResult, expired);
     // Out of time, what an earlier pass has found stands: this one found less.
     if (pass > 0 && expired()) break;
-    Object.assign(result, found);
+    Object.assign(result, passResult);
     if (dropped.length === 0) break;
     for (const job of dropped) skipped.add(job);
   }
@@ -178,7 +192,7 @@
 function solveOnce(
   plans: readonly GroupPlan[],
   targets: readonly Target[],
-  teamRoom: readonly QuotaHeadroom[],
+  quotaHeadroom: readonly QuotaHeadroom[],
   options: RoundOptions,
   result: RoundResult,
   expired: () => boolean,
@@ -192,31 +206,40 @@
     target.slots = 0;
     target.wanted = 0;
   }
-  const edges: Edge[] = [];
+  const arcs: NetworkArc[] = [];
   let supply = 0;
   const sources: { node: number; wanted: number }[] = [];
-  plans.forEach(({ group, wanted, press, zone, bids }, index) => {
+  plans.forEach(({ group, wanted, urgency, zone, preferenceArcs }, index) => {
     const node = net.addNode();
     sources.push({ node, wanted });
-    net.addArc(node, unscheduled, wanted, UNSCHEDULED + 2 * press);
+    net.addArc(node, unscheduled, wanted, UNSCHEDULED_COST + 2 * urgency);
     supply += wanted;
     if (zone >= 0) result.zones.set(group.job, zone);
     const zoneNodes = new Map<number, number>();
-    const entry = (at: number): number => {
-      if (group.zoneCap === Infinity) return node;
-      let found = zoneNodes.get(at);
-      if (found === undefined) {
-        found = net.addNode();
-        zoneNodes.set(at, found);
-        net.addArc(node, found, Math.max(0, group.zoneCap - (group.liveByZone.get(at) ?? 0)), 0);
+    const entryNode = (zoneIndex: number): number => {
+      if (group.maxTasksPerZone === Infinity) return node;
+      let zoneNode = zoneNodes.get(zoneIndex);
+      if (zoneNode === undefined) {
+        zoneNode = net.addNode();
+        zoneNodes.set(zoneIndex, zoneNode);
+        net.addArc(
+          node,
+          zoneNode,
+          Math.max(0, group.maxTasksPerZone - (group.liveByZone.get(zoneIndex) ?? 0)),
+          0,
+        );
       }
-      return found;
+      return zoneNode;
     };
-    for (const { target, each, count, cost } of bids) {
-      edges.push({ group: index, target, arc: net.addArc(entry(target.zone), target.node, count, cost) });
+    for (const { target, slots, capacity, cost } of preferenceArcs) {
+      arcs.push({
+        group: index,
+        target,
+        arc: net.addArc(entryNode(target.zone), target.node, capacity, cost),
+      });
       // Room for all groups together, not for the largest one: a machine once took no more than that in a round.
-      target.slots = Math.max(target.slots, each);
-      target.wanted += count;
+      target.slots = Math.max(target.slots, slots);
+      target.wanted += capacity;
     }
   });
   for (const target of targets) {
@@ -227,12 +250,13 @@
       continue;
     }
     // A further task on any of the equal machines costs a step more than the last.
-    const { load } = target.views[0]!;
-    for (let k = 0; k < slots; k++) net.addArc(target.node, sink, target.views.length, (load + k) * STEP);
+    const { load } = target.snapshots[0]!;
+    for (let k = 0; k < slots; k++)
+      net.addArc(target.node, sink, target.snapshots.length, (load + k) * COST_PER_STEP);
   }
   net.addArc(unscheduled, sink, supply, 0);
   // The most urgent first: a round that runs out of time has found places for those.
-  for (const s of sources) net.solve(s.node, sink, s.wanted, expired);
+  for (const source of sources) net.solve(source.node, sink, source.wanted, expired);
   const groups = plans.map((p) => p.group);
-  return extract(groups, edges, net, teamRoom, options, result);
+  return extractPlacements(groups, arcs, net, quotaHeadroom, options, result);
 }
--- a/src/scheduling/snapshot.ts
+++ b/src/scheduling/snapshot.ts
@@ -27,7 +27,7 @@
   /** The zone that the last round chose for it, or -1. */
   zoneHint: number;
   /** With `spread`: how many tasks may be in one zone. */
-  zoneCap: number;
+  maxTasksPerZone: number;
   /** Tasks of the job that are or may be on machines, by zone. */
   liveByZone: Map<number, number>;
   /** Of a class whose tasks must start soon. */
@@ -57,7 +57,7 @@
   /** Its tasks fit into what is left of its team's guarantee. */
   guaranteed: boolean;
   /** Room it still needs, as a multiple of what the jobs of its class need; 0 where tasks count, not jobs. */
-  size: number;
+  relativeWork: number;
 }
 
 /** A machine that is up or booting, with what it has free. */
@@ -70,7 +70,7 @@
   /** Room of the machine for each of its accelerators; null: it has none. */
   perAccelerator: Resources | null;
   /** Room that running tasks are expected to leave, soonest first; each entry adds to those before. */
-  releases: { inS: number; room: Resources }[];
+  releases: { inS: number; resources: Resources }[];
   /** Tasks on it. */
   load: number;
   /** 0 for a machine that is up; else seconds until it is expected. */
@@ -78,11 +78,11 @@
   /** Seconds until an image is there: 0 if cached, what is left of a fetch under way, else the whole fetch. */
   fetchS: (image: string, gb: number) => number;
   /** Images on it that classes which must start soon have used lately. */
-  warm: number;
+  warmImageCount: number;
   /** Beyond the present need: taken last, so that it can be given back. Quick classes don't mind. */
   surplus: boolean;
   /** Extra cost in steps, for machines known as slow or faulty. */
-  penalty: number;
+  penaltySteps: number;
   price: number;
 }
 
@@ -94,7 +94,7 @@
   spot: boolean;
   size: Resources;
   /** Machines that may be rented in this round. */
-  max: number;
+  maxMachines: number;
   price: number;
   bootS: number;
   fetchGbPerS: number;
@@ -125,9 +125,9 @@
   /** Machines kept free for a job that waits long. */
   reserved: Map<number, number>;
   /** Machines with room that is kept for expected tasks. */
-  held: Set<number>;
+  heldForExpected: Set<number>;
   /** Groups that had no place in this round. */
-  leftOut: number;
+  deferredGroupCount: number;
   /** The zone chosen for each job that must stay in one. */
   zones: Map<number, number>;
 }
@@ -135,7 +135,7 @@
 const EPSILON = 1e-6;
 
 /** How many tasks of this need the free room takes; 1000 for a task that needs nothing. */
-export function fits(need: Resources, free: Resources): number {
+export function countFittingTasks(need: Resources, free: Resources): number {
   let count = Infinity;
   if (need.cpus > 0) count = Math.min(count, (free.cpus + EPSILON) / need.cpus);
   if (need.gpus > 0) count = Math.min(count, (free.gpus + EPSILON) / need.gpus);
@@ -144,16 +144,17 @@
 }
 
 /** How many of a group's tasks fit into the free room of a machine. */
-export function groupFits(
+export function countFittingGroupTasks(
   group: { need: Resources; bestEffort: boolean },
   free: Resources,
   perAccelerator: Resources | null,
 ): number {
-  if (!group.bestEffort || perAccelerator === null || group.need.gpus > 0) return fits(group.need, free);
+  if (!group.bestEffort || perAccelerator === null || group.need.gpus > 0)
+    return countFittingTasks(group.need, free);
   // Guests that filled the processors beside idle accelerators had to be stopped for each task that needs one.
-  const left = { ...free };
-  allocate(left, { ...perAccelerator, gpus: 0 }, Math.max(0, free.gpus));
-  return fits(group.need, left);
+  const remaining = { ...free };
+  allocate(remaining, { ...perAccelerator, gpus: 0 }, Math.max(0, free.gpus));
+  return countFittingTasks(group.need, remaining);
 }
 
 /** Takes the room of `count` tasks away from `free`; a negative count gives it back. */
@@ -164,25 +165,25 @@
 }
 
 /** Room to come that is this close in time, in seconds or as a part of the time until then, counts as one. */
-const TOGETHER_S = 1;
-const TOGETHER_SHARE = 0.1;
+const MERGE_WINDOW_S = 1;
+const MERGE_WINDOW_RATIO = 0.1;
 
 /**
  * Room that tasks leave at about the same time as one entry, at the later time; `leaving` is sorted by time. A sweep of
  * short tasks has dozens on each machine, and each entry costs a round a part of its network.
  */
-export function mergeReleases(leaving: MachineSnapshot['releases']): MachineSnapshot['releases'] {
+export function mergeReleases(releases: MachineSnapshot['releases']): MachineSnapshot['releases'] {
   const merged: MachineSnapshot['releases'] = [];
   let startS = -Infinity;
-  for (const { inS, room } of leaving) {
+  for (const { inS, resources } of releases) {
     const last = merged.at(-1);
-    if (last && inS - startS <= Math.max(TOGETHER_S, startS * TOGETHER_SHARE)) {
+    if (last && inS - startS <= Math.max(MERGE_WINDOW_S, startS * MERGE_WINDOW_RATIO)) {
       last.inS = inS;
-      allocate(last.room, room, -1);
+      allocate(last.resources, resources, -1);
       continue;
     }
     startS = inS;
-    merged.push({ inS, room: { ...room } });
+    merged.push({ inS, resources: { ...resources } });
   }
   return merged;
 }
@@ -193,11 +194,11 @@
 }
 
 /** Seconds to fetch an image; a rate that isn't known counts as no time. */
-export function fetchTime(gb: number, gbPerS: number): number {
+export function computeFetchS(gb: number, gbPerS: number): number {
   return gbPerS > 0 ? gb / gbPerS : 0;
 }
 
 /** How many tasks a team's limit still takes. */
-export function quotaFits(need: Resources, room: QuotaHeadroom): number {
-  return fits({ ...need, memory: 0 }, { ...room, memory: 0 });
+export function countTasksWithinQuota(need: Resources, headroom: QuotaHeadroom): number {
+  return countFittingTasks({ ...need, memory: 0 }, { ...headroom, memory: 0 });
 }
--- a/src/scheduling/solver.ts
+++ b/src/scheduling/solver.ts
@@ -4,71 +4,71 @@
  * between rounds: making them anew each time cost more than filling them.
  */
 export class FlowNetwork {
-  private nodes = 0;
-  private arcs = 0;
-  private head = new Int32Array(256);
-  private next = new Int32Array(4096);
+  private nodeCount = 0;
+  private arcCount = 0;
+  private firstArc = new Int32Array(256);
+  private nextArc = new Int32Array(4096);
   private to = new Int32Array(4096);
-  private cap = new Int32Array(4096);
+  private residualCapacity = new Int32Array(4096);
   private cost = new Int32Array(4096);
   private potential = new Float64Array(256);
   private distance = new Float64Array(256).fill(Infinity);
-  private via = new Int32Array(256);
+  private arrivalArc = new Int32Array(256);
   private settled = new Uint8Array(256);
   private readonly heap = new Heap();
   /** Nodes that the present search has reached. */
-  private readonly touched: number[] = [];
+  private readonly reachedNodes: number[] = [];
 
   /** Empties the network for the next round. */
   reset(): void {
-    this.nodes = 0;
-    this.arcs = 0;
+    this.nodeCount = 0;
+    this.arcCount = 0;
   }
 
   addNode(): number {
-    if (this.nodes === this.head.length) this.widen();
-    this.head[this.nodes] = -1;
-    this.potential[this.nodes] = 0;
-    this.nodes += 1;
-    return this.nodes - 1;
+    if (this.nodeCount === this.firstArc.length) this.growNodeArrays();
+    this.firstArc[this.nodeCount] = -1;
+    this.potential[this.nodeCount] = 0;
+    this.nodeCount += 1;
+    return this.nodeCount - 1;
   }
 
-  private widen(): void {
-    const width = this.head.length * 2;
-    this.head = grown(this.head);
-    const potential = new Float64Array(width);
+  private growNodeArrays(): void {
+    const newLength = this.firstArc.length * 2;
+    this.firstArc = growArray(this.firstArc);
+    const potential = new Float64Array(newLength);
     potential.set(this.potential);
     this.potential = potential;
-    this.distance = new Float64Array(width).fill(Infinity);
-    this.via = new Int32Array(width);
-    this.settled = new Uint8Array(width);
+    this.distance = new Float64Array(newLength).fill(Infinity);
+    this.arrivalArc = new Int32Array(newLength);
+    this.settled = new Uint8Array(newLength);
   }
 
   addArc(from: number, to: number, capacity: number, cost: number): number {
-    const arc = this.arcs;
+    const arc = this.arcCount;
     if (arc + 2 > this.to.length) {
-      this.next = grown(this.next);
-      this.to = grown(this.to);
-      this.cap = grown(this.cap);
-      this.cost = grown(this.cost);
+      this.nextArc = growArray(this.nextArc);
+      this.to = growArray(this.to);
+      this.residualCapacity = growArray(this.residualCapacity);
+      this.cost = growArray(this.cost);
     }
-    this.half(from, to, capacity, cost);
-    this.half(to, from, 0, -cost);
+    this.addDirectedArc(from, to, capacity, cost);
+    this.addDirectedArc(to, from, 0, -cost);
     return arc;
   }
 
-  private half(from: number, to: number, capacity: number, cost: number): void {
-    const arc = this.arcs++;
+  private addDirectedArc(from: number, to: number, capacity: number, cost: number): void {
+    const arc = this.arcCount++;
     this.to[arc] = to;
-    this.cap[arc] = capacity;
+    this.residualCapacity[arc] = capacity;
     this.cost[arc] = cost;
-    this.next[arc] = this.head[from]!;
-    this.head[from] = arc;
+    this.nextArc[arc] = this.firstArc[from]!;
+    this.firstArc[from] = arc;
   }
 
   /** Flow on an arc after `solve`. */
   flow(arc: number): number {
-    return this.cap[arc + 1]!;
+    return this.residualCapacity[arc + 1]!;
   }
 
   /**
@@ -82,32 +82,44 @@
     amount: number,
     expired: () => boolean = () => false,
   ): { flow: number; cost: number } {
-    const { to, cap, via } = this;
+    const { to, residualCapacity, arrivalArc } = this;
     let flow = 0;
     let cost = 0;
     // Each source gets one path at least, so that a round without time left still serves everybody a little.
     while (flow < amount && (flow === 0 || !expired())) {
       if (!this.search(source, sink)) break;
-      let push = amount - flow;
-      for (let node = sink; node !== source; node = to[via[node]! ^ 1]!) {
-        push = Math.min(push, cap[via[node]!]!);
+      let pathFlow = amount - flow;
+      for (let node = sink; node !== source; node = to[arrivalArc[node]! ^ 1]!) {
+        pathFlow = Math.min(pathFlow, residualCapacity[arrivalArc[node]!]!);
       }
-      for (let node = sink; node !== source; node = to[via[node]! ^ 1]!) {
-        const arc = via[node]!;
-        cap[arc]! -= push;
-        cap[arc ^ 1]! += push;
-        cost += push * this.cost[arc]!;
+      for (let node = sink; node !== source; node = to[arrivalArc[node]! ^ 1]!) {
+        const arc = arrivalArc[node]!;
+        residualCapacity[arc]! -= pathFlow;
+        residualCapacity[arc ^ 1]! += pathFlow;
+        cost += pathFlow * this.cost[arc]!;
       }
-      flow += push;
+      flow += pathFlow;
     }
     return { flow, cost };
   }
 
   /** Shortest reduced distances from the source, as far as the sink, and the potentials that follow from them. */
   private search(source: number, sink: number): boolean {
-    const { head, next, to, cap, cost, potential, distance, via, settled, heap, touched } = this;
+    const {
+      firstArc,
+      nextArc,
+      to,
+      residualCapacity,
+      cost,
+      potential,
+      distance,
+      arrivalArc,
+      settled,
+      heap,
+      reachedNodes,
+    } = this;
     distance[source] = 0;
-    touched.push(source);
+    reachedNodes.push(source);
     heap.clear();
     heap.push(0, source);
     let found = false;
@@ -119,42 +131,42 @@
         found = true;
         break;
       }
-      const base = distance[node]! + potential[node]!;
-      for (let arc = head[node]!; arc >= 0; arc = next[arc]!) {
-        if (cap[arc]! <= 0) continue;
+      const baseDistance = distance[node]! + potential[node]!;
+      for (let arc = firstArc[node]!; arc >= 0; arc = nextArc[arc]!) {
+        if (residualCapacity[arc]! <= 0) continue;
         const target = to[arc]!;
         if (settled[target]) continue;
-        const reached = base + cost[arc]! - potential[target]!;
-        if (reached < distance[target]!) {
-          if (distance[target] === Infinity) touched.push(target);
-          distance[target] = reached;
-          via[target] = arc;
-          heap.push(reached, target);
+        const newDistance = baseDistance + cost[arc]! - potential[target]!;
+        if (newDistance < distance[target]!) {
+          if (distance[target] === Infinity) reachedNodes.push(target);
+          distance[target] = newDistance;
+          arrivalArc[target] = arc;
+          heap.push(newDistance, target);
         }
       }
     }
-    const length = distance[sink]!;
-    for (const node of touched) {
+    const sinkDistance = distance[sink]!;
+    for (const node of reachedNodes) {
       // Only what is nearer than the sink moves; all others would move by the same amount.
-      if (found && settled[node]) potential[node]! += distance[node]! - length;
+      if (found && settled[node]) potential[node]! += distance[node]! - sinkDistance;
       distance[node] = Infinity;
       settled[node] = 0;
     }
-    touched.length = 0;
+    reachedNodes.length = 0;
     return found;
   }
 }
 
-function grown(old: Int32Array): Int32Array<ArrayBuffer> {
-  const wider = new Int32Array(old.length * 2);
-  wider.set(old);
-  return wider;
+function growArray(array: Int32Array): Int32Array<ArrayBuffer> {
+  const larger = new Int32Array(array.length * 2);
+  larger.set(array);
+  return larger;
 }
 
 /** A binary heap of (key, node); nodes may stand in it more than once. */
 class Heap {
   private readonly keys: number[] = [];
-  private readonly items: number[] = [];
+  private readonly nodes: number[] = [];
 
   get size(): number {
     return this.keys.length;
@@ -162,42 +174,42 @@
 
   clear(): void {
     this.keys.length = 0;
-    this.items.length = 0;
+    this.nodes.length = 0;
   }
 
-  push(key: number, item: number): void {
-    let at = this.keys.length;
+  push(key: number, node: number): void {
+    let index = this.keys.length;
     this.keys.push(key);
-    this.items.push(item);
-    while (at > 0) {
-      const up = (at - 1) >> 1;
-      if (this.keys[up]! <= key) break;
-      this.keys[at] = this.keys[up]!;
-      this.items[at] = this.items[up]!;
-      at = up;
+    this.nodes.push(node);
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (this.keys[parent]! <= key) break;
+      this.keys[index] = this.keys[parent]!;
+      this.nodes[index] = this.nodes[parent]!;
+      index = parent;
     }
-    this.keys[at] = key;
-    this.items[at] = item;
+    this.keys[index] = key;
+    this.nodes[index] = node;
   }
 
   pop(): number {
-    const top = this.items[0]!;
+    const topNode = this.nodes[0]!;
     const key = this.keys.pop()!;
-    const item = this.items.pop()!;
+    const node = this.nodes.pop()!;
     const size = this.keys.length;
-    if (size === 0) return top;
-    let at = 0;
+    if (size === 0) return topNode;
+    let index = 0;
     for (;;) {
-      let child = at * 2 + 1;
+      let child = index * 2 + 1;
       if (child >= size) break;
       if (child + 1 < size && this.keys[child + 1]! < this.keys[child]!) child += 1;
       if (this.keys[child]! >= key) break;
-      this.keys[at] = this.keys[child]!;
-      this.items[at] = this.items[child]!;
-      at = child;
+      this.keys[index] = this.keys[child]!;
+      this.nodes[index] = this.nodes[child]!;
+      index = child;
     }
-    this.keys[at] = key;
-    this.items[at] = item;
-    return top;
+    this.keys[index] = key;
+    this.nodes[index] = node;
+    return topNode;
   }
 }
--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -1,6 +1,6 @@
 import {
-  fetchTime,
-  fits,
+  computeFetchS,
+  countFittingTasks,
   allocate,
   type TaskGroup,
   type MachineSnapshot,
@@ -19,7 +19,7 @@
   /** The job these machines are kept free for, or -1. */
   holder: number;
   /** now: the equal machines. */
-  views: MachineSnapshot[];
+  snapshots: MachineSnapshot[];
   /** later: parts of machines' rooms that come at about the same time. */
   parts: Part[];
   /** later: seconds until they come, on average. */
@@ -30,93 +30,98 @@
   /** Tasks that could go there. */
   wanted: number;
   /** Tasks it takes by kind of need. */
-  fitting: Int32Array;
+  taskCounts: Int32Array;
 }
 
 interface Part {
-  view: MachineSnapshot;
+  snapshot: MachineSnapshot;
   /** Index into `releases`; -1: the room of a machine that is yet to come up. */
-  step: number;
+  releaseIndex: number;
 }
 
-const UNKNOWN = -1;
+const UNKNOWN_COUNT = -1;
 /** Of more parts than this some stand for all: how much is to come only weighs waiting against renting. */
-const MOST_COUNTED = 12;
+const MAX_COUNTED_PARTS = 12;
 
 /** With no more machines than this each part of their room to come stands for itself. */
-const FEW_MACHINES = 100;
+const MAX_UNMERGED_MACHINES = 100;
 
 /** Room to come within the same of these bounds is as good as the same. */
-const BUCKETS_S = [3, 8, 15, 30, 50, 80, 130, 200, 300];
+const BUCKET_BOUNDS_S = [3, 8, 15, 30, 50, 80, 130, 200, 300];
 
 function bucketOf(inS: number): number {
-  let at = 0;
-  while (at < BUCKETS_S.length && inS > BUCKETS_S[at]!) at += 1;
-  return at;
+  let bucket = 0;
+  while (bucket < BUCKET_BOUNDS_S.length && inS > BUCKET_BOUNDS_S[bucket]!) bucket += 1;
+  return bucket;
 }
 
 /** Equal needs of several groups are counted once. */
-export class Needs {
+export class DistinctNeeds {
   readonly list: Resources[] = [];
   private readonly byKey = new Map<string, number>();
-  private least: Resources = { cpus: Infinity, gpus: Infinity, memory: Infinity };
+  private smallest: Resources = { cpus: Infinity, gpus: Infinity, memory: Infinity };
 
-  index(need: Resources): number {
+  addNeed(need: Resources): number {
     const key = `${need.cpus}/${need.gpus}/${need.memory}`;
-    let found = this.byKey.get(key);
-    if (found === undefined) {
-      found = this.list.length;
+    let index = this.byKey.get(key);
+    if (index === undefined) {
+      index = this.list.length;
       this.list.push(need);
-      this.byKey.set(key, found);
-      const { cpus, gpus, memory } = this.least;
-      this.least = {
+      this.byKey.set(key, index);
+      const { cpus, gpus, memory } = this.smallest;
+      this.smallest = {
         cpus: Math.min(cpus, need.cpus),
         gpus: Math.min(gpus, need.gpus),
         memory: Math.min(memory, need.memory),
       };
     }
-    return found;
+    return index;
   }
 
   /** False: nobody's task fits in there. */
-  anyFits(room: Resources): boolean {
-    return fits(this.least, room) > 0;
+  hasFittingNeed(free: Resources): boolean {
+    return countFittingTasks(this.smallest, free) > 0;
   }
 }
 
 /** What tells machines with free room apart, as far as the groups of this round can see. */
-function likeness(
-  m: MachineSnapshot,
+function equivalenceKey(
+  snapshot: MachineSnapshot,
   images: ReadonlyMap<string, number>,
   holder: number,
-  alone: boolean,
+  distinct: boolean,
 ): string {
-  let fetches = 0;
-  for (const [image, gb] of images) fetches = (Math.imul(fetches, 31) + Math.round(m.fetchS(image, gb))) | 0;
-  const { cpus, gpus, memory } = m.free;
-  const self = alone ? m.machine : '';
-  return `${m.type}/${m.zone}/${m.spot}/${cpus}/${gpus}/${memory}/${m.load}/${m.warm}/${m.surplus}/${m.penalty}/${holder}/${fetches}/${self}`;
+  let fetchHash = 0;
+  for (const [image, gb] of images)
+    fetchHash = (Math.imul(fetchHash, 31) + Math.round(snapshot.fetchS(image, gb))) | 0;
+  const { cpus, gpus, memory } = snapshot.free;
+  const distinctIndex = distinct ? snapshot.machine : '';
+  return `${snapshot.type}/${snapshot.zone}/${snapshot.spot}/${cpus}/${gpus}/${memory}/${snapshot.load}/${snapshot.warmImageCount}/${snapshot.surplus}/${snapshot.penaltySteps}/${holder}/${fetchHash}/${distinctIndex}`;
 }
 
 /** Makes the middle of the graph: classes of equal machines, room to come by time, machines to be rented. */
 export function makeTargets(
   groups: readonly TaskGroup[],
-  needs: Needs,
+  needs: DistinctNeeds,
   machines: readonly MachineSnapshot[],
-  rentable: readonly ProvisioningOption[],
+  provisioningOptions: readonly ProvisioningOption[],
   reserved: ReadonlyMap<number, number>,
 ): Target[] {
   const targets: Target[] = [];
   const byKey = new Map<string, Target>();
   const images = new Map<string, number>();
-  const alone = new Set<number>();
-  for (const g of groups) {
-    images.set(g.image, g.imageGb);
-    for (const machine of g.excludedMachines) alone.add(machine);
-    if (g.nominatedMachine >= 0) alone.add(g.nominatedMachine);
+  const distinctMachines = new Set<number>();
+  for (const group of groups) {
+    images.set(group.image, group.imageGb);
+    for (const machine of group.excludedMachines) distinctMachines.add(machine);
+    if (group.nominatedMachine >= 0) distinctMachines.add(group.nominatedMachine);
   }
-  const add = (kind: Target['kind'], like: MachineSnapshot | ProvisioningOption, holder: number): Target => {
-    const { type, zone, spot, price } = like;
+  const add = (
+    kind: Target['kind'],
+    source: MachineSnapshot | ProvisioningOption,
+    holder: number,
+  ): Target => {
+    const { type, zone, spot, price } = source;
     const target: Target = {
       node: -1,
       kind,
@@ -125,99 +130,99 @@
       spot,
       price,
       holder,
-      views: [],
+      snapshots: [],
       parts: [],
       inS: 0,
       option: null,
       slots: 0,
       wanted: 0,
-      fitting: new Int32Array(needs.list.length).fill(UNKNOWN),
+      taskCounts: new Int32Array(needs.list.length).fill(UNKNOWN_COUNT),
     };
     targets.push(target);
     return target;
   };
-  const later = new Map<number, Target>();
-  const apart = machines.length <= FEW_MACHINES;
-  const addPart = (view: MachineSnapshot, inS: number, step: number): void => {
-    const place = (view.type * 1024 + view.zone) * 2 + (view.spot ? 1 : 0);
-    const key = place * (BUCKETS_S.length + 1) + bucketOf(inS);
-    let target = apart ? undefined : later.get(key);
+  const laterTargets = new Map<number, Target>();
+  const unmerged = machines.length <= MAX_UNMERGED_MACHINES;
+  const addPart = (snapshot: MachineSnapshot, inS: number, releaseIndex: number): void => {
+    const typeZoneSpot = (snapshot.type * 1024 + snapshot.zone) * 2 + (snapshot.spot ? 1 : 0);
+    const key = typeZoneSpot * (BUCKET_BOUNDS_S.length + 1) + bucketOf(inS);
+    let target = unmerged ? undefined : laterTargets.get(key);
     if (!target) {
-      target = add('later', view, apart ? (reserved.get(view.machine) ?? -1) : -1);
-      later.set(key, target);
+      target = add('later', snapshot, unmerged ? (reserved.get(snapshot.machine) ?? -1) : -1);
+      laterTargets.set(key, target);
     }
     target.inS += (inS - target.inS) / (target.parts.length + 1);
-    target.parts.push({ view, step });
+    target.parts.push({ snapshot, releaseIndex });
   };
-  for (const m of machines) {
-    if (needs.anyFits(m.free)) {
-      if (m.bootsInS > 0) {
-        addPart(m, m.bootsInS, -1);
+  for (const snapshot of machines) {
+    if (needs.hasFittingNeed(snapshot.free)) {
+      if (snapshot.bootsInS > 0) {
+        addPart(snapshot, snapshot.bootsInS, -1);
       } else {
-        const holder = reserved.get(m.machine) ?? -1;
-        const key = likeness(m, images, holder, alone.has(m.machine));
+        const holder = reserved.get(snapshot.machine) ?? -1;
+        const key = equivalenceKey(snapshot, images, holder, distinctMachines.has(snapshot.machine));
         let target = byKey.get(key);
         if (!target) {
-          target = add('now', m, holder);
+          target = add('now', snapshot, holder);
           byKey.set(key, target);
         }
-        target.views.push(m);
+        target.snapshots.push(snapshot);
       }
     }
-    m.releases.forEach((step, at) => {
-      addPart(m, step.inS, at);
+    snapshot.releases.forEach((release, index) => {
+      addPart(snapshot, release.inS, index);
     });
   }
-  for (const o of rentable) add('rent', o, -1).option = o;
+  for (const option of provisioningOptions) add('rent', option, -1).option = option;
   return targets;
 }
 
 /** Tasks of one need that a target takes; of equal machines, of one of them. */
-export function fitting(target: Target, needs: Needs, index: number): number {
-  const known = target.fitting[index]!;
-  if (known !== UNKNOWN) return known;
-  const need = needs.list[index]!;
+export function countFittingOnTarget(target: Target, needs: DistinctNeeds, needIndex: number): number {
+  const known = target.taskCounts[needIndex]!;
+  if (known !== UNKNOWN_COUNT) return known;
+  const need = needs.list[needIndex]!;
   let count: number;
-  if (target.kind === 'now') count = fits(need, target.views[0]!.free);
-  else if (target.option) count = fits(need, target.option.size) * target.option.max;
-  else count = fittingParts(target.parts, need);
-  target.fitting[index] = count;
+  if (target.kind === 'now') count = countFittingTasks(need, target.snapshots[0]!.free);
+  else if (target.option) count = countFittingTasks(need, target.option.size) * target.option.maxMachines;
+  else count = countFittingInParts(target.parts, need);
+  target.taskCounts[needIndex] = count;
   return count;
 }
 
-function fittingParts(parts: readonly Part[], need: Resources): number {
-  const stride = Math.max(1, parts.length / MOST_COUNTED);
+function countFittingInParts(parts: readonly Part[], need: Resources): number {
+  const stride = Math.max(1, parts.length / MAX_COUNTED_PARTS);
   let count = 0;
   let counted = 0;
-  for (let at = 0; at < parts.length; at += stride) {
-    const { view, step } = parts[Math.floor(at)]!;
+  for (let position = 0; position < parts.length; position += stride) {
+    const { snapshot, releaseIndex } = parts[Math.floor(position)]!;
     counted += 1;
-    if (step < 0) {
-      count += fits(need, view.free);
+    if (releaseIndex < 0) {
+      count += countFittingTasks(need, snapshot.free);
       continue;
     }
-    const room = { ...view.free };
-    for (let s = 0; s < step; s++) allocate(room, view.releases[s]!.room, -1);
-    const before = fits(need, room);
-    allocate(room, view.releases[step]!.room, -1);
-    count += Math.max(0, fits(need, room) - before);
+    const free = { ...snapshot.free };
+    for (let i = 0; i < releaseIndex; i++) allocate(free, snapshot.releases[i]!.resources, -1);
+    const before = countFittingTasks(need, free);
+    allocate(free, snapshot.releases[releaseIndex]!.resources, -1);
+    count += Math.max(0, countFittingTasks(need, free) - before);
   }
   return Math.round((count * parts.length) / Math.max(1, counted));
 }
 
 /** Seconds until an image is on a machine of the target: of one of the equal ones, or on average. */
-export function fetchOn(target: Target, image: string, gb: number): number {
-  if (target.option) return fetchTime(gb, target.option.fetchGbPerS);
-  if (target.kind === 'now') return target.views[0]!.fetchS(image, gb);
+export function estimateFetchS(target: Target, image: string, gb: number): number {
+  if (target.option) return computeFetchS(gb, target.option.fetchGbPerS);
+  if (target.kind === 'now') return target.snapshots[0]!.fetchS(image, gb);
   // A few are asked for all: it only weighs waiting against renting.
-  const asked = Math.min(4, target.parts.length);
+  const sampleSize = Math.min(4, target.parts.length);
   let sum = 0;
-  for (let i = 0; i < asked; i++) sum += target.parts[i]!.view.fetchS(image, gb);
-  return sum / asked;
+  for (let i = 0; i < sampleSize; i++) sum += target.parts[i]!.snapshot.fetchS(image, gb);
+  return sum / sampleSize;
 }
 
 /** Whether the group may use machines of this kind at all. */
-export function allowed(group: TaskGroup, type: number, zone: number, spot: boolean): boolean {
+export function isAllowed(group: TaskGroup, type: number, zone: number, spot: boolean): boolean {
   if (spot && !group.spot) return false;
   if (group.zone >= 0 && group.zone !== zone) return false;
   return group.types === null || group.types.has(type);
--- a/src/scheduling/zones.ts
+++ b/src/scheduling/zones.ts
@@ -1,18 +1,18 @@
 import { required } from '../base/required.ts';
 import type { TaskGroup } from './snapshot.ts';
-import { allowed, fitting, type Needs, type Target } from './targets.ts';
+import { isAllowed, countFittingOnTarget, type DistinctNeeds, type Target } from './targets.ts';
 
 /** Much more than any other part of a zone's score: all tasks of the group find room there at once. */
-const ALL_NOW = 100_000;
+const ALL_FIT_NOW_SCORE = 100_000;
 /** Room within this time counts toward a zone. */
 const SOON_S = 60;
 /** What a second of waiting for images weighs among zones in which all fit at once. */
-const PER_FETCH_S = 10;
+const SCORE_PER_FETCH_S = 10;
 /** The zone of the last round is kept unless another is better by this part. */
-const KEPT = 1.3;
-const KEPT_FETCH_S = 2;
+const PREVIOUS_ZONE_SCORE_RATIO = 1.3;
+const PREVIOUS_ZONE_FETCH_ALLOWANCE_S = 2;
 
-interface Zone {
+interface ZoneCapacity {
   /** Room now, by how long the image takes there. */
   now: { count: number; fetchS: number }[];
   soon: number;
@@ -20,12 +20,12 @@
 }
 
 /** How long the slowest of the tasks waits for its image if each goes where it is quickest; -1: not all fit. */
-function slowestFetch(now: { count: number; fetchS: number }[], wanted: number): number {
+function findSlowestFetchS(now: { count: number; fetchS: number }[], wanted: number): number {
   now.sort((a, b) => a.fetchS - b.fetchS);
-  let left = wanted;
-  for (const n of now) {
-    left -= n.count;
-    if (left <= 0) return n.fetchS;
+  let tasksLeft = wanted;
+  for (const machines of now) {
+    tasksLeft -= machines.count;
+    if (tasksLeft <= 0) return machines.fetchS;
   }
   return -1;
 }
@@ -38,46 +38,49 @@
  */
 export function pickZone(
   group: TaskGroup,
-  need: number,
+  needIndex: number,
   wanted: number,
-  needs: Needs,
+  needs: DistinctNeeds,
   targets: readonly Target[],
 ): number {
   for (const [zone, count] of group.liveByZone) if (count > 0) return zone;
   if (group.zone >= 0) return group.zone;
-  const zones = new Map<number, Zone>();
-  for (const t of targets) {
-    if (!allowed(group, t.type, t.zone, t.spot)) continue;
-    if (t.holder >= 0 && t.holder !== group.job) continue;
-    const count = fitting(t, needs, need);
+  const zones = new Map<number, ZoneCapacity>();
+  for (const target of targets) {
+    if (!isAllowed(group, target.type, target.zone, target.spot)) continue;
+    if (target.holder >= 0 && target.holder !== group.job) continue;
+    const count = countFittingOnTarget(target, needs, needIndex);
     if (count === 0) continue;
-    let zone = zones.get(t.zone);
+    let zone = zones.get(target.zone);
     if (!zone) {
       zone = { now: [], soon: 0, rent: 0 };
-      zones.set(t.zone, zone);
+      zones.set(target.zone, zone);
     }
-    if (t.kind === 'now') {
-      const there = t.views.filter((v) => !group.excludedMachines.has(v.machine)).length * count;
-      const view = required(t.views[0], 'machine of the target');
-      zone.now.push({ count: there, fetchS: view.fetchS(group.image, group.imageGb) });
-    } else if (t.option) zone.rent += count / (1 + t.price);
-    else if (t.inS <= SOON_S) zone.soon += count;
+    if (target.kind === 'now') {
+      const totalCount =
+        target.snapshots.filter((v) => !group.excludedMachines.has(v.machine)).length * count;
+      const snapshot = required(target.snapshots[0], 'machine of the target');
+      zone.now.push({ count: totalCount, fetchS: snapshot.fetchS(group.image, group.imageGb) });
+    } else if (target.option) zone.rent += count / (1 + target.price);
+    else if (target.inS <= SOON_S) zone.soon += count;
   }
   let best = -1;
   let bestScore = 0;
-  for (const [at, zone] of zones) {
-    const kept = at === group.zoneHint;
-    const fetchS = slowestFetch(zone.now, wanted);
+  for (const [zoneIndex, zone] of zones) {
+    const isPrevious = zoneIndex === group.zoneHint;
+    const fetchS = findSlowestFetchS(zone.now, wanted);
     let score: number;
     if (fetchS >= 0) {
-      score = ALL_NOW - Math.max(0, fetchS - (kept ? KEPT_FETCH_S : 0)) * PER_FETCH_S;
+      score =
+        ALL_FIT_NOW_SCORE -
+        Math.max(0, fetchS - (isPrevious ? PREVIOUS_ZONE_FETCH_ALLOWANCE_S : 0)) * SCORE_PER_FETCH_S;
     } else {
-      const here = zone.now.reduce((sum, n) => sum + n.count, 0);
-      score = here * 2 + Math.min(wanted, zone.soon) + Math.min(wanted, zone.rent) * 0.5;
-      if (kept) score = score * KEPT + 1;
+      const fittingNow = zone.now.reduce((sum, n) => sum + n.count, 0);
+      score = fittingNow * 2 + Math.min(wanted, zone.soon) + Math.min(wanted, zone.rent) * 0.5;
+      if (isPrevious) score = score * PREVIOUS_ZONE_SCORE_RATIO + 1;
     }
     if (score > bestScore) {
-      best = at;
+      best = zoneIndex;
       bestScore = score;
     }
   }
--- a/test/bench/round.ts
+++ b/test/bench/round.ts
@@ -50,14 +50,14 @@
         size.gpus > 0 ? { cpus: size.cpus / size.gpus, gpus: 1, memory: size.memory / size.gpus } : null,
       releases: Array.from({ length: load }, (_unused, nth) => ({
         inS: 15 * (nth + 1) + (index % 10),
-        room: { ...task },
+        resources: { ...task },
       })),
       load,
       bootsInS: index % 40 === 0 ? 25 : 0,
       fetchS: (image, gb) => (image === `image-${index % IMAGES}` ? 0 : gb / fetchGbPerS),
-      warm: index % 3,
+      warmImageCount: index % 3,
       surplus: index % 50 === 0,
-      penalty: index % 100 === 0 ? 5 : 0,
+      penaltySteps: index % 100 === 0 ? 5 : 0,
       price: spot ? price / 2 : price,
     });
   });
@@ -81,7 +81,7 @@
       zone: job % 10 === 1 ? job % ZONES : -1,
       spot: job % 2 === 0,
       oneZone: gang,
-      zoneCap: job % 6 === 5 ? 20 : Infinity,
+      maxTasksPerZone: job % 6 === 5 ? 20 : Infinity,
       latencySensitive: job % 3 === 1,
       waitedMs: job * 1500 + variant * 250,
       bestEffort: job % 4 === 3,
@@ -107,7 +107,7 @@
             zone,
             spot,
             size,
-            max: 20,
+            maxMachines: 20,
             price: spot ? price / 2 : price,
             bootS,
             fetchGbPerS,
@@ -142,14 +142,14 @@
             (type) => TYPES[type]?.size ?? null,
             {
               reserveAfterMs: scheduling.reserve_after_s * 1000,
-              turn: variant,
+              roundNumber: variant,
               maxGroups: scheduling.max_groups,
               fetchSteps: scheduling.fetch_steps,
               priceSteps: scheduling.price_steps,
               rentSteps: scheduling.rent_steps,
               rentBiasS: scheduling.rent_bias_s,
               warmSteps: scheduling.warm_steps,
-              rentRound: scheduling.rent_round,
+              roundDownFraction: scheduling.rent_round,
             },
           );
           if (placements.length === 0) throw new Error('nothing was placed');
--- a/test/controller/cluster-catalog.test.ts
+++ b/test/controller/cluster-catalog.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import { ClusterCatalog } from '../../src/controller/cluster-catalog.ts';
-import { Catalog, catalogValue } from '../../src/fleet/catalog.ts';
+import { Catalog, encodeStoredCatalog } from '../../src/fleet/catalog.ts';
 import type { CloudClient } from '../../src/fleet/cloud.ts';
 import type { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { LeaderWriter } from '../../src/store/leader-writer.ts';
 import { BIG } from '../helpers.ts';
 
-const STORED = catalogValue(new Catalog([{ ...BIG, name: 'stored' }]));
+const STORED = encodeStoredCatalog(new Catalog([{ ...BIG, name: 'stored' }]));
 
 /** A catalog whose cloud and store the test answers for; pauses end at once and are noted. */
 class CatalogHarness {
@@ -71,7 +71,7 @@
 
 test('a catalog is saved only if it fits a value of the store', () => {
   const catalog = new Catalog([BIG]);
-  const value = catalogValue(catalog);
+  const value = encodeStoredCatalog(catalog);
   const bytes = JSON.stringify(value).length;
   for (const [maxValueBytes, written] of [
     [bytes, 1],
--- a/test/fleet/machine-provisioner.test.ts
+++ b/test/fleet/machine-provisioner.test.ts
@@ -16,7 +16,7 @@
 } {
   const asked: RentRequest[] = [];
   const cloud: Cloud = {
-    ready: () => true,
+    canRequest: () => true,
     catalog: () => Promise.resolve([BIG]),
     rent: (request) => {
       asked.push(request);
@@ -50,25 +50,25 @@
   // Machines were once rented there as long as the cut lasted, to be paid for and never to come up.
   const { fleet, asked, settle } = setup();
   const dark = new Set([1]);
-  const inDark = () => fleet.rentable(dark).filter((o) => o.zone === 1);
+  const inDark = () => fleet.provisioningOptions(dark).filter((o) => o.zone === 1);
   assert.deepEqual(
-    inDark().map((o) => o.max),
+    inDark().map((o) => o.maxMachines),
     [1, 1],
   );
-  assert.ok(fleet.rentable(dark).some((o) => o.zone === 0 && o.max > 1));
+  assert.ok(fleet.provisioningOptions(dark).some((o) => o.zone === 0 && o.maxMachines > 1));
   fleet.setDemand(new Map([[required(inDark()[0], 'option').option, 1]]));
   assert.equal(inDark().length, 0, 'while it is asked for');
   await settle();
   assert.equal(inDark().length, 0, 'while it is awaited');
   fleet.onMachineUp(`${required(asked[0], 'rental').request}-0`);
   assert.equal(inDark().length, 2);
-  assert.equal(fleet.rentable(new Set()).filter((o) => o.max > 1).length, 4);
+  assert.equal(fleet.provisioningOptions(new Set()).filter((o) => o.maxMachines > 1).length, 4);
 });
 
 test('names of rental requests are never used twice, and carry the term', async () => {
   const { fleet, asked, settle } = setup();
   for (let i = 0; i < 5; i++) {
-    fleet.setDemand(new Map(fleet.rentable(new Set()).map((o) => [o.option, 2])));
+    fleet.setDemand(new Map(fleet.provisioningOptions(new Set()).map((o) => [o.option, 2])));
     await settle();
   }
   assert.ok(asked.length >= 10);
@@ -81,7 +81,7 @@
   let sure = true;
   const asked: RentRequest[] = [];
   const cloud = {
-    ready: () => true,
+    canRequest: () => true,
     rent: (request: RentRequest) => {
       asked.push(request);
       sure = asked.length < 2;
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -6,7 +6,7 @@
 import test from 'node:test';
 import { RateBudget } from '../../src/store/budget.ts';
 import { defaultOptions } from '../../src/config/options.ts';
-import { Catalog, catalogValue, readCatalogValue } from '../../src/fleet/catalog.ts';
+import { Catalog, encodeStoredCatalog, decodeStoredCatalog } from '../../src/fleet/catalog.ts';
 import { Archive } from '../../src/jobs/archive.ts';
 import { StartWatermarks } from '../../src/jobs/start-watermarks.ts';
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
@@ -489,13 +489,13 @@
 test('the catalog record', () => {
   const types = decodeCatalog(CLOUD_CATALOG);
   assert.ok(types.ok);
-  assert.equal(JSON.stringify(catalogValue(new Catalog(types.value))), CATALOG);
+  assert.equal(JSON.stringify(encodeStoredCatalog(new Catalog(types.value))), CATALOG);
 });
 
 test('the catalog record is read, and written again, as it was', () => {
-  const catalog = readCatalogValue(JSON.parse(CATALOG));
+  const catalog = decodeStoredCatalog(JSON.parse(CATALOG));
   assert.ok(catalog);
-  assert.equal(JSON.stringify(catalogValue(catalog)), CATALOG);
+  assert.equal(JSON.stringify(encodeStoredCatalog(catalog)), CATALOG);
 });
 
 test('what is not a catalog is answered with null', () => {
@@ -508,7 +508,7 @@
   ];
   for (const bad of [...NO_RECORDS, ...damaged]) {
     assert.notEqual(bad, text);
-    assert.equal(readCatalogValue(JSON.parse(bad)), null, bad);
+    assert.equal(decodeStoredCatalog(JSON.parse(bad)), null, bad);
   }
 });
 
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -48,7 +48,7 @@
     spot: false,
     oneZone: false,
     zoneHint: -1,
-    zoneCap: Infinity,
+    maxTasksPerZone: Infinity,
     liveByZone: new Map(),
     latencySensitive: false,
     expected: false,
@@ -65,7 +65,7 @@
     maxQueueingDelayS: 0,
     slackS: Infinity,
     guaranteed: false,
-    size: 0,
+    relativeWork: 0,
     ...over,
   };
 }
@@ -82,9 +82,9 @@
     load: 0,
     bootsInS: 0,
     fetchS: (_image, gb) => gb,
-    warm: 0,
+    warmImageCount: 0,
     surplus: false,
-    penalty: 0,
+    penaltySteps: 0,
     price: 1,
     ...over,
   };
@@ -97,7 +97,7 @@
     zone: 0,
     spot: false,
     size: { cpus: 4, gpus: 0, memory: 16 },
-    max: 4,
+    maxMachines: 4,
     price: 1,
     bootS: 30,
     fetchGbPerS: 1,
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -29,7 +29,7 @@
 type CloudFake = LeaderDeps['cloud'];
 
 const NO_CLOUD: CloudFake = {
-  ready: () => false,
+  canRequest: () => false,
   catalog: () => Promise.resolve(null),
   rent: () => Promise.resolve({ kind: 'no_capacity' }),
   terminate: () => Promise.resolve(false),
--- a/test/leader/fakes.ts
+++ b/test/leader/fakes.ts
@@ -52,7 +52,7 @@
 /** A cloud without capacity and without machines. */
 export function fakeCloud(overrides: Partial<Cloud> = {}): Cloud {
   return {
-    ready: () => true,
+    canRequest: () => true,
     catalog: () => Promise.resolve(null),
     rent: () => Promise.resolve({ kind: 'no_capacity' }),
     terminate: () => Promise.resolve(true),
--- a/test/scheduling/forecast.test.ts
+++ b/test/scheduling/forecast.test.ts
@@ -11,11 +11,11 @@
   const forecast = new ArrivalForecast(new Set(['train']));
   const other = new ArrivalForecast(new Set(['else']));
   for (let t = 0; t <= 200_000; t += 20_000) {
-    forecast.note(job, t);
-    other.note(job, t);
+    forecast.record(job, t);
+    other.record(job, t);
   }
   const tasksAt = (f: ArrivalForecast, t: number): number =>
-    f.expected(t, () => 50, 1).reduce((n, e) => n + e.tasks, 0);
+    f.expectedTasks(t, () => 50, 1).reduce((n, e) => n + e.tasks, 0);
   assert.ok(tasksAt(forecast, 210_000) >= 2);
   assert.equal(tasksAt(other, 210_000), 0);
   // Spare machines were once held for minutes after the last arrival of the day.
--- a/test/scheduling/round.test.ts
+++ b/test/scheduling/round.test.ts
@@ -15,13 +15,13 @@
 const OPTIONS: RoundOptions = {
   reserveAfterMs: 60_000,
   maxGroups: 64,
-  turn: 0,
+  roundNumber: 0,
   fetchSteps: 1,
   priceSteps: 3,
   rentSteps: 30,
   rentBiasS: 0,
   warmSteps: 6,
-  rentRound: 0,
+  roundDownFraction: 0,
 };
 const SIZE: Resources = { cpus: 4, gpus: 0, memory: 16 };
 const FREE_TEAM = [{ cpus: Infinity, gpus: Infinity }];
@@ -69,7 +69,7 @@
           zone: g.zone,
           spot: g.spot,
           oneZone: g.oneZone,
-          zoneCap: g.spread ? Math.ceil(g.pending / 2) : Infinity,
+          maxTasksPerZone: g.spread ? Math.ceil(g.pending / 2) : Infinity,
         }),
       );
       const views: MachineSnapshot[] = ms.map((m, i) =>
@@ -104,7 +104,7 @@
         if (g.gang) assert.equal(count, g.pending);
         const byZone = required(zones.get(job), 'zones of the job');
         if (g.oneZone) assert.equal(byZone.size, 1);
-        for (const n of byZone.values()) assert.ok(n <= g.zoneCap, 'spread');
+        for (const n of byZone.values()) assert.ok(n <= g.maxTasksPerZone, 'spread');
       }
     }),
     { seed: SEED, numRuns: 400 },
@@ -160,7 +160,10 @@
 
 test('machines with the images of quick classes are left to those while others will do', () => {
   // Tasks with a bound on their start once met machines without their image: the warm ones had been filled.
-  const views = [machine({ machine: 0, warm: 2 }), machine({ machine: 1, warm: 0, load: 3 })];
+  const views = [
+    machine({ machine: 0, warmImageCount: 2 }),
+    machine({ machine: 1, warmImageCount: 0, load: 3 }),
+  ];
   const place = (over: object) =>
     runRound([group(over)], views, [], FREE_TEAM, sizeOf, OPTIONS).placements[0]?.machine;
   assert.equal(place({}), 1);
@@ -173,7 +176,7 @@
       FREE_TEAM,
       sizeOf,
       OPTIONS,
-    ).held.has(0),
+    ).heldForExpected.has(0),
     true,
   );
 });
@@ -218,7 +221,7 @@
   const views = [
     machine({
       free: { cpus: 0, gpus: 0, memory: 0 },
-      releases: [{ inS: 40, room: { cpus: 4, gpus: 0, memory: 16 } }],
+      releases: [{ inS: 40, resources: { cpus: 4, gpus: 0, memory: 16 } }],
     }),
   ];
   const hasty = runRound([group()], views, [option()], FREE_TEAM, sizeOf, OPTIONS);
@@ -280,7 +283,7 @@
   const result = runRound(
     [gang, small],
     [machine({ machine: 0 })],
-    [option({ max: 1 })],
+    [option({ maxMachines: 1 })],
     FREE_TEAM,
     sizeOf,
     OPTIONS,
@@ -451,7 +454,7 @@
             machine: i,
             zone: i % 2,
             free: until > t ? { cpus: 0, gpus: 0, memory: 12 } : { cpus: 4, gpus: 0, memory: 16 },
-            releases: until > t ? [{ inS: until - t, room: need }] : [],
+            releases: until > t ? [{ inS: until - t, resources: need }] : [],
             load: until > t ? 1 : 0,
           }),
         );
@@ -525,9 +528,9 @@
     const result = runRound(waiting, [machine()], [], FREE_TEAM, sizeOf, {
       ...OPTIONS,
       maxGroups: 16,
-      turn: turns++,
+      roundNumber: turns++,
     });
-    assert.ok(result.leftOut > 0);
+    assert.ok(result.deferredGroupCount > 0);
     for (const p of result.placements) served.add(p.job);
   }
   assert.equal(served.size, low.length, `${turns} rounds`);
@@ -570,10 +573,10 @@
 
 test('room that comes at about the same time is one entry, and none is lost', () => {
   const room = { cpus: 1, gpus: 0, memory: 2 };
-  const leaving = [3, 3.5, 4, 9, 40, 43, 45, 120].map((inS) => ({ inS, room }));
-  const merged = mergeReleases(leaving);
+  const releases = [3, 3.5, 4, 9, 40, 43, 45, 120].map((inS) => ({ inS, resources: room }));
+  const merged = mergeReleases(releases);
   assert.deepEqual(
-    merged.map((m) => [m.inS, m.room.cpus, m.room.memory]),
+    merged.map((m) => [m.inS, m.resources.cpus, m.resources.memory]),
     [
       [4, 3, 6],
       [9, 1, 2],
