--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -83,7 +83,7 @@
       fetchS: (image: string, gb: number) => (image === `i${machine % 3}` ? 0 : gb),
       warmImageCount: 0,
       surplus: false,
-      penaltySteps: 0,
+      penalty: 0,
       price: 1 + (machine % 3),
     };
   });
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -111,7 +111,7 @@
         },
         warmImageCount: this.warmth(m),
         surplus: false,
-        penaltySteps: this.failurePenalty(m),
+        penalty: this.failurePenalty(m),
         price: m.id.spot ? type.spotPrice : type.price,
       });
     }
@@ -137,7 +137,7 @@
         fetchS: (_image, gb) => computeFetchS(gb, type.fetchGbPerS),
         warmImageCount: 0,
         surplus: false,
-        penaltySteps: 0,
+        penalty: 0,
         price: b.spot ? type.spotPrice : type.price,
       });
     }
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -34,7 +34,7 @@
 }
 
 /** A further task on a machine costs one step more. Steps are scaled so that preferences can be finer. */
-export const COST_PER_STEP = 10;
+export const STEP = 10;
 /** More than any load or preference adds on a present machine. */
 const SURPLUS_STEPS = 2000;
 /** More images than this don't make a machine any warmer. */
@@ -71,32 +71,25 @@
 /** A task's cost on a machine besides its load: the image, the price of a type it doesn't need, known faults. */
 function machineCost(
   group: TaskGroup,
-  snapshot: MachineSnapshot,
+  machine: MachineSnapshot,
   fittingTasks: number,
   cheapestPrice: number,
-  options: CostOptions,
+  costs: CostOptions,
 ): number {
   // One fetch serves all of the group's tasks that go there.
-  const fetchSPerTask =
-    snapshot.fetchS(group.image, group.imageGb) / Math.max(1, Math.min(fittingTasks, group.pending));
-  const extraPrice = Math.max(0, snapshot.price - cheapestPrice);
-  const surplusSteps = snapshot.surplus && !group.latencySensitive ? SURPLUS_STEPS : 0;
+  const fetchS =
+    machine.fetchS(group.image, group.imageGb) / Math.max(1, Math.min(fittingTasks, group.pending));
+  const markup = Math.max(0, machine.price - cheapestPrice);
+  const surplus = machine.surplus && !group.latencySensitive ? SURPLUS_STEPS : 0;
   // Machines with the images of classes that must start soon are left to those, as far as others will do.
-  const missingWarmImages = Math.max(0, MAX_WARM_IMAGES - snapshot.warmImageCount);
-  const imageSteps =
+  const missingWarmImages = Math.max(0, MAX_WARM_IMAGES - machine.warmImageCount);
+  const images =
     (group.expected
       ? missingWarmImages
       : group.latencySensitive
         ? 0
-        : Math.min(MAX_WARM_IMAGES, snapshot.warmImageCount)) * options.warmSteps;
-  return (
-    (fetchSPerTask * options.fetchSteps +
-      extraPrice * options.priceSteps +
-      snapshot.penaltySteps +
-      imageSteps +
-      surplusSteps) *
-    COST_PER_STEP
-  );
+        : Math.min(MAX_WARM_IMAGES, machine.warmImageCount)) * costs.warmSteps;
+  return (fetchS * costs.fetchSteps + markup * costs.priceSteps + machine.penalty + images + surplus) * STEP;
 }
 
 /**
@@ -189,13 +182,13 @@
         target,
         slots: fittingTasks,
         capacity,
-        cost: COST_BAND + urgency + clampToBand((fetchS + target.inS) * COST_PER_STEP),
+        cost: COST_BAND + urgency + clampToBand((fetchS + target.inS) * STEP),
       };
     const { price, bootS, size } = target.option;
     const waitS = bootS + fetchS + group.maxQueueingDelayS + options.rentBiasS;
     const pricePerTask = price / countFittingTasks(group.need, size);
     if (pricePerTask > group.maxProvisionPrice) return null;
-    const cost = COST_BAND + urgency + clampToBand(pricePerTask * options.rentSteps + waitS * COST_PER_STEP);
+    const cost = COST_BAND + urgency + clampToBand(pricePerTask * options.rentSteps + waitS * STEP);
     return { target, slots: fittingTasks, capacity, cost };
   }
 }
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -1,12 +1,6 @@
 import { FlowNetwork } from './solver.ts';
 import { extractPlacements, type NetworkArc } from './extract.ts';
-import {
-  GroupPlanner,
-  COST_PER_STEP,
-  countAdmissibleTasks,
-  type CostOptions,
-  type GroupPlan,
-} from './plan.ts';
+import { GroupPlanner, STEP, countAdmissibleTasks, type CostOptions, type GroupPlan } from './plan.ts';
 import { isAllowed, makeTargets, DistinctNeeds, type Target } from './targets.ts';
 import { COST_BAND, computeUrgency } from './urgency.ts';
 import {
@@ -251,8 +245,7 @@
     }
     // A further task on any of the equal machines costs a step more than the last.
     const { load } = target.snapshots[0]!;
-    for (let k = 0; k < slots; k++)
-      net.addArc(target.node, sink, target.snapshots.length, (load + k) * COST_PER_STEP);
+    for (let k = 0; k < slots; k++) net.addArc(target.node, sink, target.snapshots.length, (load + k) * STEP);
   }
   net.addArc(unscheduled, sink, supply, 0);
   // The most urgent first: a round that runs out of time has found places for those.
--- a/src/scheduling/snapshot.ts
+++ b/src/scheduling/snapshot.ts
@@ -82,7 +82,7 @@
   /** Beyond the present need: taken last, so that it can be given back. Quick classes don't mind. */
   surplus: boolean;
   /** Extra cost in steps, for machines known as slow or faulty. */
-  penaltySteps: number;
+  penalty: number;
   price: number;
 }
 
--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -96,7 +96,7 @@
     fetchHash = (Math.imul(fetchHash, 31) + Math.round(snapshot.fetchS(image, gb))) | 0;
   const { cpus, gpus, memory } = snapshot.free;
   const distinctIndex = distinct ? snapshot.machine : '';
-  return `${snapshot.type}/${snapshot.zone}/${snapshot.spot}/${cpus}/${gpus}/${memory}/${snapshot.load}/${snapshot.warmImageCount}/${snapshot.surplus}/${snapshot.penaltySteps}/${holder}/${fetchHash}/${distinctIndex}`;
+  return `${snapshot.type}/${snapshot.zone}/${snapshot.spot}/${cpus}/${gpus}/${memory}/${snapshot.load}/${snapshot.warmImageCount}/${snapshot.surplus}/${snapshot.penalty}/${holder}/${fetchHash}/${distinctIndex}`;
 }
 
 /** Makes the middle of the graph: classes of equal machines, room to come by time, machines to be rented. */
--- a/test/bench/round.ts
+++ b/test/bench/round.ts
@@ -57,7 +57,7 @@
       fetchS: (image, gb) => (image === `image-${index % IMAGES}` ? 0 : gb / fetchGbPerS),
       warmImageCount: index % 3,
       surplus: index % 50 === 0,
-      penaltySteps: index % 100 === 0 ? 5 : 0,
+      penalty: index % 100 === 0 ? 5 : 0,
       price: spot ? price / 2 : price,
     });
   });
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -84,7 +84,7 @@
     fetchS: (_image, gb) => gb,
     warmImageCount: 0,
     surplus: false,
-    penaltySteps: 0,
+    penalty: 0,
     price: 1,
     ...over,
   };
