--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -1,3 +1,4 @@
+/** Plans each task group's part of the flow network: the targets that it can use, and the cost of each. */
 import { required } from '../base/required.ts';
 import {
   isAllowed,
@@ -17,58 +18,65 @@
 } from './snapshot.ts';
 import { pickZone } from './zones.ts';
 
-/** Weights of the costs in the network, from the operators' options. */
+/** Weights of the costs in the flow network, from the options file. */
 export interface CostOptions {
-  /** A job that waited longer keeps its nearest fitting machines free. */
+  /** Waiting time after which machines are reserved for a job. */
   reserveAfterMs: number;
-  /** Seconds that room of a machine already paid for may come later than that of one rented for it. */
+  /** Seconds by which room on a machine that is already paid for may come later than on a newly rented one. */
   rentBiasS: number;
-  /** Cost steps per image that a quick class has on a machine, for tasks of other classes. */
+  /** Cost steps per image of latency-sensitive classes on a machine, for tasks of other classes. */
   warmSteps: number;
   /** Cost steps per second of image fetch. */
   fetchSteps: number;
-  /** Cost per unit of hourly price and task of a machine to be rented. */
+  /** Cost of a machine to be rented, in tenths of a step per unit of hourly price per task. */
   rentSteps: number;
-  /** Cost steps per unit of hourly price that a machine costs over the cheapest that fits. */
+  /** Cost steps per unit of hourly price by which a machine exceeds the cheapest that fits. */
   priceSteps: number;
 }
 
-/** A further task on a machine costs one step more. Steps are scaled so that preferences can be finer. */
+/** Cost of one step: each further task on a machine costs one step more. Preferences can be finer than a step. */
 export const STEP = 10;
-/** More than any load or preference adds on a present machine. */
+/** Cost steps of a surplus machine: more than load and preferences add on any other present machine. */
 const SURPLUS_STEPS = 2000;
-/** More images than this don't make a machine any warmer. */
+/** Further warm images on a machine don't change its cost. */
 const MAX_WARM_IMAGES = 3;
 
 const clampToBand = (cost: number): number => Math.min(COST_BAND - 1, Math.max(0, Math.round(cost)));
 
-/** What a group's tasks can flow to, and what each costs there. */
+/** An arc from a task group to a target. */
 export interface PreferenceArc {
   target: Target;
-  /** Tasks of the group that one machine takes (now), or all of the target. */
+  /** Tasks of the group that fit on one machine of the target (kind `now`) or on the whole target. */
   slots: number;
+  /** Tasks of the group that the whole target may take. */
   capacity: number;
+  /** Cost of each task. */
   cost: number;
 }
 
-/** One group's part of the network. It is the same in every pass of a round, and is made once. */
+/** One group's part of the flow network. It is the same in every pass of a round, so it is made once. */
 export interface GroupPlan {
   group: TaskGroup;
+  /** Tasks that may be placed within the team's quota. */
   wanted: number;
+  /** See `computeUrgency`. */
   urgency: number;
-  /** The zone that was chosen for a group that must stay together, or -1. */
+  /** The zone chosen for a group that must stay together, or -1. */
   zone: number;
   preferenceArcs: PreferenceArc[];
 }
 
-/** Tasks of the group that its team's limit takes; a gang goes whole or not at all. */
+/** Number of the group's tasks that its team's quota admits; a gang is admitted whole or not at all. */
 export function countAdmissibleTasks(group: TaskGroup, quotaHeadroom: readonly QuotaHeadroom[]): number {
-  const limit = countTasksWithinQuota(group.need, required(quotaHeadroom[group.team], 'room of the team'));
+  const limit = countTasksWithinQuota(group.need, required(quotaHeadroom[group.team], 'quota headroom of the team'));
   if (group.gang) return limit >= group.pending ? group.pending : 0;
   return Math.min(group.pending, limit);
 }
 
-/** A task's cost on a machine besides its load: the image, the price of a type it doesn't need, known faults. */
+/**
+ * Cost of a task on a present machine besides the machine's load: the image fetch, a price above the cheapest usable
+ * machine, known faults, images that other classes need, and surplus.
+ */
 function machineCost(
   group: TaskGroup,
   machine: MachineSnapshot,
@@ -76,12 +84,13 @@
   cheapestPrice: number,
   costs: CostOptions,
 ): number {
-  // One fetch serves all of the group's tasks that go there.
+  // One fetch of the image serves all of the group's tasks on the machine.
   const fetchS =
     machine.fetchS(group.image, group.imageGb) / Math.max(1, Math.min(fittingTasks, group.pending));
   const markup = Math.max(0, machine.price - cheapestPrice);
   const surplus = machine.surplus && !group.latencySensitive ? SURPLUS_STEPS : 0;
-  // Machines with the images of classes that must start soon are left to those, as far as others will do.
+  // Machines with images of latency-sensitive classes are left to these classes while other machines suffice. Room for
+  // expected tasks is held on the machines with the most such images.
   const missingWarmImages = Math.max(0, MAX_WARM_IMAGES - machine.warmImageCount);
   const images =
     (group.expected
@@ -93,8 +102,8 @@
 }
 
 /**
- * Makes the plans of a round. Jobs of one class may use the same machines: which those are is found once for all
- * of them, since looking at every target for every group was most of a round of some hundred machines.
+ * Makes the plans of a round. Jobs of one class can use the same targets, so these are found once for all of them:
+ * checking every target for every group takes most of a round with some hundred machines.
  */
 export class GroupPlanner {
   private readonly usableByKey = new Map<string, Target[]>();
@@ -118,6 +127,7 @@
     return usableTargets;
   }
 
+  /** Plans one group; null if its team's quota admits none of its tasks. */
   planGroup(group: TaskGroup, quotaHeadroom: readonly QuotaHeadroom[]): GroupPlan | null {
     const wanted = countAdmissibleTasks(group, quotaHeadroom);
     if (wanted === 0) return null;
@@ -163,7 +173,7 @@
         ? countFittingGroupTasks(group, snapshot.free, snapshot.perAccelerator)
         : fittingTasks;
       if (slots === 0) return null;
-      // An idle machine beyond the present need had better go back than be kept up for it.
+      // An idle surplus machine whose price per task is too high for the group is terminated rather than kept for it.
       if (snapshot.surplus && snapshot.load === 0 && snapshot.price / slots > group.maxProvisionPrice)
         return null;
       const capacity = Math.min(wanted, slots * target.snapshots.length);
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -1,3 +1,4 @@
+/** Runs a scheduling round: selects task groups, solves a min-cost flow, and returns placements and demand. */
 import { FlowNetwork } from './solver.ts';
 import { extractPlacements, type NetworkArc } from './extract.ts';
 import { GroupPlanner, STEP, countAdmissibleTasks, type CostOptions, type GroupPlan } from './plan.ts';
@@ -15,26 +16,30 @@
 
 /** Bounds and weights of one round. */
 export interface RoundOptions extends CostOptions {
-  /** Groups in one round; the others wait for the next. */
+  /** Maximum number of task groups in one round; the others wait for a later round. */
   maxGroups: number;
-  /** Counts rounds: who is left out gets a turn. */
+  /** Number of the round. It selects which of the less urgent groups take part. */
   roundNumber: number;
-  /** The part of a further machine that is not rented for. */
+  /** Above one machine, demand for up to this fraction of a further machine is not rented. */
   roundDownFraction: number;
 }
 
-/** Machines kept free for one job that waits long; of a gang as many as it has tasks, within reason. */
+/** Machines reserved for one job that is not a gang. */
 const MAX_RESERVED_MACHINES = 4;
-/** Who waited longest is served first: more jobs at a time would keep all machines free of everybody. */
+/** Groups with reservations at a time: with more of them, reservations could block all machines. */
 const MAX_RESERVING_GROUPS = 12;
+/** Machines reserved for one gang. */
 const MAX_RESERVED_MACHINES_GANG = 64;
-/** Dearer than any machine, whatever the group's urgency adds. */
+/** Cost of leaving a task unscheduled: higher than on any machine, whatever the group's urgency adds. */
 const UNSCHEDULED_COST = 30 * COST_BAND;
 
 /**
- * Machines kept free for jobs that wait long, who waited longest first: the nearest to fitting, and of a gang
- * all that it needs, in the one zone it is bound to. A gang of sixteen once had four kept for it, and small
- * jobs took the rest for ever.
+ * Reserves machines for jobs that have waited longer than `reserveAfterMs`, the longest-waiting first. A job gets
+ * the machines that lack the least room for its tasks. A gang gets as many as it needs, in one zone if it must stay
+ * together: with only four machines reserved for a gang of sixteen, small jobs keep taking the others and the gang
+ * starves.
+ *
+ * Returns the job by reserved machine.
  */
 function reserveMachines(
   groups: readonly TaskGroup[],
@@ -43,7 +48,8 @@
   options: RoundOptions,
 ): Map<number, number> {
   const reserved = new Map<number, number>();
-  // Others were stopped there for it: who waits long would take it, being free, and more be stopped elsewhere.
+  // Tasks were preempted on these machines for the group. Unreserved, the freed machines would go to jobs that have
+  // waited long, and further tasks would be preempted elsewhere.
   for (const group of groups) for (const machine of group.reservedMachines) reserved.set(machine, group.job);
   const waiting = groups.filter((g) => !g.expected && g.waitedMs >= options.reserveAfterMs);
   waiting.sort((a, b) => b.waitedMs - a.waitedMs);
@@ -90,12 +96,13 @@
   return reserved;
 }
 
-/** Part of a full round's places that goes to the most urgent; the rest is taken in turn. */
+/** Share of a full round's places that goes to the most urgent groups; the other groups take turns in the rest. */
 const URGENT_PLACES_RATIO = 0.75;
 
 /**
- * The first in order, and of the others some in turn: with the most urgent alone, those that find no room would
- * keep everybody else out of every round for as long as they wait.
+ * Selects the groups of a round from a list ordered by urgency: the first of the list, and a window over the others
+ * that advances with each round. With the most urgent groups alone, those that find no room would keep all other
+ * groups out of every round for as long as they wait.
  */
 function selectForRound<T>(ordered: readonly T[], maxCount: number, roundNumber: number): readonly T[] {
   if (ordered.length <= maxCount) return ordered;
@@ -110,18 +117,25 @@
 }
 
 /**
- * Tasks of a group that must stay together may be in two zones: some of them are old news, such as a copy of a
- * report from before a takeover. Until it is known which, no zone is right, and no room is made for the group.
+ * Whether a group that must stay in one zone seems to have live tasks in several. Some of these tasks are then
+ * outdated information, such as a delayed copy of a heartbeat from before a takeover. Until it is known which tasks
+ * are live, no zone is right: the group takes no part in the round, and nothing is rented or preempted for it.
  */
 function isLiveInSeveralZones(group: TaskGroup): boolean {
   return group.oneZone && group.liveByZone.size > 1;
 }
 
+/** Reused by all rounds, so that its arrays are allocated once. */
 const network = new FlowNetwork();
 
 /**
- * One flow round: groups on the left, machines (present, booting, rentable) in the middle, the sink on the
- * right, and the unscheduled node that every group can reach. Placements that don't fit together wait.
+ * Runs one round as a min-cost flow from task groups through targets (present machines, room to come, machines to be
+ * rented) to the sink. Every group can also reach the unscheduled node. Tasks that the flow assigns to a machine but
+ * that don't fit there together wait for the next round.
+ *
+ * @param quotaHeadroom by index of the team
+ * @param sizeOf the resources of a whole machine of a type, or null if the type is unknown
+ * @param expired whether the round has used up its time
  */
 export function runRound(
   allGroups: readonly TaskGroup[],
@@ -142,7 +156,7 @@
     deferredGroupCount: 0,
     zones: new Map(),
   };
-  // What a team's limit keeps waiting must not use up the places in the round.
+  // Groups that wait for their team's quota must not use up the places in the round.
   const admissible = allGroups.filter((g) => {
     if (isLiveInSeveralZones(g)) return false;
     if (countAdmissibleTasks(g, quotaHeadroom) > 0) return true;
@@ -162,7 +176,7 @@
   const targets = makeTargets(groups, needs, machines, provisioningOptions, result.reserved);
   const planner = new GroupPlanner(needs, targets, options);
   const plans = groups.map((g) => planner.planGroup(g, quotaHeadroom)).filter((p) => p !== null);
-  // A gang of which only a part found room must not hold the rest back: it is left out and the round repeated.
+  // A gang that found room for only a part of its tasks must not block other groups: the next pass leaves it out.
   const skipped = new Set<number>();
   for (let pass = 0; pass < 3; pass++) {
     const remaining = plans.filter((p) => !skipped.has(p.group.job));
@@ -174,7 +188,7 @@
       heldForExpected: new Set<number>(),
     };
     const dropped = solveOnce(remaining, targets, quotaHeadroom, options, passResult, expired);
-    // Out of time, what an earlier pass has found stands: this one found less.
+    // Once the time is up, the result of the previous pass stands: this pass was cut short and found less.
     if (pass > 0 && expired()) break;
     Object.assign(result, passResult);
     if (dropped.length === 0) break;
@@ -183,6 +197,7 @@
   return result;
 }
 
+/** Solves the flow for the groups of one pass. Adds to `result`; returns the jobs of gangs to be left out. */
 function solveOnce(
   plans: readonly GroupPlan[],
   targets: readonly Target[],
@@ -231,7 +246,8 @@
         target,
         arc: net.addArc(entryNode(target.zone), target.node, capacity, cost),
       });
-      // Room for all groups together, not for the largest one: a machine once took no more than that in a round.
+      // `wanted` sums up all groups: bounded by the largest group alone, a machine would take no more tasks in a round
+      // than that group has.
       target.slots = Math.max(target.slots, slots);
       target.wanted += capacity;
     }
@@ -243,12 +259,12 @@
       net.addArc(target.node, sink, slots, 0);
       continue;
     }
-    // A further task on any of the equal machines costs a step more than the last.
+    // On each of the equivalent machines a further task costs one step more than the previous one.
     const { load } = target.snapshots[0]!;
     for (let k = 0; k < slots; k++) net.addArc(target.node, sink, target.snapshots.length, (load + k) * STEP);
   }
   net.addArc(unscheduled, sink, supply, 0);
-  // The most urgent first: a round that runs out of time has found places for those.
+  // The most urgent groups come first, so that a round that runs out of time has served these.
   for (const source of sources) net.solve(source.node, sink, source.wanted, expired);
   const groups = plans.map((p) => p.group);
   return extractPlacements(groups, arcs, net, quotaHeadroom, options, result);
--- a/src/scheduling/urgency.ts
+++ b/src/scheduling/urgency.ts
@@ -1,25 +1,32 @@
+/** The order in which task groups are served, and the assignment of guarantees in that order. */
 import { required } from '../base/required.ts';
 import type { TaskGroup } from './snapshot.ts';
 
-/** Costs on present machines stay below one band, those of room that is yet to come below the second. */
+/**
+ * Width of a band of costs. Costs on present machines lie in the first band. Costs of room to come and of machines to
+ * be rented lie in the second, before the group's urgency is added.
+ */
 export const COST_BAND = 100_000;
-/** So many times the wait after which machines are kept free, and a job goes before all of its rank. */
+/** A job that has waited this many times `reserveAfterMs` gets the full pressure. */
 const STARVATION_WAIT_RATIO = 2.5;
-/** With so much time to spare a job presses half as much as one that is about to be late. */
+/** Slack with which a job has half the pressure of one that is about to be late. */
 const HALF_PRESSURE_SLACK_S = 60;
 
-/** From 0, not pressing, to 1: about to be late. What is late already makes way for what is not, for a while. */
+/**
+ * Pressure of a group's next objective, from 0 (none) to 1 (about to be late). A group that is already late has none,
+ * so that groups that can still be in time go first, until it has waited so long that it gets the full pressure.
+ */
 function computePressure(group: TaskGroup, reserveAfterMs: number): number {
   if (group.waitedMs > reserveAfterMs * STARVATION_WAIT_RATIO) return 1;
   if (group.slackS < 0 || group.probe) return 0;
-  // Among jobs that all can't be in time, those that need least room: more of them are.
+  // If not all jobs can be in time, those with less work go first, so that more jobs are.
   return HALF_PRESSURE_SLACK_S / (HALF_PRESSURE_SLACK_S + group.slackS) / (1 + group.relativeWork);
 }
 
-/** How much a group presses, in cost steps: the round places the groups with the highest first. */
+/** Urgency of a group, in the unit of costs. The round serves the groups with the highest urgency first. */
 export function computeUrgency(group: TaskGroup, reserveAfterMs: number): number {
   if (group.expected) return 0;
-  // Rank first, then a team's guarantee, then who will be late soonest, then who waited longest.
+  // Ordered by rank, then by the team's guarantee, then by pressure, then by waiting time.
   return (
     COST_BAND +
     group.priority * 2 * COST_BAND +
@@ -29,15 +36,18 @@
   );
 }
 
-/** What a team's tasks may use before they are beyond its guarantee, less what they use; null: no guarantee. */
+/** CPUs and GPUs that a team can still use within its guarantee; `cpus` is null if no CPUs are guaranteed. */
 export interface GuaranteeHeadroom {
   cpus: number | null;
   gpus: number;
 }
 
 /**
- * A team's guarantee goes to its most urgent jobs, up to its amount. Given to the team's oldest jobs it made a
- * backlog first come first served: small jobs that could have been in time waited behind large ones that could not.
+ * Assigns each team's guarantee to its most urgent groups that fit into it, by setting `guaranteed`. Assigned to the
+ * oldest jobs it would serve a backlog first come, first served: small jobs that can be in time would wait behind
+ * large ones that cannot.
+ *
+ * @param guaranteeHeadroom by index of the team; reduced by what is assigned
  */
 export function assignGuarantees(
   groups: readonly TaskGroup[],
@@ -48,7 +58,7 @@
   ordered.sort((a, b) => b.key - a.key);
   for (const { group } of ordered) {
     if (group.probe) continue;
-    const headroom = required(guaranteeHeadroom[group.team], 'guarantee of the team');
+    const headroom = required(guaranteeHeadroom[group.team], 'guarantee headroom of the team');
     const gpus = group.need.gpus * group.pending;
     const cpus = group.need.cpus * group.pending;
     if (headroom.cpus === null ? gpus === 0 : cpus > headroom.cpus + 1e-9) continue;
