--- a/src/scheduling/extract.ts
+++ b/src/scheduling/extract.ts
@@ -1,3 +1,4 @@
+/** Turns the solved flow into placements and demand for machines. */
 import { required } from '../base/required.ts';
 import type { FlowNetwork } from './solver.ts';
 import type { Target } from './targets.ts';
@@ -14,31 +15,36 @@
   type QuotaHeadroom,
 } from './snapshot.ts';
 
-/** An arc of the network over which a group's tasks can flow to a target. `group`: index into the round's groups. */
+/** An arc of the flow network from a task group to a target. */
 export interface NetworkArc {
+  /** Index into the groups of the pass. */
   group: number;
   target: Target;
+  /** Index of the arc in the network. */
   arc: number;
 }
 
+/** A machine with the tasks that this round has allocated to it so far. */
 interface MachineAllocation {
   snapshot: MachineSnapshot;
   free: Resources;
   taskCount: number;
-  /** Images that tasks placed in this round bring to it. */
+  /** Images of the tasks that this round has allocated to it. */
   images: Set<string>;
 }
 
-/** The equal machines of a target with what the round has put on them so far. */
+/** The equivalent machines of each target, with the tasks that this round has allocated to them so far. */
 class MachineAllocations {
   private readonly byTarget = new Map<Target, MachineAllocation[]>();
 
   constructor(private readonly fetchSteps: number) {}
 
   /**
-   * Divides tasks among equal machines, each where it costs least; returns how many found room. A further task
-   * costs a step, but an image is fetched once for all tasks on a machine: one task of a job on each of forty
-   * machines once made forty fetches, and machines that fetched the images of four jobs at the same time.
+   * Distributes tasks among the equivalent machines of a target, each to the machine where it costs least. A further
+   * task on a machine costs a step, but its image is fetched once for all tasks there. By load alone, a job of forty
+   * tasks on forty machines causes forty fetches, and machines fetch the images of four jobs at the same time.
+   *
+   * Appends to `placed`; returns the number of tasks that fit.
    */
   place(target: Target, group: TaskGroup, count: number, placed: Placement[]): number {
     let allocations = this.byTarget.get(target);
@@ -72,7 +78,8 @@
         if (cost === 0) break;
       }
       if (!best) break;
-      // What follows on the same machine costs less than the first there, as long as steps don't add up to more.
+      // After the first task, further ones on the same machine need no fetch. They cost less than a first task on
+      // another machine until their steps add up to the cost of a fetch.
       const maxTasks = fetchCost > 0 ? Math.max(1, Math.floor(fetchCost)) : 1;
       const taskCount = Math.min(
         tasksLeft,
@@ -91,7 +98,10 @@
   }
 }
 
-/** Takes the placements out of the flow, in order of urgency, as far as room and limits really allow. */
+/**
+ * Reads the placements and the demand off the solved flow, in order of urgency, as far as free resources and quotas
+ * allow, and adds them to `result`. Returns the jobs of gangs with room for only a part of their tasks.
+ */
 export function extractPlacements(
   groups: readonly TaskGroup[],
   arcs: readonly NetworkArc[],
@@ -106,14 +116,14 @@
   const dropped: number[] = [];
   const arcsByGroup: NetworkArc[][] = groups.map(() => []);
   for (const arc of arcs) {
-    if (net.flow(arc.arc) > 0) required(arcsByGroup[arc.group], 'group of the edge').push(arc);
+    if (net.flow(arc.arc) > 0) required(arcsByGroup[arc.group], 'group of the arc').push(arc);
   }
   groups.forEach((group, index) => {
     const placed: Placement[] = [];
     let placedCount = 0;
     let laterCount = 0;
     const provisioningDemand: { option: number; machines: number }[] = [];
-    for (const groupArc of required(arcsByGroup[index], 'edges of the group')) {
+    for (const groupArc of required(arcsByGroup[index], 'arcs of the group')) {
       const { target } = groupArc;
       const flow = net.flow(groupArc.arc);
       if (target.option) {
@@ -125,7 +135,7 @@
       } else if (target.kind === 'later') {
         laterCount += flow;
       } else {
-        const teamHeadroom = required(headroomByTeam[group.team], 'room of the team');
+        const teamHeadroom = required(headroomByTeam[group.team], 'quota headroom of the team');
         const count = Math.min(flow, countTasksWithinQuota(group.need, teamHeadroom));
         if (count <= 0) continue;
         const allocated = allocations.place(target, group, count, placed);
@@ -145,14 +155,15 @@
     if (unplacedCount > 0) result.unplaced.set(group.job, unplacedCount);
     else result.unplaced.delete(group.job);
     if (group.gang && placedCount < group.pending) {
-      // With the rest on its way the room found is kept; otherwise the gang steps back for this round.
+      // While room for the other tasks is to come, the room found stays allocated. Otherwise the round is repeated
+      // without the gang.
       if (placedCount > 0 && unplacedCount > 0) dropped.push(group.job);
       return;
     }
     result.placements.push(...placed);
   });
   for (const [option, amount] of demand) {
-    // A small part of a further machine isn't worth one: those tasks find room when others end.
+    // A small fraction of a further machine isn't worth renting one: its tasks find room when others end.
     const ignoredFraction = amount > 1 ? costs.roundDownFraction : 1e-6;
     result.demand.set(option, Math.max(1, Math.ceil(amount - ignoredFraction)));
   }
--- a/src/scheduling/idle-work.ts
+++ b/src/scheduling/idle-work.ts
@@ -1,21 +1,21 @@
-/** What a machine runs that nobody waits for. */
+/** A running best-effort task that can be stopped without missing an objective. */
 export interface IdleTask {
-  /** Greatest hourly price that the task is worth, in the cloud's currency. */
+  /** Highest hourly price at which the task is worth running, in the cloud's currency. */
   maxPrice: number;
-  /** Seconds until it ends, by its owner's estimate. */
+  /** Seconds until it ends, by the user's estimate. */
   remainingS: number;
   /** Seconds of its work that are lost if it is stopped now. */
   lossS: number;
 }
 
-/** Seconds for which a machine is still paid once its tasks have been told to stop. */
+/** Seconds for which a machine is still paid for after its tasks have been told to stop. */
 const TERMINATION_DELAY_S = 15;
 
 /**
- * Whether a machine whose only tasks are these is worth its price until they end. If not, they had better be stopped
- * and done elsewhere: a machine with accelerators was once kept up for minutes for a task that needs none.
+ * Whether a machine that runs only these tasks is worth its price until they end. If not, it is cheaper to stop them
+ * and run them elsewhere: a machine with accelerators would otherwise stay up for minutes for a task that needs none.
  *
- * `price`: of the machine, an hour.
+ * @param price hourly price of the machine
  */
 export function isWorthKeeping(price: number, tasks: readonly IdleTask[]): boolean {
   let remainingS = 0;
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -68,7 +68,10 @@
 
 /** Number of the group's tasks that its team's quota admits; a gang is admitted whole or not at all. */
 export function countAdmissibleTasks(group: TaskGroup, quotaHeadroom: readonly QuotaHeadroom[]): number {
-  const limit = countTasksWithinQuota(group.need, required(quotaHeadroom[group.team], 'quota headroom of the team'));
+  const limit = countTasksWithinQuota(
+    group.need,
+    required(quotaHeadroom[group.team], 'quota headroom of the team'),
+  );
   if (group.gang) return limit >= group.pending ? group.pending : 0;
   return Math.min(group.pending, limit);
 }
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -1,3 +1,4 @@
+/** The choice of running tasks to be stopped to make room for a waiting group. */
 import { required } from '../base/required.ts';
 import {
   countFittingTasks,
@@ -9,13 +10,15 @@
   type QuotaHeadroom,
 } from './snapshot.ts';
 
-/** A task on a machine that may be stopped for others; `item` is whatever the caller knows it by. */
+/** A task on a machine that may be stopped to make room. */
 export interface PreemptionCandidate<T> {
+  /** The caller's object for the task. */
   item: T;
   priority: number;
   team: number;
-  /** Its job is run in excess of its own team's guarantee. */
+  /** Its job runs in excess of its own team's guarantee. */
   beyondGuarantee: boolean;
+  /** It has been told to stop already. */
   stopping: boolean;
   need: Resources;
   /** Seconds of work that stopping it loses. */
@@ -23,8 +26,9 @@
 }
 
 /**
- * May this task be stopped for that group? By rank at once. To give a team its guarantee only after a while:
- * machines that end their tasks or that are rented mostly bring it sooner, and stopping loses work.
+ * Whether the task may be stopped for the group: at once for a group of higher rank, and to give a team its guarantee
+ * once the group has waited for `guaranteeAfterMs`. Tasks that end and machines that are rented mostly make room
+ * sooner than that, and stopping tasks loses work.
  */
 function mayPreempt(
   group: TaskGroup,
@@ -37,9 +41,10 @@
 }
 
 /**
- * Picks the tasks to stop so that a group finds room, on the machines where least is lost. Room that is
- * already being made counts first, so that a round that comes while tasks save doesn't stop more; null: it is
- * enough. Empty: stopping others can't make enough.
+ * Selects the tasks to stop so that a group finds room, on the machines where the least work is lost. Room that is
+ * free or being made counts first, so that a round doesn't stop further tasks while others are saving.
+ *
+ * Returns null if that room is enough, and an empty list if stopping tasks makes no room or, for a gang, not enough.
  */
 export function selectVictims<T>(
   group: TaskGroup,
@@ -49,18 +54,18 @@
   quotaHeadroom: readonly QuotaHeadroom[],
   guaranteeAfterMs: number,
   reserved: ReadonlyMap<number, number>,
-  /** Takes the machines that the group will find its room on, those with room already included. */
+  /** Receives the machines on which the group will find its room, including those with room already. */
   chosenMachines = new Set<number>(),
 ): T[] | null {
   let tasksLeft = Math.min(
     waitingTasks,
-    countTasksWithinQuota(group.need, required(quotaHeadroom[group.team], 'room of the team')),
+    countTasksWithinQuota(group.need, required(quotaHeadroom[group.team], 'quota headroom of the team')),
   );
   if (group.gang && tasksLeft < group.pending) return [];
   const plans: { machine: number; items: T[]; count: number; loss: number; zone: number }[] = [];
   for (const snapshot of machines) {
     if (snapshot.bootsInS > 0 || group.excludedMachines.has(snapshot.machine)) continue;
-    // A machine kept free for another job would take that job's tasks, and the stopped ones would come to nothing.
+    // A machine reserved for another job takes that job's tasks: stopping tasks on it would be in vain.
     const holder = reserved.get(snapshot.machine);
     if (holder !== undefined && holder !== group.job) continue;
     if (snapshot.spot && !group.spot) continue;
@@ -71,7 +76,7 @@
     for (const v of victims) if (v.stopping) allocate(free, v.need, -1);
     const fittingTasks = countFittingTasks(group.need, free);
     if (fittingTasks > 0) {
-      // Free room, or room that is being made: the next rounds will use it.
+      // Room that is free or being made: the next rounds use it.
       if (tasksLeft > 0) chosenMachines.add(snapshot.machine);
       tasksLeft -= Math.min(tasksLeft, fittingTasks);
       continue;
@@ -101,6 +106,6 @@
     chosenMachines.add(plan.machine);
     tasksLeft -= plan.count;
   }
-  // A gang gains nothing from room for a part of it.
+  // Room for only a part of a gang is useless.
   return group.gang && tasksLeft > 0 ? [] : chosen;
 }
--- a/src/scheduling/snapshot.ts
+++ b/src/scheduling/snapshot.ts
@@ -1,92 +1,98 @@
 /**
- * What a round sees. Everything is a dense index; no slice's own objects reach the graph.
- *
- * A room is an amount of processor cores, accelerators and GB of memory.
+ * The input and the result of a scheduling round, and arithmetic on resources. Jobs, teams, machines, machine types,
+ * zones and provisioning options are given as dense indices, so that a round needs no objects of other modules.
  */
+
+/** An amount of CPU cores, accelerators and memory in GB. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memory: number;
 }
 
-/** The tasks of one job that wait for a place, which are all alike. Prices are an hour's, in the cloud's currency. */
+/** The waiting tasks of one job, which are all alike. Prices are per hour, in the cloud's currency. */
 export interface TaskGroup {
   job: number;
   team: number;
   /** Tasks to place; for a gang all of them. */
   pending: number;
   gang: boolean;
+  /** Rank of the job; a higher one goes first. */
   priority: number;
+  /** Resources of each task. */
   need: Resources;
   /** Allowed machine types by index, or null. */
   types: Set<number> | null;
   /** The only allowed zone, or -1. */
   zone: number;
+  /** Spot machines are allowed. */
   spot: boolean;
+  /** All its tasks must run in the same zone. */
   oneZone: boolean;
   /** The zone that the last round chose for it, or -1. */
   zoneHint: number;
-  /** With `spread`: how many tasks may be in one zone. */
+  /** Tasks of the job that may run in one zone; Infinity unless they are to be spread. */
   maxTasksPerZone: number;
   /** Tasks of the job that are or may be on machines, by zone. */
   liveByZone: Map<number, number>;
-  /** Of a class whose tasks must start soon. */
+  /** Its class has an objective on when tasks start. */
   latencySensitive: boolean;
-  /** Tasks that are only expected: they hold room and rent, but nothing is placed for them. */
+  /** Tasks that have not arrived yet: room is held and machines are rented for them, but none is placed. */
   expected: boolean;
   waitedMs: number;
-  /** A further attempt of a job that has failed everywhere: nothing is stopped or kept free for it. */
+  /** A further attempt of a job that fails on all machines: nothing is preempted or reserved for it. */
   probe: boolean;
   /** Machines may be rented for it. */
   mayProvision: boolean;
-  /** Work of the lowest rank of a team without a guarantee: it leaves each free accelerator its share of a machine. */
+  /** Lowest-rank work of a team without a guarantee. It leaves each free accelerator its share of the machine. */
   bestEffort: boolean;
-  /** Greatest hourly price per task at which a machine is rented for it. */
+  /** Highest hourly price per task at which a machine is rented for it. */
   maxProvisionPrice: number;
   image: string;
   imageGb: number;
   excludedMachines: ReadonlySet<number>;
-  /** The only machine it takes for now, since room is being made there; or -1. */
+  /** The only machine that it may use while tasks are preempted for it there, or -1. */
   nominatedMachine: number;
-  /** Machines on which room was made for it a moment ago: they are kept for it. */
+  /** Machines on which tasks have just been preempted for it: they are reserved for it. */
   reservedMachines: ReadonlySet<number>;
-  /** How much longer than a rented machine's boot the job would rather wait for room on a present one. */
+  /** Seconds beyond the boot of a rented machine for which the job rather waits for room on a present one. */
   maxQueueingDelayS: number;
-  /** How long it can still wait without being late; Infinity: nothing is expected of it, -1: it is late. */
+  /** Seconds that it can still wait without missing an objective; Infinity: it has none, -1: it has missed all. */
   slackS: number;
-  /** Its tasks fit into what is left of its team's guarantee. */
+  /** Its tasks fit into the rest of its team's guarantee. */
   guaranteed: boolean;
-  /** Room it still needs, as a multiple of what the jobs of its class need; 0 where tasks count, not jobs. */
+  /** Waiting work as a multiple of the mean of its class; 0 where objectives are on tasks, not on the job. */
   relativeWork: number;
 }
 
-/** A machine that is up or booting, with what it has free. */
+/** A machine that is up or booting, with its free resources. */
 export interface MachineSnapshot {
   machine: number;
   type: number;
   zone: number;
   spot: boolean;
   free: Resources;
-  /** Room of the machine for each of its accelerators; null: it has none. */
+  /** Each accelerator's share of the machine; null if it has no accelerators. */
   perAccelerator: Resources | null;
-  /** Room that running tasks are expected to leave, soonest first; each entry adds to those before. */
+  /** Resources that tasks are expected to release, soonest first; each entry adds to those before. */
   releases: { inS: number; resources: Resources }[];
-  /** Tasks on it. */
+  /** Number of tasks on it. */
   load: number;
-  /** 0 for a machine that is up; else seconds until it is expected. */
+  /** 0 for a machine that is up, else seconds until it is expected to be. */
   bootsInS: number;
-  /** Seconds until an image is there: 0 if cached, what is left of a fetch under way, else the whole fetch. */
+  /** Seconds until an image is there: 0 if cached, the rest of a fetch in progress, else the whole fetch. */
   fetchS: (image: string, gb: number) => number;
-  /** Images on it that classes which must start soon have used lately. */
+  /** Number of images on it that latency-sensitive classes have used lately. */
   warmImageCount: number;
-  /** Beyond the present need: taken last, so that it can be given back. Quick classes don't mind. */
+  /** Beyond the present need: used last, except by latency-sensitive classes, so that it can be terminated. */
   surplus: boolean;
-  /** Extra cost in steps, for machines known as slow or faulty. */
+  /** Extra cost in steps, for machines known to be slow or faulty. */
   penalty: number;
+  /** Hourly price, in the cloud's currency. */
   price: number;
 }
 
-/** Machines of one type, zone and kind that could be rented: room and boot time of each, price an hour. */
+/** Machines of one type and zone, spot or not, that can be rented: size, hourly price and boot time of each. */
 export interface ProvisioningOption {
   option: number;
   type: number;
@@ -100,41 +106,41 @@
   fetchGbPerS: number;
 }
 
-/** Cores and accelerators that a team's limit leaves it. */
+/** CPUs and GPUs that a team can still use within its quota. */
 export interface QuotaHeadroom {
   cpus: number;
   gpus: number;
 }
 
-/** So many tasks of a job go to a machine. */
+/** A number of a job's tasks that are to start on a machine. */
 export interface Placement {
   job: number;
   machine: number;
   count: number;
 }
 
-/** What a round has decided, by index of job, machine or rent option. */
+/** What a round has decided, by index of the job, machine or provisioning option. */
 export interface RoundResult {
   placements: Placement[];
-  /** Machines wanted by option. */
+  /** Number of machines to be rented by provisioning option. */
   demand: Map<number, number>;
-  /** Tasks by job that wait for machines still booting. */
+  /** Tasks by job that wait for room to come: tasks that end, booting machines and machines to be rented. */
   awaiting: Map<number, number>;
-  /** Tasks by job that found no place at all. */
+  /** Tasks by job for which there is no room, not even to come. */
   unplaced: Map<number, number>;
-  /** Machines kept free for a job that waits long. */
+  /** The job that a machine is reserved for, by machine. */
   reserved: Map<number, number>;
-  /** Machines with room that is kept for expected tasks. */
+  /** Machines with room that is held for expected tasks. */
   heldForExpected: Set<number>;
-  /** Groups that had no place in this round. */
+  /** Number of groups that this round left to a later one. */
   deferredGroupCount: number;
-  /** The zone chosen for each job that must stay in one. */
+  /** The zone chosen for each job whose tasks must stay in one. */
   zones: Map<number, number>;
 }
 
 const EPSILON = 1e-6;
 
-/** How many tasks of this need the free room takes; 1000 for a task that needs nothing. */
+/** Number of tasks with this need that fit into the free resources; 1000 for a task that needs nothing. */
 export function countFittingTasks(need: Resources, free: Resources): number {
   let count = Infinity;
   if (need.cpus > 0) count = Math.min(count, (free.cpus + EPSILON) / need.cpus);
@@ -143,7 +149,7 @@
   return count === Infinity ? 1000 : Math.max(0, Math.floor(count));
 }
 
-/** How many of a group's tasks fit into the free room of a machine. */
+/** Number of a group's tasks that fit into the free resources of a machine. */
 export function countFittingGroupTasks(
   group: { need: Resources; bestEffort: boolean },
   free: Resources,
@@ -151,26 +157,28 @@
 ): number {
   if (!group.bestEffort || perAccelerator === null || group.need.gpus > 0)
     return countFittingTasks(group.need, free);
-  // Guests that filled the processors beside idle accelerators had to be stopped for each task that needs one.
+  // Best-effort tasks on the CPUs beside an idle accelerator would be preempted by each task that needs it.
   const remaining = { ...free };
   allocate(remaining, { ...perAccelerator, gpus: 0 }, Math.max(0, free.gpus));
   return countFittingTasks(group.need, remaining);
 }
 
-/** Takes the room of `count` tasks away from `free`; a negative count gives it back. */
+/** Subtracts the resources of `count` tasks from `free`; a negative count adds them. */
 export function allocate(free: Resources, need: Resources, count = 1): void {
   free.cpus -= need.cpus * count;
   free.gpus -= need.gpus * count;
   free.memory -= need.memory * count;
 }
 
-/** Room to come that is this close in time, in seconds or as a part of the time until then, counts as one. */
+/** Releases that follow the first one of an entry within this time are merged into the entry. */
 const MERGE_WINDOW_S = 1;
+/** The same as a part of the time until that first release; the longer of both applies. */
 const MERGE_WINDOW_RATIO = 0.1;
 
 /**
- * Room that tasks leave at about the same time as one entry, at the later time; `leaving` is sorted by time. A sweep of
- * short tasks has dozens on each machine, and each entry costs a round a part of its network.
+ * Merges releases at about the same time into one entry, at the latest of their times; `releases` is sorted by time.
+ * A parameter sweep of short tasks has dozens of releases on each machine, and each entry makes the flow network
+ * larger.
  */
 export function mergeReleases(releases: MachineSnapshot['releases']): MachineSnapshot['releases'] {
   const merged: MachineSnapshot['releases'] = [];
@@ -188,17 +196,17 @@
   return merged;
 }
 
-/** Just the amounts of something that has them: a job's need of a task, a machine type's size. */
+/** Only the resources of an object with further fields, such as a job's specification or a machine type. */
 export function resourcesOf({ cpus, gpus, memory }: Resources): Resources {
   return { cpus, gpus, memory };
 }
 
-/** Seconds to fetch an image; a rate that isn't known counts as no time. */
+/** Seconds to fetch an image of this size; 0 if the rate is unknown. */
 export function computeFetchS(gb: number, gbPerS: number): number {
   return gbPerS > 0 ? gb / gbPerS : 0;
 }
 
-/** How many tasks a team's limit still takes. */
+/** Number of tasks with this need that a team's quota still admits. */
 export function countTasksWithinQuota(need: Resources, headroom: QuotaHeadroom): number {
   return countFittingTasks({ ...need, memory: 0 }, { ...headroom, memory: 0 });
 }
--- a/src/scheduling/solver.ts
+++ b/src/scheduling/solver.ts
@@ -1,22 +1,25 @@
 /**
  * Min-cost flow by successive shortest paths with potentials (Dijkstra). Costs are non-negative integers.
- * Nodes and arcs are dense indices; arc 2k and 2k+1 are a pair of opposite directions. The arrays are kept
- * between rounds: making them anew each time cost more than filling them.
+ * Nodes and arcs are dense indices; arcs 2k and 2k+1 are a pair of opposite directions. The arrays are kept
+ * between rounds, since allocating them for each round costs more than filling them.
  */
 export class FlowNetwork {
   private nodeCount = 0;
   private arcCount = 0;
+  /** By node: the first of its outgoing arcs, or -1. */
   private firstArc = new Int32Array(256);
+  /** By arc: the next outgoing arc of the same node, or -1. */
   private nextArc = new Int32Array(4096);
   private to = new Int32Array(4096);
   private residualCapacity = new Int32Array(4096);
   private cost = new Int32Array(4096);
   private potential = new Float64Array(256);
   private distance = new Float64Array(256).fill(Infinity);
+  /** By node: the arc by which the shortest path of the current search arrives. */
   private arrivalArc = new Int32Array(256);
   private settled = new Uint8Array(256);
   private readonly heap = new Heap();
-  /** Nodes that the present search has reached. */
+  /** Nodes that the current search has reached. */
   private readonly reachedNodes: number[] = [];
 
   /** Empties the network for the next round. */
@@ -44,6 +47,7 @@
     this.settled = new Uint8Array(newLength);
   }
 
+  /** Adds an arc and its reverse; returns the index of the arc. */
   addArc(from: number, to: number, capacity: number, cost: number): number {
     const arc = this.arcCount;
     if (arc + 2 > this.to.length) {
@@ -72,9 +76,10 @@
   }
 
   /**
-   * Sends up to `amount` from a source to the sink at least cost; stops after a first path when `expired`. Sources
-   * can follow one another: the flow of all of them together costs least, since what is there is rerouted where
-   * that pays. Each search begins at one source and ends at the sink, so it sees a small part of the network.
+   * Sends up to `amount` from a source to the sink at least cost; stops after a first path when `expired`. It can be
+   * called for one source after another: earlier flow is rerouted where that is cheaper, so that the flow of all
+   * sources together has the least cost. Each search goes from one source to the sink, so that it visits only a small
+   * part of the network.
    */
   solve(
     source: number,
@@ -85,7 +90,7 @@
     const { to, residualCapacity, arrivalArc } = this;
     let flow = 0;
     let cost = 0;
-    // Each source gets one path at least, so that a round without time left still serves everybody a little.
+    // Each source gets at least one path, so that a round without time left still serves each group a little.
     while (flow < amount && (flow === 0 || !expired())) {
       if (!this.search(source, sink)) break;
       let pathFlow = amount - flow;
@@ -103,7 +108,7 @@
     return { flow, cost };
   }
 
-  /** Shortest reduced distances from the source, as far as the sink, and the potentials that follow from them. */
+  /** Finds the shortest path by reduced costs and updates the potentials; false if the sink can't be reached. */
   private search(source: number, sink: number): boolean {
     const {
       firstArc,
@@ -147,7 +152,7 @@
     }
     const sinkDistance = distance[sink]!;
     for (const node of reachedNodes) {
-      // Only what is nearer than the sink moves; all others would move by the same amount.
+      // Only potentials of nodes nearer than the sink change: those of all others would change by the same amount.
       if (found && settled[node]) potential[node]! += distance[node]! - sinkDistance;
       distance[node] = Infinity;
       settled[node] = 0;
@@ -163,7 +168,7 @@
   return larger;
 }
 
-/** A binary heap of (key, node); nodes may stand in it more than once. */
+/** A binary heap of nodes by least key; it may contain a node more than once. */
 class Heap {
   private readonly keys: number[] = [];
   private readonly nodes: number[] = [];
--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -1,3 +1,4 @@
+/** The targets of the flow network: present machines, room to come, and machines to be rented. */
 import {
   computeFetchS,
   countFittingTasks,
@@ -8,45 +9,49 @@
   type Resources,
 } from './snapshot.ts';
 
-/** What a group's tasks can flow to. Machines that are equal to all groups of a round share one. */
+/** A node of the flow network that tasks can be assigned to. Machines that all groups see as equal share one. */
 export interface Target {
+  /** Index of the node in the network. */
   node: number;
+  /** Free resources of present machines, room to come, or machines to be rented. */
   kind: 'now' | 'later' | 'rent';
   type: number;
   zone: number;
   spot: boolean;
   price: number;
-  /** The job these machines are kept free for, or -1. */
+  /** The job that these machines are reserved for, or -1. */
   holder: number;
-  /** now: the equal machines. */
+  /** Kind `now`: the equivalent machines. */
   snapshots: MachineSnapshot[];
-  /** later: parts of machines' rooms that come at about the same time. */
+  /** Kind `later`: releases and booting machines that come at about the same time. */
   parts: Part[];
-  /** later: seconds until they come, on average. */
+  /** Kind `later`: mean seconds until they come. */
   inS: number;
+  /** Kind `rent`: the option, else null. */
   option: ProvisioningOption | null;
-  /** Tasks one machine takes (now) or all parts take (later, rent) of the group that fits best. */
+  /** Tasks that one machine (`now`) or the whole target (other kinds) takes, of the group that fits best. */
   slots: number;
-  /** Tasks that could go there. */
+  /** Tasks of all groups that may go there. */
   wanted: number;
-  /** Tasks it takes by kind of need. */
+  /** Tasks that fit, by index of the need; `UNKNOWN_COUNT` until counted. */
   taskCounts: Int32Array;
 }
 
+/** A release of a machine, or a machine that boots. */
 interface Part {
   snapshot: MachineSnapshot;
-  /** Index into `releases`; -1: the room of a machine that is yet to come up. */
+  /** Index into the machine's `releases`; -1: the free resources of a machine that boots. */
   releaseIndex: number;
 }
 
 const UNKNOWN_COUNT = -1;
-/** Of more parts than this some stand for all: how much is to come only weighs waiting against renting. */
+/** Of more parts than this a sample is counted: room to come is only weighed against renting. */
 const MAX_COUNTED_PARTS = 12;
 
-/** With no more machines than this each part of their room to come stands for itself. */
+/** With no more machines than this each release and each booting machine has a target of its own. */
 const MAX_UNMERGED_MACHINES = 100;
 
-/** Room to come within the same of these bounds is as good as the same. */
+/** Upper bounds of the periods whose room to come shares a target, when there are more machines than that. */
 const BUCKET_BOUNDS_S = [3, 8, 15, 30, 50, 80, 130, 200, 300];
 
 function bucketOf(inS: number): number {
@@ -55,7 +60,7 @@
   return bucket;
 }
 
-/** Equal needs of several groups are counted once. */
+/** The distinct needs of a round's tasks: for each of them, the tasks that fit on a target are counted once. */
 export class DistinctNeeds {
   readonly list: Resources[] = [];
   private readonly byKey = new Map<string, number>();
@@ -78,13 +83,13 @@
     return index;
   }
 
-  /** False: nobody's task fits in there. */
-  hasFittingNeed(free: Resources): boolean {
+  /** False if no task fits. May be true although none does: the least CPUs, GPUs and memory can be of unlike needs. */
+  canFitAny(free: Resources): boolean {
     return countFittingTasks(this.smallest, free) > 0;
   }
 }
 
-/** What tells machines with free room apart, as far as the groups of this round can see. */
+/** Key of a present machine that is the same for machines that no group of the round can tell apart. */
 function equivalenceKey(
   snapshot: MachineSnapshot,
   images: ReadonlyMap<string, number>,
@@ -99,7 +104,7 @@
   return `${snapshot.type}/${snapshot.zone}/${snapshot.spot}/${cpus}/${gpus}/${memory}/${snapshot.load}/${snapshot.warmImageCount}/${snapshot.surplus}/${snapshot.penalty}/${holder}/${fetchHash}/${distinctIndex}`;
 }
 
-/** Makes the middle of the graph: classes of equal machines, room to come by time, machines to be rented. */
+/** Makes the targets of a round: classes of equivalent machines, room to come by time, and machines to be rented. */
 export function makeTargets(
   groups: readonly TaskGroup[],
   needs: DistinctNeeds,
@@ -155,7 +160,7 @@
     target.parts.push({ snapshot, releaseIndex });
   };
   for (const snapshot of machines) {
-    if (needs.hasFittingNeed(snapshot.free)) {
+    if (needs.canFitAny(snapshot.free)) {
       if (snapshot.bootsInS > 0) {
         addPart(snapshot, snapshot.bootsInS, -1);
       } else {
@@ -177,7 +182,7 @@
   return targets;
 }
 
-/** Tasks of one need that a target takes; of equal machines, of one of them. */
+/** Number of tasks with a need that fit on a target; of equivalent machines, on one of them. */
 export function countFittingOnTarget(target: Target, needs: DistinctNeeds, needIndex: number): number {
   const known = target.taskCounts[needIndex]!;
   if (known !== UNKNOWN_COUNT) return known;
@@ -210,18 +215,18 @@
   return Math.round((count * parts.length) / Math.max(1, counted));
 }
 
-/** Seconds until an image is on a machine of the target: of one of the equal ones, or on average. */
+/** Seconds until an image is on a machine of the target: on one of the equivalent machines, or on average. */
 export function estimateFetchS(target: Target, image: string, gb: number): number {
   if (target.option) return computeFetchS(gb, target.option.fetchGbPerS);
   if (target.kind === 'now') return target.snapshots[0]!.fetchS(image, gb);
-  // A few are asked for all: it only weighs waiting against renting.
+  // The mean of a few parts stands for all: room to come is only weighed against renting.
   const sampleSize = Math.min(4, target.parts.length);
   let sum = 0;
   for (let i = 0; i < sampleSize; i++) sum += target.parts[i]!.snapshot.fetchS(image, gb);
   return sum / sampleSize;
 }
 
-/** Whether the group may use machines of this kind at all. */
+/** Whether the group may use machines of this type and zone, spot or not. */
 export function isAllowed(group: TaskGroup, type: number, zone: number, spot: boolean): boolean {
   if (spot && !group.spot) return false;
   if (group.zone >= 0 && group.zone !== zone) return false;
--- a/src/scheduling/zones.ts
+++ b/src/scheduling/zones.ts
@@ -1,25 +1,30 @@
+/** The choice of a zone for task groups that must stay together. */
 import { required } from '../base/required.ts';
 import type { TaskGroup } from './snapshot.ts';
 import { isAllowed, countFittingOnTarget, type DistinctNeeds, type Target } from './targets.ts';
 
-/** Much more than any other part of a zone's score: all tasks of the group find room there at once. */
+/** Score of a zone in which all tasks of the group fit at once: much more than any other part of a score. */
 const ALL_FIT_NOW_SCORE = 100_000;
-/** Room within this time counts toward a zone. */
+/** Room that comes within this time counts toward a zone. */
 const SOON_S = 60;
-/** What a second of waiting for images weighs among zones in which all fit at once. */
+/** Score that a second of image fetch costs, among zones in which all tasks fit at once. */
 const SCORE_PER_FETCH_S = 10;
-/** The zone of the last round is kept unless another is better by this part. */
+/** The zone of the last round is kept unless another one's score is this many times as high. */
 const PREVIOUS_ZONE_SCORE_RATIO = 1.3;
+/** Where all tasks fit at once, it is kept unless the image is there sooner in another zone by more than this. */
 const PREVIOUS_ZONE_FETCH_ALLOWANCE_S = 2;
 
+/** Numbers of the group's tasks that fit into a zone. */
 interface ZoneCapacity {
-  /** Room now, by how long the image takes there. */
+  /** Tasks that fit now, with the seconds that the image takes there. */
   now: { count: number; fetchS: number }[];
+  /** Tasks that fit into room that comes soon. */
   soon: number;
+  /** Tasks that fit on machines to be rented, each divided by 1 + the hourly price. */
   rent: number;
 }
 
-/** How long the slowest of the tasks waits for its image if each goes where it is quickest; -1: not all fit. */
+/** Seconds that the last task waits for its image if the tasks go where it is there soonest; -1: not all fit. */
 function findSlowestFetchS(now: { count: number; fetchS: number }[], wanted: number): number {
   now.sort((a, b) => a.fetchS - b.fetchS);
   let tasksLeft = wanted;
@@ -31,10 +36,12 @@
 }
 
 /**
- * The one zone for a group that must stay together: where its tasks are; else where all of it fits at once, and
- * soonest has its image, since a gang waits for the slowest fetch; else where most of it soon will. The zone of
- * the last round is kept unless another is clearly better: what is kept free, rented or stopped for the group
- * there would otherwise come to nothing.
+ * Picks the zone for a group whose tasks must stay together, or -1 if there is none: the zone in which it has live
+ * tasks or the only one it allows; else a zone in which all its tasks fit at once, the one in which all have the image
+ * soonest, since a gang waits for the slowest fetch; else the zone with the most room, now or to come.
+ *
+ * The zone of the last round is kept unless another is clearly better: machines reserved or rented and tasks preempted
+ * there for the group would otherwise be in vain.
  */
 export function pickZone(
   group: TaskGroup,
