--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -2,7 +2,7 @@
 import type { MachineTypeInfo } from '../wire/cloud.ts';
 import { NameIndex } from '../base/name-index.ts';
 
-/** The machine types that can be rented, by dense index. Types of unexpected machines are unknown (-1). */
+/** The machine types that can be rented, by dense index. */
 export class Catalog {
   readonly names: NameIndex;
 
@@ -10,6 +10,7 @@
     this.names = new NameIndex(types.map((t) => t.name));
   }
 
+  /** Index of a machine type, or -1 if it is unknown. */
   typeIndex(name: string): number {
     return this.names.find(name);
   }
@@ -32,12 +33,12 @@
   ),
 });
 
-/** The catalog as it is kept in the store. */
+/** The stored form of the catalog. */
 export function encodeStoredCatalog(catalog: Catalog): { types: readonly MachineTypeInfo[] } {
   return { types: catalog.types };
 }
 
-/** Reads the stored form of the catalog; null: it has none, or an empty one. */
+/** Reads the stored form of the catalog; null if it is malformed or empty. */
 export function decodeStoredCatalog(value: unknown): Catalog | null {
   const parsed = storedCatalogSchema.safeParse(value);
   return parsed.success && parsed.data.types.length > 0 ? new Catalog(parsed.data.types) : null;
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -3,21 +3,21 @@
 import { RateBudget } from '../store/budget.ts';
 import * as wire from '../wire/cloud.ts';
 
-/** How a rental ended, in the names of the machines if it was carried out. */
+/** Outcome of a rental, with the names of the machines if it was carried out. */
 export type RentResult =
   | { kind: 'rented'; names: string[] }
   | { kind: 'no_capacity' }
   | { kind: 'refused' }
-  /** It may have been carried out; repeating it with the same name tells. */
+  /** It may have been carried out. Repeating it under the same name returns the outcome. */
   | { kind: 'unknown' };
 
-/** What the fleet needs of a cloud. */
+/** What controllers need of a cloud. */
 export interface Cloud {
-  /** True if a call can be made now without going over the rate. */
+  /** Whether the rate limit allows a request now, with `reserve` more requests left after it. */
   canRequest(reserve?: number): boolean;
   catalog(): Promise<wire.MachineTypeInfo[] | null>;
   rent(request: wire.RentRequest): Promise<RentResult>;
-  /** True: the machines and everything on them are gone. */
+  /** Resolves to true once the machines and everything on them are gone. */
   terminate(names: readonly string[]): Promise<boolean>;
   /** All machines listed, or null if any page could not be read. */
   list(): Promise<wire.ListedMachine[] | null>;
@@ -26,7 +26,7 @@
 const TIMEOUT_MS = 4000;
 const LIST_PAGE_SIZE = 500;
 
-/** The cloud by its published protocol, within its request rate. */
+/** Client of the cloud's HTTP protocol that stays within the cloud's rate limit. */
 export class CloudClient implements Cloud {
   private readonly http: HttpSender;
   private readonly budget: RateBudget;
@@ -38,7 +38,7 @@
     private readonly log: Logger,
   ) {
     this.http = connect(6);
-    // A fifth is left to the other controllers, which read the catalog when they start.
+    // A fifth of the rate is left to the other controllers, which read the catalog when they start.
     this.budget = new RateBudget(rps * 0.8, now);
   }
 
--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -7,7 +7,7 @@
 import type { Catalog } from './catalog.ts';
 import type { Cloud } from './cloud.ts';
 
-/** What the fleet needs of the leader it works for. */
+/** What the provisioner needs of its leader. */
 export interface MachineProvisionerDeps {
   clock: Clock;
   log: Logger;
@@ -16,7 +16,7 @@
   zones: NameIndex;
   options: Options;
   term: number;
-  /** Nothing is asked of the cloud without it: another controller may lead by now, and own the machines. */
+  /** Without a valid lease nothing is requested: another controller may lead by now and own the machines. */
   hasValidLease(): boolean;
   enqueue(command: () => void): void;
   pause(ms: number): Promise<void>;
@@ -24,17 +24,20 @@
   onTerminated(names: readonly string[]): void;
 }
 
+/** A machine type in a zone, spot or not, with the state of its rentals. */
 interface OptionState {
   index: number;
   type: number;
   zone: number;
   spot: boolean;
-  /** Refused lately: not asked for again before this. */
+  /** After a refusal, no machines are requested before this time. */
   notBefore: number;
   refusals: number;
+  /** Machines of the rental in progress; 0 if there is none. */
   requestedCount: number;
 }
 
+/** A machine that is rented and has not sent a message to this leader yet. */
 interface BootingMachine {
   index: number;
   name: string;
@@ -42,13 +45,13 @@
   zone: number;
   spot: boolean;
   rentedAt: number;
-  /** Not given up before this: a machine found in the list may just not have reached this leader yet. */
+  /** It is not terminated as never joined before this time: a listed machine may not have found this leader yet. */
   keepUntil: number;
   /** The cloud lists it as running. */
   running: boolean;
 }
 
-/** A machine without tasks, and for how many milliseconds it has had none. */
+/** A machine without tasks, and the milliseconds for which it has had none. */
 export interface IdleMachine {
   name: string;
   type: number;
@@ -56,36 +59,38 @@
 }
 
 const MAX_MACHINES_PER_RENTAL = 50;
-/** Time for the worker of a listed machine to find a new leader: some tries and time-outs. */
+/** Time for the worker of a listed machine to find a new leader: several attempts with their time-outs. */
 const LISTED_GRACE_MS = 15_000;
 const MAX_MACHINES_PER_TERMINATION = 100;
-/** Reports and lists of a machine that is gone may still come for much longer than a lease. */
+/** Heartbeats and machine lists may still contain a terminated machine for much longer than a lease. */
 const TERMINATED_RETENTION_MS = 3_600_000;
 
-/** Rents and returns machines: what was asked of the cloud, what is booting, what is on its way back. */
+/** Rents and terminates machines; keeps track of rentals in progress, booting machines and terminations. */
 export class MachineProvisioner {
   private readonly options: OptionState[] = [];
   private readonly bootingByName = new Map<string, BootingMachine>();
   private readonly rentedAt = new Map<string, number>();
   private bootIndex = 0;
   private requestCount = 0;
+  /** The machines to be terminated, with the earliest time of the next request. */
   private readonly terminating = new Map<string, number>();
   private terminationInFlight = false;
+  /** The machines that the cloud has terminated, and when. */
   private readonly terminated = new Map<string, number>();
   private listInFlight = false;
-  /** The machine list has been read at least once by this leader. */
+  /** This leader has read the machine list at least once. */
   hasListedMachines = false;
   private lastListAt = -Infinity;
   private lastCatalogAt: number;
 
   constructor(private readonly deps: MachineProvisionerDeps) {
     this.lastCatalogAt = deps.clock.now();
-    deps.catalog.types.forEach((type, t) => {
+    deps.catalog.types.forEach((type, typeIndex) => {
       for (const zone of type.zones) {
         for (const spot of [false, true]) {
           this.options.push({
             index: this.options.length,
-            type: t,
+            type: typeIndex,
             zone: deps.zones.index(zone),
             spot,
             notBefore: -Infinity,
@@ -98,8 +103,8 @@
   }
 
   /**
-   * Machines on their way, those among them that the cloud was asked for and has not answered about: without
-   * them every round during the call would ask for the same room again, of another kind or zone.
+   * Booting machines, including those of rentals that the cloud has not answered yet: without these, every round
+   * during a rental would request the same room again, in another zone or with another machine type.
    */
   booting(): BootingMachine[] {
     const machines = [...this.bootingByName.values()].filter((b) => !this.terminating.has(b.name));
@@ -122,26 +127,26 @@
     return machines;
   }
 
-  /** Options of the flow graph: machines that could be rented now. */
+  /** The machines that can be rented now. */
   provisioningOptions(unreachableZones: ReadonlySet<number>): ProvisioningOption[] {
     const now = this.deps.clock.now();
-    // Of a zone that is cut off one machine is on trial at a time: it tells when the zone is back.
+    // In an unreachable zone only one machine at a time is rented: it tells when the zone is reachable again.
     const triedZones = new Set<number>();
-    for (const b of this.bootingByName.values()) triedZones.add(b.zone);
+    for (const booting of this.bootingByName.values()) triedZones.add(booting.zone);
     for (const o of this.options) if (o.requestedCount > 0) triedZones.add(o.zone);
     const available: ProvisioningOption[] = [];
-    for (const o of this.options) {
-      if (now < o.notBefore || o.requestedCount > 0) continue;
-      if (unreachableZones.has(o.zone) && triedZones.has(o.zone)) continue;
-      const type = required(this.deps.catalog.types[o.type], 'machine type of the option');
+    for (const option of this.options) {
+      if (now < option.notBefore || option.requestedCount > 0) continue;
+      if (unreachableZones.has(option.zone) && triedZones.has(option.zone)) continue;
+      const type = required(this.deps.catalog.types[option.type], 'machine type of the option');
       available.push({
-        option: o.index,
-        type: o.type,
-        zone: o.zone,
-        spot: o.spot,
+        option: option.index,
+        type: option.type,
+        zone: option.zone,
+        spot: option.spot,
         size: resourcesOf(type),
-        maxMachines: unreachableZones.has(o.zone) ? 1 : this.deps.options.fleet.rent_at_once,
-        price: o.spot ? type.spotPrice : type.price,
+        maxMachines: unreachableZones.has(option.zone) ? 1 : this.deps.options.fleet.rent_at_once,
+        price: option.spot ? type.spotPrice : type.price,
         bootS: type.bootS,
         fetchGbPerS: type.fetchGbPerS,
       });
@@ -149,7 +154,7 @@
     return available;
   }
 
-  /** Takes the round's wishes. What can't be asked for now is wished for again by the next round. */
+  /** Rents machines for a round's demand. The next round demands again what can't be requested now. */
   setDemand(demand: ReadonlyMap<number, number>): void {
     for (const [index, count] of demand) {
       const option = this.options[index];
@@ -162,7 +167,7 @@
   private async provision(option: OptionState, count: number): Promise<void> {
     const { clock, cloud, catalog, zones, log, term } = this.deps;
     this.requestCount += 1;
-    // Names carry the term and a counter: no other leadership ever uses them.
+    // The name of a request contains the term and a counter, so that no other leadership ever uses it.
     const request = `pw-${term}-${this.requestCount}`;
     const rental = {
       request,
@@ -192,7 +197,8 @@
         });
         return;
       }
-      // Not known whether it was carried out: the same name again tells, and rents nothing twice.
+      // It is unknown whether the rental was carried out. Repeating it under the same name returns the outcome and
+      // rents nothing twice.
       await this.deps.pause(700 * (attempt + 1));
     }
     this.deps.enqueue(() => {
@@ -239,16 +245,17 @@
     );
   }
 
-  /** The worker of this machine has reported. */
+  /** A message of the machine's worker has arrived. */
   onMachineUp(name: string): void {
     this.bootingByName.delete(name);
   }
 
-  /** Asked to be returned, which has not been done yet. */
+  /** Whether the machine is to be terminated and the cloud has not done so yet. */
   isTerminating(name: string): boolean {
     return this.terminating.has(name);
   }
 
+  /** Whether the cloud has terminated the machine for this leader lately. */
   wasTerminated(name: string): boolean {
     return this.terminated.has(name);
   }
@@ -259,8 +266,9 @@
   }
 
   /**
-   * Gives idle machines back. What takes long to boot is kept a little longer, since renting it anew costs
-   * that time again; within the least time that is charged anyway nothing is gained by returning.
+   * Terminates machines that have been idle for long enough. Machines that take long to boot are kept a little longer,
+   * since renting one again costs that time again. A machine younger than the minimum charge is kept, since
+   * terminating it saves nothing.
    */
   terminateIdle(idle: readonly IdleMachine[]): void {
     const { idle_s, idle_boot_share, least_charge_s } = this.deps.options.fleet;
@@ -278,24 +286,28 @@
   }
 
   /**
-   * The controller stood still or was overloaded until now: whatever came up meanwhile could not report to it.
-   * Machines that were booting get as long as those of an earlier leader to find it again.
+   * Called when the controller has been paused or overloaded: machines that came up meanwhile could not reach it. Gives
+   * booting machines the time to find this leader that listed machines of an earlier leader have.
    */
   extendBootGrace(): void {
     const keepUntil = this.deps.clock.now() + LISTED_GRACE_MS;
-    for (const b of this.bootingByName.values()) b.keepUntil = Math.max(b.keepUntil, keepUntil);
+    for (const booting of this.bootingByName.values())
+      booting.keepUntil = Math.max(booting.keepUntil, keepUntil);
   }
 
-  /** Machines that the cloud lists as running, and of which no report has been heard yet. */
+  /** Number of machines that the cloud lists as running and that have sent no message yet. */
   get runningUnregistered(): number {
     let count = 0;
-    for (const b of this.bootingByName.values()) if (b.running && !this.terminating.has(b.name)) count += 1;
+    for (const booting of this.bootingByName.values())
+      if (booting.running && !this.terminating.has(booting.name)) count += 1;
     return count;
   }
 
   /**
-   * `overloaded`: this controller can't keep up with reports, so a machine that wasn't heard may well be up. With 4,000
-   * machines and one controller to hear them hundreds of healthy ones were once returned.
+   * Terminates machines that never joined, sends the terminations that are due and refreshes prices.
+   *
+   * @param overloaded this controller can't keep up with heartbeats, so machines without one may well be up. They are
+   *   kept: with 4,000 machines and a single controller, hundreds of healthy machines would be terminated.
    */
   tick(overloaded: boolean): void {
     if (!this.deps.hasValidLease()) return;
@@ -321,8 +333,9 @@
   }
 
   /**
-   * A leader that may have been replaced returns nothing: cut off from workers and state service, it takes machines
-   * for lost on which its successor runs tasks, and a request held back by the cut would end them afterwards.
+   * Sends a request for the terminations that are due, unless the leader may have been replaced. A leader that is cut
+   * off from workers and the state service takes machines for lost on which its successor runs tasks, and a request
+   * that the network delays would end these tasks afterwards.
    */
   private terminateDue(): void {
     if (this.terminating.size === 0 || this.terminationInFlight) return;
@@ -362,7 +375,7 @@
     });
   }
 
-  /** Reads the machine list now and then, to find machines that nobody here knows of. */
+  /** Reads the cloud's machine list at intervals, to find machines that this leader doesn't know. */
   reconcileMachineList(known: { has(name: string): boolean }): void {
     const now = this.deps.clock.now();
     if (this.listInFlight || now - this.lastListAt < this.deps.options.fleet.list_s * 1000) return;
@@ -380,7 +393,7 @@
           const booting = this.bootingByName.get(machine.name);
           const running = machine.state === 'running';
           if (booting) booting.running = running;
-          // The list lags, so what was returned lately may still stand in it.
+          // The list lags behind, so it may still contain machines that were terminated lately.
           if (this.terminated.has(machine.name) || this.terminating.has(machine.name)) continue;
           if (machine.state === 'failed') {
             this.terminate([machine.name]);
@@ -399,7 +412,7 @@
               );
           }
         }
-        // In one line: a new leader finds hundreds.
+        // One line for all of them: a new leader finds hundreds.
         if (unexpected.length > 0)
           this.deps.log.info({ machines: unexpected }, 'unknown machines listed by the cloud');
         for (const [name, terminatedAt] of this.terminated)
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -157,10 +157,10 @@
     zones: new Map(),
   };
   // Groups that wait for their team's quota must not use up the places in the round.
-  const admissible = allGroups.filter((g) => {
-    if (isLiveInSeveralZones(g)) return false;
-    if (countAdmissibleTasks(g, quotaHeadroom) > 0) return true;
-    if (!g.expected) result.unplaced.set(g.job, g.pending);
+  const admissible = allGroups.filter((group) => {
+    if (isLiveInSeveralZones(group)) return false;
+    if (countAdmissibleTasks(group, quotaHeadroom) > 0) return true;
+    if (!group.expected) result.unplaced.set(group.job, group.pending);
     return false;
   });
   const keyed = admissible.map((group) => ({ group, key: computeUrgency(group, options.reserveAfterMs) }));
@@ -261,7 +261,7 @@
     }
     // On each of the equivalent machines a further task costs one step more than the previous one.
     const { load } = target.snapshots[0]!;
-    for (let k = 0; k < slots; k++) net.addArc(target.node, sink, target.snapshots.length, (load + k) * STEP);
+    for (let i = 0; i < slots; i++) net.addArc(target.node, sink, target.snapshots.length, (load + i) * STEP);
   }
   net.addArc(unscheduled, sink, supply, 0);
   // The most urgent groups come first, so that a round that runs out of time has served these.
