--- a/test/fleet/machine-provisioner.test.ts
+++ b/test/fleet/machine-provisioner.test.ts
@@ -9,24 +9,24 @@
 import type { RentRequest } from '../../src/wire/cloud.ts';
 import { BIG, FakeClock, silent } from '../helpers.ts';
 
-function setup(over: Partial<MachineProvisionerDeps> = {}): {
-  fleet: MachineProvisioner;
-  asked: RentRequest[];
+function setup(overrides: Partial<MachineProvisionerDeps> = {}): {
+  provisioner: MachineProvisioner;
+  rentals: RentRequest[];
   settle: () => Promise<void>;
 } {
-  const asked: RentRequest[] = [];
+  const rentals: RentRequest[] = [];
   const cloud: Cloud = {
     canRequest: () => true,
     catalog: () => Promise.resolve([BIG]),
     rent: (request) => {
-      asked.push(request);
+      rentals.push(request);
       const names = Array.from({ length: request.count }, (_, i) => `${request.request}-${i}`);
       return Promise.resolve({ kind: 'rented', names });
     },
     terminate: () => Promise.resolve(true),
     list: () => Promise.resolve([]),
   };
-  const fleet = new MachineProvisioner({
+  const provisioner = new MachineProvisioner({
     clock: new FakeClock(),
     log: silent,
     cloud,
@@ -41,56 +41,57 @@
     pause: () => Promise.resolve(),
     onTerminating: () => undefined,
     onTerminated: () => undefined,
-    ...over,
+    ...overrides,
   });
-  return { fleet, asked, settle: () => new Promise((resolve) => setImmediate(resolve)) };
+  return { provisioner, rentals, settle: () => new Promise((resolve) => setImmediate(resolve)) };
 }
 
-test('of a zone that is cut off one machine is on trial at a time', async () => {
-  // Machines were once rented there as long as the cut lasted, to be paid for and never to come up.
-  const { fleet, asked, settle } = setup();
-  const dark = new Set([1]);
-  const inDark = () => fleet.provisioningOptions(dark).filter((o) => o.zone === 1);
+test('in an unreachable zone only one machine at a time is rented', async () => {
+  // Otherwise machines are rented there as long as the zone is unreachable: they are paid for and never join.
+  const { provisioner, rentals, settle } = setup();
+  const unreachableZones = new Set([1]);
+  const unreachableOptions = () =>
+    provisioner.provisioningOptions(unreachableZones).filter((o) => o.zone === 1);
   assert.deepEqual(
-    inDark().map((o) => o.maxMachines),
+    unreachableOptions().map((o) => o.maxMachines),
     [1, 1],
   );
-  assert.ok(fleet.provisioningOptions(dark).some((o) => o.zone === 0 && o.maxMachines > 1));
-  fleet.setDemand(new Map([[required(inDark()[0], 'option').option, 1]]));
-  assert.equal(inDark().length, 0, 'while it is asked for');
+  assert.ok(provisioner.provisioningOptions(unreachableZones).some((o) => o.zone === 0 && o.maxMachines > 1));
+  provisioner.setDemand(new Map([[required(unreachableOptions()[0], 'option').option, 1]]));
+  assert.equal(unreachableOptions().length, 0, 'while it is requested');
   await settle();
-  assert.equal(inDark().length, 0, 'while it is awaited');
-  fleet.onMachineUp(`${required(asked[0], 'rental').request}-0`);
-  assert.equal(inDark().length, 2);
-  assert.equal(fleet.provisioningOptions(new Set()).filter((o) => o.maxMachines > 1).length, 4);
+  assert.equal(unreachableOptions().length, 0, 'while it boots');
+  provisioner.onMachineUp(`${required(rentals[0], 'rental').request}-0`);
+  assert.equal(unreachableOptions().length, 2);
+  assert.equal(provisioner.provisioningOptions(new Set()).filter((o) => o.maxMachines > 1).length, 4);
 });
 
-test('names of rental requests are never used twice, and carry the term', async () => {
-  const { fleet, asked, settle } = setup();
+test('names of rental requests are unique and contain the term', async () => {
+  const { provisioner, rentals, settle } = setup();
   for (let i = 0; i < 5; i++) {
-    fleet.setDemand(new Map(fleet.provisioningOptions(new Set()).map((o) => [o.option, 2])));
+    provisioner.setDemand(new Map(provisioner.provisioningOptions(new Set()).map((o) => [o.option, 2])));
     await settle();
   }
-  assert.ok(asked.length >= 10);
-  assert.equal(new Set(asked.map((r) => r.request)).size, asked.length);
-  assert.ok(asked.every((r) => r.request.startsWith('pw-3-')));
+  assert.ok(rentals.length >= 10);
+  assert.equal(new Set(rentals.map((r) => r.request)).size, rentals.length);
+  assert.ok(rentals.every((r) => r.request.startsWith('pw-3-')));
 });
 
-test('a rental without an answer is not asked for again once the lease is over', async () => {
-  // A leader that stood still between two tries once went on with the second one, in another leader's time.
-  let sure = true;
-  const asked: RentRequest[] = [];
+test('a rental without an answer is not repeated once the lease is over', async () => {
+  // A leader that was paused between two attempts must not make the second one in another leader's term.
+  let leaseValid = true;
+  const rentals: RentRequest[] = [];
   const cloud = {
     canRequest: () => true,
     rent: (request: RentRequest) => {
-      asked.push(request);
-      sure = asked.length < 2;
+      rentals.push(request);
+      leaseValid = rentals.length < 2;
       return Promise.resolve({ kind: 'unknown' as const });
     },
   } as unknown as Cloud;
-  const { fleet, settle } = setup({ cloud, hasValidLease: () => sure });
-  fleet.setDemand(new Map([[0, 1]]));
+  const { provisioner, settle } = setup({ cloud, hasValidLease: () => leaseValid });
+  provisioner.setDemand(new Map([[0, 1]]));
   for (let i = 0; i < 20; i++) await settle();
-  assert.equal(asked.length, 2);
-  assert.equal(fleet.booting().length, 0, 'nothing is waited for');
+  assert.equal(rentals.length, 2);
+  assert.equal(provisioner.booting().length, 0, 'no machine is booting');
 });
--- a/test/scheduling/forecast.test.ts
+++ b/test/scheduling/forecast.test.ts
@@ -4,7 +4,7 @@
 import { decodeStoredJob } from '../../src/wire/user.ts';
 import { JOB } from '../wire/sample.ts';
 
-test('room is expected for watched classes while they arrive, and no longer once they are quiet', () => {
+test('tasks of watched classes are expected while jobs arrive, and no longer once the class is quiet', () => {
   const decoded = decodeStoredJob({ ...JOB, loaves: 2 });
   assert.ok(decoded.ok);
   const job = decoded.value;
@@ -18,6 +18,6 @@
     f.expectedTasks(t, () => 50, 1).reduce((n, e) => n + e.tasks, 0);
   assert.ok(tasksAt(forecast, 210_000) >= 2);
   assert.equal(tasksAt(other, 210_000), 0);
-  // Spare machines were once held for minutes after the last arrival of the day.
+  // Otherwise spare machines are held for minutes after the last arrival of the day.
   assert.equal(tasksAt(forecast, 400_000), 0);
 });
--- a/test/scheduling/round.test.ts
+++ b/test/scheduling/round.test.ts
@@ -33,7 +33,7 @@
   assert.deepEqual(result.placements, [{ job: 0, machine: 1, count: 2 }]);
 });
 
-test('placements never exceed room, limits, zones or kinds of machine; gangs are placed whole', () => {
+test('placements respect free resources, quotas, zones and spot settings; gangs are placed whole', () => {
   const groups = fc.array(
     fc.record({
       pending: fc.integer({ min: 1, max: 5 }),
@@ -57,61 +57,66 @@
     { minLength: 1, maxLength: 5 },
   );
   fc.assert(
-    fc.property(groups, machines, fc.integer({ min: 0, max: 8 }), (gs, ms, limit) => {
-      const groupViews = gs.map((g, job) =>
-        group({
-          job,
-          team: g.team,
-          pending: g.pending,
-          gang: g.gang,
-          priority: g.priority,
-          need: { cpus: g.cpus, gpus: 0, memory: 1 },
-          zone: g.zone,
-          spot: g.spot,
-          oneZone: g.oneZone,
-          maxTasksPerZone: g.spread ? Math.ceil(g.pending / 2) : Infinity,
-        }),
-      );
-      const views: MachineSnapshot[] = ms.map((m, i) =>
-        machine({ machine: i, zone: m.zone, spot: m.spot, free: { cpus: m.cpus, gpus: 0, memory: 16 } }),
-      );
-      const teams = [
-        { cpus: limit, gpus: Infinity },
-        { cpus: Infinity, gpus: Infinity },
-      ];
-      const result = runRound(groupViews, views, [option()], teams, sizeOf, OPTIONS);
-      const free = views.map((v) => ({ ...v.free }));
-      const perJob = new Map<number, number>();
-      const zones = new Map<number, Map<number, number>>();
-      let team0 = 0;
-      for (const p of result.placements) {
-        const g = required(groupViews[p.job], 'group');
-        const m = required(views[p.machine], 'machine');
-        allocate(required(free[p.machine], 'room'), g.need, p.count);
-        perJob.set(p.job, (perJob.get(p.job) ?? 0) + p.count);
-        if (g.team === 0) team0 += g.need.cpus * p.count;
-        assert.ok(g.spot || !m.spot, 'spot machine');
-        assert.ok(g.zone < 0 || g.zone === m.zone, 'zone');
-        const byZone = zones.get(p.job) ?? new Map<number, number>();
-        byZone.set(m.zone, (byZone.get(m.zone) ?? 0) + p.count);
-        zones.set(p.job, byZone);
-      }
-      for (const room of free) assert.ok(room.cpus >= 0 && room.memory >= 0, 'room');
-      assert.ok(team0 <= limit + 1e-6, 'limit');
-      for (const [job, count] of perJob) {
-        const g = required(groupViews[job], 'group');
-        assert.ok(count <= g.pending);
-        if (g.gang) assert.equal(count, g.pending);
-        const byZone = required(zones.get(job), 'zones of the job');
-        if (g.oneZone) assert.equal(byZone.size, 1);
-        for (const n of byZone.values()) assert.ok(n <= g.maxTasksPerZone, 'spread');
-      }
-    }),
+    fc.property(
+      groups,
+      machines,
+      fc.integer({ min: 0, max: 8 }),
+      (generatedGroups, generatedMachines, limit) => {
+        const taskGroups = generatedGroups.map((g, job) =>
+          group({
+            job,
+            team: g.team,
+            pending: g.pending,
+            gang: g.gang,
+            priority: g.priority,
+            need: { cpus: g.cpus, gpus: 0, memory: 1 },
+            zone: g.zone,
+            spot: g.spot,
+            oneZone: g.oneZone,
+            maxTasksPerZone: g.spread ? Math.ceil(g.pending / 2) : Infinity,
+          }),
+        );
+        const snapshots: MachineSnapshot[] = generatedMachines.map((m, i) =>
+          machine({ machine: i, zone: m.zone, spot: m.spot, free: { cpus: m.cpus, gpus: 0, memory: 16 } }),
+        );
+        const teams = [
+          { cpus: limit, gpus: Infinity },
+          { cpus: Infinity, gpus: Infinity },
+        ];
+        const result = runRound(taskGroups, snapshots, [option()], teams, sizeOf, OPTIONS);
+        const free = snapshots.map((v) => ({ ...v.free }));
+        const perJob = new Map<number, number>();
+        const zones = new Map<number, Map<number, number>>();
+        let team0 = 0;
+        for (const placement of result.placements) {
+          const taskGroup = required(taskGroups[placement.job], 'group');
+          const snapshot = required(snapshots[placement.machine], 'machine');
+          allocate(required(free[placement.machine], 'room'), taskGroup.need, placement.count);
+          perJob.set(placement.job, (perJob.get(placement.job) ?? 0) + placement.count);
+          if (taskGroup.team === 0) team0 += taskGroup.need.cpus * placement.count;
+          assert.ok(taskGroup.spot || !snapshot.spot, 'spot machine');
+          assert.ok(taskGroup.zone < 0 || taskGroup.zone === snapshot.zone, 'zone');
+          const byZone = zones.get(placement.job) ?? new Map<number, number>();
+          byZone.set(snapshot.zone, (byZone.get(snapshot.zone) ?? 0) + placement.count);
+          zones.set(placement.job, byZone);
+        }
+        for (const room of free) assert.ok(room.cpus >= 0 && room.memory >= 0, 'room');
+        assert.ok(team0 <= limit + 1e-6, 'limit');
+        for (const [job, count] of perJob) {
+          const taskGroup = required(taskGroups[job], 'group');
+          assert.ok(count <= taskGroup.pending);
+          if (taskGroup.gang) assert.equal(count, taskGroup.pending);
+          const byZone = required(zones.get(job), 'zones of the job');
+          if (taskGroup.oneZone) assert.equal(byZone.size, 1);
+          for (const n of byZone.values()) assert.ok(n <= taskGroup.maxTasksPerZone, 'spread');
+        }
+      },
+    ),
     { seed: SEED, numRuns: 400 },
   );
 });
 
-test('a group that must stay together waits while its tasks may be in two zones', () => {
+test('a group that must stay in one zone waits while it seems to have live tasks in two', () => {
   const machines = [machine({ machine: 0, zone: 0 }), machine({ machine: 1, zone: 1 })];
   const place = (liveByZone: Map<number, number>) =>
     runRound([group({ oneZone: true, liveByZone })], machines, [option()], FREE_TEAM, sizeOf, OPTIONS);
@@ -126,17 +131,17 @@
   assert.deepEqual([two.placements.length, two.demand.size, two.unplaced.size], [0, 0, 0]);
 });
 
-test('the more urgent group gets the room that is there, though both could rent', () => {
-  // Without urgency between room now and room to come the choice was arbitrary, and tasks were stopped for it.
+test('the more urgent group gets the free room, though both groups could rent', () => {
+  // If urgency didn't weigh free room against room to come, the choice would be arbitrary and cause preemptions.
   const groups = [group({ job: 0, priority: 1 }), group({ job: 1, priority: 2 })];
-  const views = [machine({ free: { cpus: 1, gpus: 0, memory: 4 } })];
-  const result = runRound(groups, views, [option()], FREE_TEAM, sizeOf, OPTIONS);
+  const snapshots = [machine({ free: { cpus: 1, gpus: 0, memory: 4 } })];
+  const result = runRound(groups, snapshots, [option()], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(result.placements, [{ job: 1, machine: 0, count: 1 }]);
   assert.equal(result.demand.get(0), 1);
 });
 
 test('a machine takes tasks of several groups in one round', () => {
-  // Its arc to the sink once carried only as many as the largest group, and machines were rented for the rest.
+  // If its arc to the sink carried only as many tasks as the largest group has, machines would be rented for the rest.
   const groups = [0, 1].map((job) => group({ job, pending: 2 }));
   const booting = runRound(groups, [machine({ bootsInS: 5 })], [option()], FREE_TEAM, sizeOf, OPTIONS);
   assert.equal(booting.demand.size, 0);
@@ -144,34 +149,34 @@
   assert.equal(present.placements.length, 2);
 });
 
-test('who will be late soonest goes first, and who is late already makes way', () => {
+test('the group with the least slack goes first, and a group that is already late goes last', () => {
   const groups = [
     group({ job: 0, slackS: -1 }),
     group({ job: 1, slackS: 20 }),
     group({ job: 2, slackS: 200 }),
   ];
-  const views = [machine({ free: { cpus: 2, gpus: 0, memory: 8 } })];
-  const result = runRound(groups, views, [], FREE_TEAM, sizeOf, OPTIONS);
+  const snapshots = [machine({ free: { cpus: 2, gpus: 0, memory: 8 } })];
+  const result = runRound(groups, snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(
     result.placements.map((p) => p.job),
     [1, 2],
   );
 });
 
-test('machines with the images of quick classes are left to those while others will do', () => {
-  // Tasks with a bound on their start once met machines without their image: the warm ones had been filled.
-  const views = [
+test('machines with images of latency-sensitive classes are left to these while other machines suffice', () => {
+  // If other tasks filled the warm machines, tasks with an objective on their start would have to fetch their image.
+  const snapshots = [
     machine({ machine: 0, warmImageCount: 2 }),
     machine({ machine: 1, warmImageCount: 0, load: 3 }),
   ];
-  const place = (over: object) =>
-    runRound([group(over)], views, [], FREE_TEAM, sizeOf, OPTIONS).placements[0]?.machine;
+  const place = (overrides: object) =>
+    runRound([group(overrides)], snapshots, [], FREE_TEAM, sizeOf, OPTIONS).placements[0]?.machine;
   assert.equal(place({}), 1);
   assert.equal(place({ latencySensitive: true }), 0);
   assert.equal(
     runRound(
       [group({ expected: true, latencySensitive: true })],
-      views,
+      snapshots,
       [],
       FREE_TEAM,
       sizeOf,
@@ -181,10 +186,10 @@
   );
 });
 
-test('a job for which room is being made on a machine waits for that one, and nobody else takes it', () => {
-  const views = [machine({ machine: 0 }), machine({ machine: 1, load: 2 })];
+test('a job waits for its nominated machine, and no other job is placed there', () => {
+  const snapshots = [machine({ machine: 0 }), machine({ machine: 1, load: 2 })];
   const groups = [group({ job: 0, nominatedMachine: 1, priority: 2 }), group({ job: 1, pending: 8 })];
-  const result = runRound(groups, views, [], FREE_TEAM, sizeOf, OPTIONS);
+  const result = runRound(groups, snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(
     result.placements.map((p) => [p.job, p.machine]),
     [
@@ -195,14 +200,14 @@
 });
 
 test('a round that runs out of time keeps what it has found', () => {
-  // A gang that stepped back led to a second pass that ran out of time and replaced the first one's placements.
+  // A gang that is left out leads to a second pass. If that runs out of time, the placements of the first one stay.
   const gang = group({ job: 0, pending: 4, gang: true, need: { cpus: 2, gpus: 0, memory: 1 }, priority: 2 });
-  const views = [machine({ machine: 0, free: { cpus: 3, gpus: 0, memory: 16 } })];
+  const snapshots = [machine({ machine: 0, free: { cpus: 3, gpus: 0, memory: 16 } })];
   for (let steps = 1; steps < 12; steps++) {
     let calls = 0;
     const result = runRound(
       [gang, group({ job: 1 })],
-      views,
+      snapshots,
       [],
       FREE_TEAM,
       sizeOf,
@@ -217,32 +222,39 @@
   }
 });
 
-test('a job with patience waits for room that is about to come instead of renting', () => {
-  const views = [
+test('a job that accepts a queueing delay waits for room that is about to come instead of renting', () => {
+  const snapshots = [
     machine({
       free: { cpus: 0, gpus: 0, memory: 0 },
       releases: [{ inS: 40, resources: { cpus: 4, gpus: 0, memory: 16 } }],
     }),
   ];
-  const hasty = runRound([group()], views, [option()], FREE_TEAM, sizeOf, OPTIONS);
-  assert.equal(hasty.demand.get(0), 1);
-  const patient = runRound([group({ maxQueueingDelayS: 30 })], views, [option()], FREE_TEAM, sizeOf, OPTIONS);
+  const immediate = runRound([group()], snapshots, [option()], FREE_TEAM, sizeOf, OPTIONS);
+  assert.equal(immediate.demand.get(0), 1);
+  const patient = runRound(
+    [group({ maxQueueingDelayS: 30 })],
+    snapshots,
+    [option()],
+    FREE_TEAM,
+    sizeOf,
+    OPTIONS,
+  );
   assert.equal(patient.demand.size, 0);
   assert.equal(patient.awaiting.get(0), 1);
 });
 
-test('a job that waits long keeps its nearest machine free of other tasks', () => {
-  const views = [machine({ machine: 0, free: { cpus: 2, gpus: 0, memory: 8 }, load: 1 })];
+test('a machine is reserved for a job that has waited long, and no other job is placed there', () => {
+  const snapshots = [machine({ machine: 0, free: { cpus: 2, gpus: 0, memory: 8 }, load: 1 })];
   const old = group({ job: 0, need: { cpus: 4, gpus: 0, memory: 4 }, waitedMs: 61_000 });
   const young = group({ job: 1, need: { cpus: 1, gpus: 0, memory: 1 } });
-  const result = runRound([old, young], views, [], FREE_TEAM, sizeOf, OPTIONS);
+  const result = runRound([old, young], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(result.placements, []);
   assert.equal(result.reserved.get(0), 0);
 });
 
-test('room that was made for a gang is kept for it, also from who waits long', () => {
-  // Small tasks took it before the last of the gang's machines was free, and were stopped again in turn.
-  const views = [0, 1, 2].map((n) => machine({ machine: n }));
+test('machines on which tasks were preempted for a gang stay reserved for it, also against jobs that have waited long', () => {
+  // Otherwise small tasks start there before the last of the gang's machines is free, and are preempted in turn.
+  const snapshots = [0, 1, 2].map((n) => machine({ machine: n }));
   const need = { cpus: 4, gpus: 0, memory: 4 };
   const gang = group({
     job: 0,
@@ -253,13 +265,13 @@
     waitedMs: 20_000,
     reservedMachines: new Set([0, 1]),
   });
-  const full = views.map((v) => (v.machine === 2 ? { ...v, free: { cpus: 0, gpus: 0, memory: 0 } } : v));
+  const full = snapshots.map((v) => (v.machine === 2 ? { ...v, free: { cpus: 0, gpus: 0, memory: 0 } } : v));
   const old = group({ job: 1, waitedMs: 61_000 });
   const young = group({ job: 2, pending: 2 });
   const waiting = runRound([gang, old, young], full, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(waiting.placements, [], 'its machines are left alone');
   assert.deepEqual([waiting.reserved.get(0), waiting.reserved.get(1)], [0, 0]);
-  const started = runRound([gang, young], views, [], FREE_TEAM, sizeOf, OPTIONS);
+  const started = runRound([gang, young], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   const placed = started.placements.filter((p) => p.job === 0);
   assert.equal(
     placed.reduce((n, p) => n + p.count, 0),
@@ -277,7 +289,7 @@
 });
 
 test('nothing is provisioned for a gang that is left out of the round', () => {
-  // Each pass over the groups that remain begins with no demand; kept from the pass before, that of the gang stayed.
+  // Each pass begins without demand: demand kept from the previous pass would include that of the gang.
   const gang = group({ job: 1, gang: true, pending: 3, need: { cpus: 4, gpus: 0, memory: 1 } });
   const small = group({ job: 2, pending: 1, need: { cpus: 1, gpus: 0, memory: 1 } });
   const result = runRound(
@@ -293,8 +305,8 @@
   assert.deepEqual([...result.demand], []);
 });
 
-test('the machines that a gang is to use are those emptied for it and those with room already', () => {
-  const views = [
+test('the machines chosen for a gang are those with preempted tasks and those with room already', () => {
+  const snapshots = [
     machine({ machine: 0 }),
     machine({ machine: 1, free: { cpus: 0, gpus: 0, memory: 8 }, load: 1 }),
     machine({ machine: 2, free: { cpus: 0, gpus: 0, memory: 8 }, load: 1 }),
@@ -315,15 +327,15 @@
             lossS: index,
           },
         ];
-  const counted = new Set<number>();
-  const chosen = selectVictims(gang, 2, views, victimsOn, FREE_TEAM, Infinity, new Map(), counted);
+  const chosenMachines = new Set<number>();
+  const chosen = selectVictims(gang, 2, snapshots, victimsOn, FREE_TEAM, Infinity, new Map(), chosenMachines);
   assert.deepEqual(chosen, ['t1']);
-  assert.deepEqual([...counted], [0, 1]);
+  assert.deepEqual([...chosenMachines], [0, 1]);
 });
 
-test('victims are taken only for what then fits, and not while room is being made', () => {
-  const views = [machine({ free: { cpus: 0, gpus: 0, memory: 8 } })];
-  const victim = (over: Partial<PreemptionCandidate<string>>): PreemptionCandidate<string> => ({
+test('tasks are preempted only if the group then fits, and not while room is being made', () => {
+  const snapshots = [machine({ free: { cpus: 0, gpus: 0, memory: 8 } })];
+  const victim = (overrides: Partial<PreemptionCandidate<string>>): PreemptionCandidate<string> => ({
     item: 'a',
     priority: 1,
     team: 0,
@@ -331,11 +343,11 @@
     stopping: false,
     need: { cpus: 2, gpus: 0, memory: 1 },
     lossS: 1,
-    ...over,
+    ...overrides,
   });
   const urgent = group({ priority: 2, need: { cpus: 4, gpus: 0, memory: 1 } });
   const pick = (list: PreemptionCandidate<string>[]) =>
-    selectVictims(urgent, 1, views, () => list, FREE_TEAM, Infinity, new Map());
+    selectVictims(urgent, 1, snapshots, () => list, FREE_TEAM, Infinity, new Map());
   assert.deepEqual(pick([victim({}), victim({ item: 'b' })]), ['a', 'b']);
   assert.deepEqual(pick([victim({})]), [], 'one alone frees too little');
   assert.deepEqual(pick([victim({ priority: 2 }), victim({ item: 'b', priority: 2 })]), [], 'equal rank');
@@ -346,7 +358,7 @@
   );
 });
 
-test('classes of equal machines cost no more than each machine by itself', () => {
+test('a target of equivalent machines costs no more than a target for each machine', () => {
   const shape = fc.record({
     groups: fc.array(
       fc.record({ pending: fc.integer({ min: 1, max: 6 }), cpus: fc.integer({ min: 1, max: 3 }) }),
@@ -362,12 +374,12 @@
   });
   fc.assert(
     fc.property(shape, ({ groups, machines }) => {
-      const views = (): MachineSnapshot[] =>
+      const snapshots = (): MachineSnapshot[] =>
         machines.map((m, i) =>
           machine({ machine: i, load: m.load, free: { cpus: m.cpus, gpus: 0, memory: 16 } }),
         );
       const cost = (apart: boolean): { tasks: number; load: number } => {
-        const gs = groups.map((g, job) =>
+        const taskGroups = groups.map((g, job) =>
           group({
             job,
             pending: g.pending,
@@ -375,28 +387,35 @@
             priority: groups.length - job,
           }),
         );
-        // Who avoids machines sees each of them by itself.
-        const picky = group({
+        // A group that excludes machines gives each of them a target of its own.
+        const excludingGroup = group({
           job: 99,
           pending: 1,
           excludedMachines: new Set(machines.map((_, i) => i)),
           priority: 0,
         });
-        const result = runRound(apart ? [...gs, picky] : gs, views(), [], FREE_TEAM, sizeOf, OPTIONS);
+        const result = runRound(
+          apart ? [...taskGroups, excludingGroup] : taskGroups,
+          snapshots(),
+          [],
+          FREE_TEAM,
+          sizeOf,
+          OPTIONS,
+        );
         const load = machines.map((m) => m.load);
         let sum = 0;
         let tasks = 0;
-        for (const p of result.placements) {
-          const before = required(load[p.machine], 'load');
-          for (let i = 0; i < p.count; i++) sum += before + i;
-          load[p.machine] = before + p.count;
-          tasks += p.count;
+        for (const placement of result.placements) {
+          const before = required(load[placement.machine], 'load');
+          for (let i = 0; i < placement.count; i++) sum += before + i;
+          load[placement.machine] = before + placement.count;
+          tasks += placement.count;
         }
         return { tasks, load: sum };
       };
       const together = cost(false);
       const apart = cost(true);
-      // With needs of one size the flow is exact; unlike needs that don't fit together wait for the next round.
+      // With equal needs the flow is exact; unequal needs that don't fit together wait for the next round.
       if (new Set(groups.map((g) => g.cpus)).size === 1) assert.deepEqual(together, apart);
       else assert.ok(together.tasks > 0 === apart.tasks > 0);
     }),
@@ -405,21 +424,21 @@
 });
 
 test('an image is fetched once for all tasks of a job on a machine', () => {
-  // Forty tasks on forty machines once fetched it forty times, and each machine fetched four images at a time.
-  const views = Array.from({ length: 4 }, (_, i) => machine({ machine: i }));
-  const cold = runRound([group({ pending: 8, imageGb: 9 })], views, [], FREE_TEAM, sizeOf, OPTIONS);
+  // By load alone, forty tasks on forty machines fetch it forty times, and each machine fetches four images at a time.
+  const snapshots = Array.from({ length: 4 }, (_, i) => machine({ machine: i }));
+  const cold = runRound([group({ pending: 8, imageGb: 9 })], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(
     cold.placements.map((p) => p.count),
     [4, 4],
   );
-  const warm = runRound([group({ pending: 8 })], views, [], FREE_TEAM, sizeOf, OPTIONS);
+  const warm = runRound([group({ pending: 8 })], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(
     warm.placements.map((p) => p.count),
     [2, 2, 2, 2],
   );
 });
 
-test("what a team's limit keeps waiting takes no places in a round", () => {
+test("groups that wait for their team's quota take no places in a round", () => {
   const stuck = Array.from({ length: 5 }, (_, job) => group({ job, team: 1, priority: 2 }));
   const result = runRound(
     [...stuck, group({ job: 9 })],
@@ -436,8 +455,8 @@
   assert.equal(result.unplaced.get(0), 1);
 });
 
-test('the largest gang begins within its bound though small jobs never cease to come', () => {
-  // Small jobs once took each machine that a gang of sixteen had waited for: four were kept free, in any zone.
+test('the largest gang starts within its bound although small jobs keep arriving', () => {
+  // With only four machines reserved, in any zone, small jobs take each machine that a gang of sixteen waits for.
   const need = { cpus: 4, gpus: 0, memory: 4 };
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 1e6 }), (seed) => {
@@ -449,7 +468,7 @@
       const busyUntil = Array.from({ length: 24 }, () => 0);
       let zoneHint = -1;
       for (let t = 0; t <= 240; t += 2) {
-        const views = busyUntil.map((until, i) =>
+        const snapshots = busyUntil.map((until, i) =>
           machine({
             machine: i,
             zone: i % 2,
@@ -458,7 +477,7 @@
             load: until > t ? 1 : 0,
           }),
         );
-        // Small jobs of the same rank, always enough to fill what is free.
+        // Small jobs of the same rank, always enough to fill the free machines.
         const small = Array.from({ length: 12 }, (_, i) =>
           group({ job: 1000 + t * 20 + i, pending: 2, need }),
         );
@@ -471,18 +490,18 @@
           need,
           waitedMs: t * 1000,
         });
-        const result = runRound([gang, ...small], views, [], FREE_TEAM, sizeOf, OPTIONS);
+        const result = runRound([gang, ...small], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
         zoneHint = result.zones.get(0) ?? zoneHint;
         if (result.placements.some((p) => p.job === 0)) return;
         for (const p of result.placements) busyUntil[p.machine] = t + 10 + random() * 90;
       }
-      assert.fail('the gang never began');
+      assert.fail('the gang never started');
     }),
     { seed: SEED, numRuns: 30 },
   );
 });
 
-test('who has waited long goes before what has only just come, late or not', () => {
+test('a job that has waited long goes before jobs that have just arrived, even if it is late', () => {
   const old = group({ job: 0, slackS: -1, waitedMs: 160_000 });
   const young = Array.from({ length: 3 }, (_, i) => group({ job: i + 1, slackS: 5 }));
   const result = runRound(
@@ -499,10 +518,10 @@
   );
 });
 
-test('a gang goes to the zone where the slowest of its tasks soonest has the image', () => {
-  // The zone was once chosen by how much room it had, and gangs fetched what another zone had.
+test('a gang goes to the zone where the last of its tasks has the image soonest', () => {
+  // If the zone were chosen by its room alone, gangs would fetch an image that another zone has.
   const has = (image: boolean) => (_image: string, gb: number) => (image ? 0 : gb);
-  const views = [0, 1, 2, 3, 4, 5].map((i) =>
+  const snapshots = [0, 1, 2, 3, 4, 5].map((i) =>
     machine({ machine: i, zone: i < 4 ? 0 : 1, fetchS: has(i === 0 || i > 3) }),
   );
   const gang = group({
@@ -512,11 +531,11 @@
     need: { cpus: 4, gpus: 0, memory: 4 },
     imageGb: 9,
   });
-  const result = runRound([gang], views, [], FREE_TEAM, sizeOf, OPTIONS);
+  const result = runRound([gang], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(result.placements.map((p) => p.machine).sort(), [4, 5]);
 });
 
-test('urgent groups that find no room keep nobody else out of all rounds', () => {
+test('urgent groups that find no room do not keep other groups out of all rounds', () => {
   const stuck = Array.from({ length: 30 }, (_, job) =>
     group({ job, priority: 3, need: { cpus: 40, gpus: 0, memory: 1 } }),
   );
@@ -536,9 +555,9 @@
   assert.equal(served.size, low.length, `${turns} rounds`);
 });
 
-test('guests leave each free accelerator its share of the machine, and take what lies beside taken ones', () => {
-  // They once filled the processors of machines whose accelerators stood idle, and were stopped for every task that
-  // came to use those.
+test('best-effort tasks leave each free accelerator its share of the machine and use the rest', () => {
+  // If they filled the CPUs of machines with idle accelerators, they would be preempted for every task that needs an
+  // accelerator.
   const perAccelerator = { cpus: 8, gpus: 1, memory: 16 };
   const machines = [
     machine({ machine: 0, free: { cpus: 32, gpus: 4, memory: 64 }, perAccelerator }),
@@ -546,8 +565,8 @@
     machine({ machine: 2, free: { cpus: 3, gpus: 0, memory: 20 }, perAccelerator }),
   ];
   const work = group({ pending: 50, need: { cpus: 1, gpus: 0, memory: 1 } });
-  const placed = (guest: boolean): Map<number, number> => {
-    const found = runRound([{ ...work, bestEffort: guest }], machines, [], FREE_TEAM, sizeOf, OPTIONS);
+  const placed = (bestEffort: boolean): Map<number, number> => {
+    const found = runRound([{ ...work, bestEffort }], machines, [], FREE_TEAM, sizeOf, OPTIONS);
     return new Map(found.placements.map((p) => [p.machine, p.count]));
   };
   assert.deepEqual([...placed(true)].sort(), [
@@ -561,19 +580,19 @@
   ]);
 });
 
-test('machines are rented for idle work only up to its price per task', () => {
-  const dear = option({ option: 0, size: { cpus: 4, gpus: 0, memory: 16 }, price: 4 });
+test('machines are rented for a group only up to its maximum price per task', () => {
+  const expensive = option({ option: 0, size: { cpus: 4, gpus: 0, memory: 16 }, price: 4 });
   const cheap = option({ option: 1, size: { cpus: 4, gpus: 0, memory: 16 }, price: 1 });
-  const idle = group({ pending: 4, maxProvisionPrice: 0.5 });
-  const rents = (options: (typeof dear)[]): number[] =>
-    [...runRound([idle], [], options, FREE_TEAM, sizeOf, OPTIONS).demand.keys()].sort();
-  assert.deepEqual(rents([dear]), []);
-  assert.deepEqual(rents([dear, cheap]), [1]);
+  const priceLimited = group({ pending: 4, maxProvisionPrice: 0.5 });
+  const rents = (options: (typeof expensive)[]): number[] =>
+    [...runRound([priceLimited], [], options, FREE_TEAM, sizeOf, OPTIONS).demand.keys()].sort();
+  assert.deepEqual(rents([expensive]), []);
+  assert.deepEqual(rents([expensive, cheap]), [1]);
 });
 
-test('room that comes at about the same time is one entry, and none is lost', () => {
-  const room = { cpus: 1, gpus: 0, memory: 2 };
-  const releases = [3, 3.5, 4, 9, 40, 43, 45, 120].map((inS) => ({ inS, resources: room }));
+test('releases at about the same time are merged into one entry, and no resources are lost', () => {
+  const resources = { cpus: 1, gpus: 0, memory: 2 };
+  const releases = [3, 3.5, 4, 9, 40, 43, 45, 120].map((inS) => ({ inS, resources }));
   const merged = mergeReleases(releases);
   assert.deepEqual(
     merged.map((m) => [m.inS, m.resources.cpus, m.resources.memory]),
@@ -585,5 +604,5 @@
       [120, 1, 2],
     ],
   );
-  assert.deepEqual(room, { cpus: 1, gpus: 0, memory: 2 }, 'what it is given stays as it is');
+  assert.deepEqual(resources, { cpus: 1, gpus: 0, memory: 2 }, 'the input is not changed');
 });
--- a/test/scheduling/solver.test.ts
+++ b/test/scheduling/solver.test.ts
@@ -5,21 +5,23 @@
 import { FlowNetwork } from '../../src/scheduling/solver.ts';
 import { SEED } from '../helpers.ts';
 
-/** Least cost of assigning each task to a slot or to none, by trying everything. */
-function bruteForce(costs: number[][], slots: number[][], none: number): number {
+/** Least cost of assigning each task to a slot or to none, by trying all assignments. */
+function bruteForce(costs: number[][], slots: number[][], unscheduledCost: number): number {
   const used = slots.map(() => 0);
   const visit = (task: number): number => {
     if (task === costs.length) return 0;
-    let best = none + visit(task + 1);
-    slots.forEach((slotCosts, m) => {
-      const at = required(used[m], 'machine');
-      if (at >= slotCosts.length) return;
-      used[m] = at + 1;
+    let best = unscheduledCost + visit(task + 1);
+    slots.forEach((slotCosts, machineIndex) => {
+      const usedSlots = required(used[machineIndex], 'machine');
+      if (usedSlots >= slotCosts.length) return;
+      used[machineIndex] = usedSlots + 1;
       best = Math.min(
         best,
-        required(costs[task]?.[m], 'cost') + required(slotCosts[at], 'slot') + visit(task + 1),
+        required(costs[task]?.[machineIndex], 'cost') +
+          required(slotCosts[usedSlots], 'slot') +
+          visit(task + 1),
       );
-      used[m] = at;
+      used[machineIndex] = usedSlots;
     });
     return best;
   };
@@ -51,29 +53,29 @@
         net.addArc(task, unscheduled, 1, none);
         row.forEach((c, m) => net.addArc(task, required(nodes[m], 'node'), 1, c));
       });
-      slots.forEach((list, m) => {
-        for (const c of list) net.addArc(required(nodes[m], 'node'), sink, 1, c);
+      slots.forEach((list, machineIndex) => {
+        for (const c of list) net.addArc(required(nodes[machineIndex], 'node'), sink, 1, c);
       });
       net.addArc(unscheduled, sink, costs.length, 0);
       const solved = net.solve(source, sink, costs.length);
       assert.equal(solved.flow, costs.length);
       assert.equal(solved.cost, bruteForce(costs, slots, none));
-      // One task after the other, each from its own node, costs no more in all.
-      const again = new FlowNetwork();
-      const [end, waiting] = [again.addNode(), again.addNode()];
-      const places = room.map(() => again.addNode());
+      // Solved for one task after the other, each from its own node, the total cost is the same.
+      const sequential = new FlowNetwork();
+      const [end, waiting] = [sequential.addNode(), sequential.addNode()];
+      const places = room.map(() => sequential.addNode());
       const tasks = costs.map((row) => {
-        const task = again.addNode();
-        again.addArc(task, waiting, 1, none);
-        row.forEach((c, m) => again.addArc(task, required(places[m], 'node'), 1, c));
+        const task = sequential.addNode();
+        sequential.addArc(task, waiting, 1, none);
+        row.forEach((c, m) => sequential.addArc(task, required(places[m], 'node'), 1, c));
         return task;
       });
-      slots.forEach((list, m) => {
-        for (const c of list) again.addArc(required(places[m], 'node'), end, 1, c);
+      slots.forEach((list, machineIndex) => {
+        for (const c of list) sequential.addArc(required(places[machineIndex], 'node'), end, 1, c);
       });
-      again.addArc(waiting, end, costs.length, 0);
+      sequential.addArc(waiting, end, costs.length, 0);
       let sum = 0;
-      for (const task of tasks) sum += again.solve(task, end, 1).cost;
+      for (const task of tasks) sum += sequential.solve(task, end, 1).cost;
       assert.equal(sum, solved.cost);
     }),
     { seed: SEED, numRuns: 300 },
--- a/test/scheduling/urgency.test.ts
+++ b/test/scheduling/urgency.test.ts
@@ -6,8 +6,8 @@
 
 const RESERVE_MS = 60_000;
 
-test('a guarantee goes to the most urgent jobs, never beyond its amount, and to all that fit together', () => {
-  // It once went to the oldest jobs, and small ones waited behind large ones that could not be in time.
+test('a guarantee goes to the most urgent jobs within its amount, and to all jobs if they fit together', () => {
+  // If it went to the oldest jobs, small jobs would wait behind large ones that can't be in time.
   const jobs = fc.array(
     fc.record({
       team: fc.integer({ min: 0, max: 1 }),
@@ -21,8 +21,8 @@
   fc.assert(
     fc.property(jobs, fc.integer({ min: 0, max: 120 }), (list, amount) => {
       const groups = list.map((j, job) => group({ ...j, job, need: { cpus: 1, gpus: j.gpus, memory: 1 } }));
-      const left = [0, 1].map(() => ({ cpus: null, gpus: amount }));
-      assignGuarantees(groups, left, RESERVE_MS);
+      const guaranteeHeadroom = [0, 1].map(() => ({ cpus: null, gpus: amount }));
+      assignGuarantees(groups, guaranteeHeadroom, RESERVE_MS);
       for (const team of [0, 1]) {
         const own = groups.filter((g) => g.team === team && g.need.gpus > 0);
         const sum = (of: typeof own): number => of.reduce((n, g) => n + g.pending * g.need.gpus, 0);
@@ -32,14 +32,14 @@
         const rest = amount - sum(given);
         for (const g of own) if (!g.guaranteed) assert.ok(g.pending * g.need.gpus > rest);
       }
-      // Without GPUs and without a guarantee of processors nothing is guaranteed.
+      // No CPUs are guaranteed, so nothing is guaranteed for tasks without GPUs.
       assert.ok(groups.every((g) => g.need.gpus > 0 || !g.guaranteed));
     }),
     { seed: SEED },
   );
 });
 
-test('of jobs with the same time to spare the small one goes first; who has starved before both', () => {
+test('of jobs with the same slack the smaller one goes first, and a starving job goes before both', () => {
   const small = group({ slackS: 50, relativeWork: 0.2 });
   const large = group({ slackS: 50, relativeWork: 4 });
   const starved = group({ slackS: 50, relativeWork: 9, waitedMs: RESERVE_MS * 3 });
@@ -49,7 +49,7 @@
     [...keys].sort((a, b) => b - a),
     keys,
   );
-  // A large job that is about to be late still goes before a small one with much time.
+  // A large job that is about to be late still goes before a small one with much slack.
   assert.ok(
     computeUrgency(group({ slackS: 0, relativeWork: 2 }), RESERVE_MS) >
       computeUrgency({ ...small, slackS: 300 }, RESERVE_MS),
