--- a/src/scheduling/forecast.ts
+++ b/src/scheduling/forecast.ts
@@ -71,7 +71,7 @@
       while (last - (history.arrivals[0] ?? last) > WINDOW_MS) history.arrivals.shift();
       const spanMs = Math.min(WINDOW_MS, Math.max(MIN_OBSERVATION_MS, last - this.firstAt));
       const perMs = history.arrivals.length / spanMs;
-      // Room held for a class that has been quiet for much longer than its usual gap would be paid for in vain.
+      // Room held for a class that has been quiet for much longer than its usual gap would be paid for without use.
       if (nowMs - last > MAX_QUIET_GAPS / perMs) continue;
       const jobs = fluctuationFactor * Math.sqrt(perMs * bootS(history.latest) * 1000);
       const meanTasks = history.tasks.reduce((a, b) => a + b, 0) / history.tasks.length;
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -80,7 +80,7 @@
  * Cost of a task on a present machine besides the machine's load: the image fetch, a price above the cheapest usable
  * machine, known faults, images that other classes need, and surplus.
  */
-function machineCost(
+function computeMachineCost(
   group: TaskGroup,
   machine: MachineSnapshot,
   fittingTasks: number,
@@ -117,7 +117,7 @@
     private readonly options: CostOptions,
   ) {}
 
-  private usableFor(group: TaskGroup, needIndex: number): Target[] {
+  private findUsableTargets(group: TaskGroup, needIndex: number): Target[] {
     const types = group.types ? [...group.types].join() : '*';
     const key = `${types}/${group.zone}/${group.spot}/${needIndex}`;
     let usableTargets = this.usableByKey.get(key);
@@ -134,9 +134,9 @@
   planGroup(group: TaskGroup, quotaHeadroom: readonly QuotaHeadroom[]): GroupPlan | null {
     const wanted = countAdmissibleTasks(group, quotaHeadroom);
     if (wanted === 0) return null;
-    const needIndex = this.needs.addNeed(group.need);
+    const needIndex = this.needs.getOrAddIndex(group.need);
     const urgency = computeUrgency(group, this.options.reserveAfterMs);
-    let usable = this.usableFor(group, needIndex);
+    let usable = this.findUsableTargets(group, needIndex);
     const zone = group.oneZone ? pickZone(group, needIndex, wanted, this.needs, usable) : -1;
     const plan: GroupPlan = { group, wanted, urgency, zone, preferenceArcs: [] };
     if (group.oneZone && zone < 0) return plan;
@@ -145,7 +145,7 @@
     for (const target of usable)
       if (target.kind !== 'later') cheapestPrice = Math.min(cheapestPrice, target.price);
     for (const target of usable) {
-      if (target.holder >= 0 && target.holder !== group.job) continue;
+      if (target.reservedFor >= 0 && target.reservedFor !== group.job) continue;
       if (group.nominatedMachine >= 0 && target.snapshots[0]?.machine !== group.nominatedMachine) continue;
       const arc = this.makePreferenceArc(
         group,
@@ -184,7 +184,7 @@
         target,
         slots,
         capacity,
-        cost: clampToBand(machineCost(group, snapshot, fittingTasks, cheapestPrice, options)),
+        cost: clampToBand(computeMachineCost(group, snapshot, fittingTasks, cheapestPrice, options)),
       };
     }
     if (target.kind === 'rent' && !group.mayProvision) return null;
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -27,8 +27,8 @@
 
 /**
  * Whether the task may be stopped for the group: at once for a group of higher rank, and to give a team its guarantee
- * once the group has waited for `guaranteeAfterMs`. Tasks that end and machines that are rented mostly make room
- * sooner than that, and stopping tasks loses work.
+ * once the group has waited for `guaranteeAfterMs`. Before that, tasks that end and machines that are rented mostly make
+ * room anyway, and stopping tasks loses work.
  */
 function mayPreempt(
   group: TaskGroup,
@@ -65,9 +65,9 @@
   const plans: { machine: number; items: T[]; count: number; loss: number; zone: number }[] = [];
   for (const snapshot of machines) {
     if (snapshot.bootsInS > 0 || group.excludedMachines.has(snapshot.machine)) continue;
-    // A machine reserved for another job takes that job's tasks: stopping tasks on it would be in vain.
-    const holder = reserved.get(snapshot.machine);
-    if (holder !== undefined && holder !== group.job) continue;
+    // A machine reserved for another job takes that job's tasks: stopping tasks there makes no room for this group.
+    const reservedFor = reserved.get(snapshot.machine);
+    if (reservedFor !== undefined && reservedFor !== group.job) continue;
     if (snapshot.spot && !group.spot) continue;
     if (group.zone >= 0 && group.zone !== snapshot.zone) continue;
     if (group.types && !group.types.has(snapshot.type)) continue;
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -34,10 +34,10 @@
 const UNSCHEDULED_COST = 30 * COST_BAND;
 
 /**
- * Reserves machines for jobs that have waited longer than `reserveAfterMs`, the longest-waiting first. A job gets
- * the machines that lack the least room for its tasks. A gang gets as many as it needs, in one zone if it must stay
- * together: with only four machines reserved for a gang of sixteen, small jobs keep taking the others and the gang
- * starves.
+ * Reserves machines for jobs that have waited for `reserveAfterMs`, the longest-waiting first. A job gets the machines
+ * on which most of its tasks fit already, and then those with the fewest tasks. A gang gets as many as it needs, in one
+ * zone if it must stay together: with only four machines reserved for a gang of sixteen, small jobs keep taking the
+ * others and the gang starves.
  *
  * Returns the job by reserved machine.
  */
@@ -54,7 +54,7 @@
   const waiting = groups.filter((g) => !g.expected && g.waitedMs >= options.reserveAfterMs);
   waiting.sort((a, b) => b.waitedMs - a.waitedMs);
   for (const group of waiting.slice(0, MAX_RESERVING_GROUPS)) {
-    const candidates: { machine: number; zone: number; fittingTasks: number; shortfall: number }[] = [];
+    const candidates: { machine: number; zone: number; fittingTasks: number; reservationCost: number }[] = [];
     const fittingTasksByZone = new Map<number, number>();
     for (const snapshot of machines) {
       if (
@@ -71,7 +71,7 @@
         machine: snapshot.machine,
         zone: snapshot.zone,
         fittingTasks,
-        shortfall: snapshot.load - countFittingTasks(group.need, snapshot.free) * 100,
+        reservationCost: snapshot.load - countFittingTasks(group.need, snapshot.free) * 100,
       });
       fittingTasksByZone.set(snapshot.zone, (fittingTasksByZone.get(snapshot.zone) ?? 0) + fittingTasks);
     }
@@ -82,7 +82,7 @@
       else if ((fittingTasksByZone.get(group.zoneHint) ?? 0) > 0) zone = group.zoneHint;
       else zone = [...fittingTasksByZone].sort((a, b) => b[1] - a[1])[0]?.[0] ?? -1;
     }
-    candidates.sort((a, b) => a.shortfall - b.shortfall || a.machine - b.machine);
+    candidates.sort((a, b) => a.reservationCost - b.reservationCost || a.machine - b.machine);
     let tasksLeft = group.pending;
     let machinesLeft = group.gang ? MAX_RESERVED_MACHINES_GANG : MAX_RESERVED_MACHINES;
     for (const candidate of candidates) {
@@ -135,7 +135,7 @@
  *
  * @param quotaHeadroom by index of the team
  * @param sizeOf the resources of a whole machine of a type, or null if the type is unknown
- * @param expired whether the round has used up its time
+ * @param isExpired whether the round has used up its time
  */
 export function runRound(
   allGroups: readonly TaskGroup[],
@@ -144,7 +144,7 @@
   quotaHeadroom: readonly QuotaHeadroom[],
   sizeOf: (type: number) => Resources | null,
   options: RoundOptions,
-  expired: () => boolean = () => false,
+  isExpired: () => boolean = () => false,
 ): RoundResult {
   const result: RoundResult = {
     placements: [],
@@ -172,7 +172,7 @@
     if (group.nominatedMachine >= 0) result.reserved.set(group.nominatedMachine, group.job);
   }
   const needs = new DistinctNeeds();
-  for (const group of groups) needs.addNeed(group.need);
+  for (const group of groups) needs.getOrAddIndex(group.need);
   const targets = makeTargets(groups, needs, machines, provisioningOptions, result.reserved);
   const planner = new GroupPlanner(needs, targets, options);
   const plans = groups.map((g) => planner.planGroup(g, quotaHeadroom)).filter((p) => p !== null);
@@ -187,9 +187,9 @@
       awaiting: new Map(),
       heldForExpected: new Set<number>(),
     };
-    const dropped = solveOnce(remaining, targets, quotaHeadroom, options, passResult, expired);
+    const dropped = solveOnce(remaining, targets, quotaHeadroom, options, passResult, isExpired);
     // Once the time is up, the result of the previous pass stands: this pass was cut short and found less.
-    if (pass > 0 && expired()) break;
+    if (pass > 0 && isExpired()) break;
     Object.assign(result, passResult);
     if (dropped.length === 0) break;
     for (const job of dropped) skipped.add(job);
@@ -204,7 +204,7 @@
   quotaHeadroom: readonly QuotaHeadroom[],
   options: RoundOptions,
   result: RoundResult,
-  expired: () => boolean,
+  isExpired: () => boolean,
 ): number[] {
   const net = network;
   net.reset();
@@ -265,7 +265,7 @@
   }
   net.addArc(unscheduled, sink, supply, 0);
   // The most urgent groups come first, so that a round that runs out of time has served these.
-  for (const source of sources) net.solve(source.node, sink, source.wanted, expired);
+  for (const source of sources) net.solve(source.node, sink, source.wanted, isExpired);
   const groups = plans.map((p) => p.group);
   return extractPlacements(groups, arcs, net, quotaHeadroom, options, result);
 }
--- a/src/scheduling/snapshot.ts
+++ b/src/scheduling/snapshot.ts
@@ -1,6 +1,8 @@
 /**
  * The input and the result of a scheduling round, and arithmetic on resources. Jobs, teams, machines, machine types,
  * zones and provisioning options are given as dense indices, so that a round needs no objects of other modules.
+ *
+ * Room means resources that tasks can use: free ones, or room to come when tasks end or machines come up.
  */
 
 /** An amount of CPU cores, accelerators and memory in GB. */
--- a/src/scheduling/solver.ts
+++ b/src/scheduling/solver.ts
@@ -76,7 +76,7 @@
   }
 
   /**
-   * Sends up to `amount` from a source to the sink at least cost; stops after a first path when `expired`. It can be
+   * Sends up to `amount` from a source to the sink at least cost; stops after a first path when `isExpired`. It can be
    * called for one source after another: earlier flow is rerouted where that is cheaper, so that the flow of all
    * sources together has the least cost. Each search goes from one source to the sink, so that it visits only a small
    * part of the network.
@@ -85,13 +85,13 @@
     source: number,
     sink: number,
     amount: number,
-    expired: () => boolean = () => false,
+    isExpired: () => boolean = () => false,
   ): { flow: number; cost: number } {
     const { to, residualCapacity, arrivalArc } = this;
     let flow = 0;
     let cost = 0;
     // Each source gets at least one path, so that a round without time left still serves each group a little.
-    while (flow < amount && (flow === 0 || !expired())) {
+    while (flow < amount && (flow === 0 || !isExpired())) {
       if (!this.search(source, sink)) break;
       let pathFlow = amount - flow;
       for (let node = sink; node !== source; node = to[arrivalArc[node]! ^ 1]!) {
--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -20,7 +20,7 @@
   spot: boolean;
   price: number;
   /** The job that these machines are reserved for, or -1. */
-  holder: number;
+  reservedFor: number;
   /** Kind `now`: the equivalent machines. */
   snapshots: MachineSnapshot[];
   /** Kind `later`: releases and booting machines that come at about the same time. */
@@ -51,10 +51,10 @@
 /** With no more machines than this each release and each booting machine has a target of its own. */
 const MAX_UNMERGED_MACHINES = 100;
 
-/** Upper bounds of the periods whose room to come shares a target, when there are more machines than that. */
+/** With more machines, room to come within the same one of these periods shares a target. Upper bounds. */
 const BUCKET_BOUNDS_S = [3, 8, 15, 30, 50, 80, 130, 200, 300];
 
-function bucketOf(inS: number): number {
+function findBucket(inS: number): number {
   let bucket = 0;
   while (bucket < BUCKET_BOUNDS_S.length && inS > BUCKET_BOUNDS_S[bucket]!) bucket += 1;
   return bucket;
@@ -66,7 +66,8 @@
   private readonly byKey = new Map<string, number>();
   private smallest: Resources = { cpus: Infinity, gpus: Infinity, memory: Infinity };
 
-  addNeed(need: Resources): number {
+  /** Index of a need, which is added if it is new. */
+  getOrAddIndex(need: Resources): number {
     const key = `${need.cpus}/${need.gpus}/${need.memory}`;
     let index = this.byKey.get(key);
     if (index === undefined) {
@@ -93,7 +94,7 @@
 function equivalenceKey(
   snapshot: MachineSnapshot,
   images: ReadonlyMap<string, number>,
-  holder: number,
+  reservedFor: number,
   distinct: boolean,
 ): string {
   let fetchHash = 0;
@@ -101,7 +102,7 @@
     fetchHash = (Math.imul(fetchHash, 31) + Math.round(snapshot.fetchS(image, gb))) | 0;
   const { cpus, gpus, memory } = snapshot.free;
   const distinctIndex = distinct ? snapshot.machine : '';
-  return `${snapshot.type}/${snapshot.zone}/${snapshot.spot}/${cpus}/${gpus}/${memory}/${snapshot.load}/${snapshot.warmImageCount}/${snapshot.surplus}/${snapshot.penalty}/${holder}/${fetchHash}/${distinctIndex}`;
+  return `${snapshot.type}/${snapshot.zone}/${snapshot.spot}/${cpus}/${gpus}/${memory}/${snapshot.load}/${snapshot.warmImageCount}/${snapshot.surplus}/${snapshot.penalty}/${reservedFor}/${fetchHash}/${distinctIndex}`;
 }
 
 /** Makes the targets of a round: classes of equivalent machines, room to come by time, and machines to be rented. */
@@ -124,7 +125,7 @@
   const add = (
     kind: Target['kind'],
     source: MachineSnapshot | ProvisioningOption,
-    holder: number,
+    reservedFor: number,
   ): Target => {
     const { type, zone, spot, price } = source;
     const target: Target = {
@@ -134,7 +135,7 @@
       zone,
       spot,
       price,
-      holder,
+      reservedFor,
       snapshots: [],
       parts: [],
       inS: 0,
@@ -150,7 +151,7 @@
   const unmerged = machines.length <= MAX_UNMERGED_MACHINES;
   const addPart = (snapshot: MachineSnapshot, inS: number, releaseIndex: number): void => {
     const typeZoneSpot = (snapshot.type * 1024 + snapshot.zone) * 2 + (snapshot.spot ? 1 : 0);
-    const key = typeZoneSpot * (BUCKET_BOUNDS_S.length + 1) + bucketOf(inS);
+    const key = typeZoneSpot * (BUCKET_BOUNDS_S.length + 1) + findBucket(inS);
     let target = unmerged ? undefined : laterTargets.get(key);
     if (!target) {
       target = add('later', snapshot, unmerged ? (reserved.get(snapshot.machine) ?? -1) : -1);
@@ -164,11 +165,11 @@
       if (snapshot.bootsInS > 0) {
         addPart(snapshot, snapshot.bootsInS, -1);
       } else {
-        const holder = reserved.get(snapshot.machine) ?? -1;
-        const key = equivalenceKey(snapshot, images, holder, distinctMachines.has(snapshot.machine));
+        const reservedFor = reserved.get(snapshot.machine) ?? -1;
+        const key = equivalenceKey(snapshot, images, reservedFor, distinctMachines.has(snapshot.machine));
         let target = byKey.get(key);
         if (!target) {
-          target = add('now', snapshot, holder);
+          target = add('now', snapshot, reservedFor);
           byKey.set(key, target);
         }
         target.snapshots.push(snapshot);
--- a/src/scheduling/zones.ts
+++ b/src/scheduling/zones.ts
@@ -41,7 +41,7 @@
  * soonest, since a gang waits for the slowest fetch; else the zone with the most room, now or to come.
  *
  * The zone of the last round is kept unless another is clearly better: machines reserved or rented and tasks preempted
- * there for the group would otherwise be in vain.
+ * there for the group would otherwise be of no use.
  */
 export function pickZone(
   group: TaskGroup,
@@ -55,7 +55,7 @@
   const zones = new Map<number, ZoneCapacity>();
   for (const target of targets) {
     if (!isAllowed(group, target.type, target.zone, target.spot)) continue;
-    if (target.holder >= 0 && target.holder !== group.job) continue;
+    if (target.reservedFor >= 0 && target.reservedFor !== group.job) continue;
     const count = countFittingOnTarget(target, needs, needIndex);
     if (count === 0) continue;
     let zone = zones.get(target.zone);
--- a/test/scheduling/round.test.ts
+++ b/test/scheduling/round.test.ts
@@ -252,7 +252,7 @@
   assert.equal(result.reserved.get(0), 0);
 });
 
-test('machines on which tasks were preempted for a gang stay reserved for it, also against jobs that have waited long', () => {
+test('machines cleared for a gang stay reserved for it, also against jobs that have waited long', () => {
   // Otherwise small tasks start there before the last of the gang's machines is free, and are preempted in turn.
   const snapshots = [0, 1, 2].map((n) => machine({ machine: n }));
   const need = { cpus: 4, gpus: 0, memory: 4 };
