--- a/src/scheduling/urgency.ts
+++ b/src/scheduling/urgency.ts
@@ -26,7 +26,7 @@
 /** Urgency of a group, in the unit of costs. The round serves the groups with the highest urgency first. */
 export function computeUrgency(group: TaskGroup, reserveAfterMs: number): number {
   if (group.expected) return 0;
-  // Ordered by rank, then by the team's guarantee, then by pressure, then by waiting time.
+  // Rank outweighs the team's guarantee, and that outweighs the weighted sum of pressure and waiting time.
   return (
     COST_BAND +
     group.priority * 2 * COST_BAND +
