--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -130,7 +130,7 @@
   /** The machines that can be rented now. */
   provisioningOptions(unreachableZones: ReadonlySet<number>): ProvisioningOption[] {
     const now = this.deps.clock.now();
-    // In an unreachable zone only one machine at a time is rented: it tells when the zone is reachable again.
+    // In an unreachable zone only one machine at a time is rented, to find out when the zone is reachable again.
     const triedZones = new Set<number>();
     for (const booting of this.bootingByName.values()) triedZones.add(booting.zone);
     for (const o of this.options) if (o.requestedCount > 0) triedZones.add(o.zone);
--- a/src/leader/best-effort-work.ts
+++ b/src/leader/best-effort-work.ts
@@ -1,6 +1,6 @@
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
-import type { IdleTask } from '../scheduling/idle-work.ts';
+import type { BestEffortTask } from '../scheduling/idle-work.ts';
 import { countFittingTasks, resourcesOf, allocate, type Resources } from '../scheduling/snapshot.ts';
 import type { Machine } from '../workers/machine.ts';
 import { slackOf } from './job-slack.ts';
@@ -42,9 +42,9 @@
   /**
    * The tasks of a machine that runs nothing but guests' work which can be stopped without being late; else null.
    */
-  idleTasks(m: Machine): IdleTask[] | null {
+  idleTasks(m: Machine): BestEffortTask[] | null {
     const now = this.deps.host.clock.now();
-    const tasks: IdleTask[] = [];
+    const tasks: BestEffortTask[] = [];
     for (const a of m.attempts.values()) {
       if (a.released) continue;
       const { job } = a;
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -1,6 +1,6 @@
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
-import type { IdleTask } from '../scheduling/idle-work.ts';
+import type { BestEffortTask } from '../scheduling/idle-work.ts';
 import type { PreemptionCandidate } from '../scheduling/preempt.ts';
 import {
   countFittingTasks,
@@ -55,7 +55,7 @@
     return this.jobs.guaranteedJobs();
   }
 
-  idleTasks(machine: Machine): IdleTask[] | null {
+  idleTasks(machine: Machine): BestEffortTask[] | null {
     return this.bestEffort.idleTasks(machine);
   }
 
--- a/src/scheduling/idle-work.ts
+++ b/src/scheduling/idle-work.ts
@@ -1,5 +1,5 @@
 /** A running best-effort task that can be stopped without missing an objective. */
-export interface IdleTask {
+export interface BestEffortTask {
   /** Highest hourly price at which the task is worth running, in the cloud's currency. */
   maxPrice: number;
   /** Seconds until it ends, by the user's estimate. */
@@ -17,7 +17,7 @@
  *
  * @param price hourly price of the machine
  */
-export function isWorthKeeping(price: number, tasks: readonly IdleTask[]): boolean {
+export function isWorthKeeping(price: number, tasks: readonly BestEffortTask[]): boolean {
   let remainingS = 0;
   let costElsewhere = 0;
   for (const task of tasks) {
--- a/test/scheduling/solver.test.ts
+++ b/test/scheduling/solver.test.ts
@@ -42,7 +42,7 @@
   );
   fc.assert(
     fc.property(shape, ({ costs, load, room }) => {
-      const none = 1000;
+      const unscheduledCost = 1000;
       const slots = room.map((r, m) => Array.from({ length: r }, (_, k) => required(load[m], 'load') + k));
       const net = new FlowNetwork();
       const [source, sink, unscheduled] = [net.addNode(), net.addNode(), net.addNode()];
@@ -50,7 +50,7 @@
       costs.forEach((row) => {
         const task = net.addNode();
         net.addArc(source, task, 1, 0);
-        net.addArc(task, unscheduled, 1, none);
+        net.addArc(task, unscheduled, 1, unscheduledCost);
         row.forEach((c, m) => net.addArc(task, required(nodes[m], 'node'), 1, c));
       });
       slots.forEach((list, machineIndex) => {
@@ -59,14 +59,14 @@
       net.addArc(unscheduled, sink, costs.length, 0);
       const solved = net.solve(source, sink, costs.length);
       assert.equal(solved.flow, costs.length);
-      assert.equal(solved.cost, bruteForce(costs, slots, none));
+      assert.equal(solved.cost, bruteForce(costs, slots, unscheduledCost));
       // Solved for one task after the other, each from its own node, the total cost is the same.
       const sequential = new FlowNetwork();
       const [end, waiting] = [sequential.addNode(), sequential.addNode()];
       const places = room.map(() => sequential.addNode());
       const tasks = costs.map((row) => {
         const task = sequential.addNode();
-        sequential.addArc(task, waiting, 1, none);
+        sequential.addArc(task, waiting, 1, unscheduledCost);
         row.forEach((c, m) => sequential.addArc(task, required(places[m], 'node'), 1, c));
         return task;
       });
