--- a/src/controller/cluster-catalog.ts
+++ b/src/controller/cluster-catalog.ts
@@ -1,5 +1,5 @@
 /** The catalog of machine types that this controller has read. */
-import { Catalog, catalogValue, readCatalogValue } from '../fleet/catalog.ts';
+import { Catalog, encodeStoredCatalog, decodeStoredCatalog } from '../fleet/catalog.ts';
 import type { CloudClient } from '../fleet/cloud.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
 import { KEYS } from '../store/keys.ts';
@@ -48,7 +48,7 @@
 
   /** Stores the catalog for controllers that start later, unless it exceeds the size limit of a value. */
   save(catalog: Catalog, writer: Pick<LeaderWriter, 'enqueue'>): void {
-    const value = catalogValue(catalog);
+    const value = encodeStoredCatalog(catalog);
     if (JSON.stringify(value).length > this.deps.maxValueBytes) return;
     const mutations = [{ put: KEYS.catalog, value }];
     writer.enqueue({ kind: 'ready', mutations, onCommitted: () => undefined }, 'background');
@@ -58,7 +58,7 @@
     this.deps.store
       .get(KEYS.catalog, 'user')
       .then((stored) => {
-        if (stored.kind === 'ok' && stored.value) this.known ??= readCatalogValue(stored.value.value);
+        if (stored.kind === 'ok' && stored.value) this.known ??= decodeStoredCatalog(stored.value.value);
       })
       .catch(this.deps.onError);
   }
--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -7,7 +7,7 @@
 import type { Catalog } from './catalog.ts';
 import type { Cloud } from './cloud.ts';
 
-/** What the fleet needs of the leader it works for. */
+/** What the provisioner needs of its leader. */
 export interface MachineProvisionerDeps {
   clock: Clock;
   log: Logger;
@@ -16,7 +16,7 @@
   zones: NameIndex;
   options: Options;
   term: number;
-  /** Nothing is asked of the cloud without it: another controller may lead by now, and own the machines. */
+  /** Without a valid lease nothing is requested: another controller may lead by now and own the machines. */
   hasValidLease(): boolean;
   enqueue(command: () => void): void;
   pause(ms: number): Promise<void>;
@@ -24,31 +24,34 @@
   onTerminated(names: readonly string[]): void;
 }
 
+/** A machine type in a zone, spot or not, with the state of its rentals. */
 interface OptionState {
   index: number;
   type: number;
   zone: number;
   spot: boolean;
-  /** Refused lately: not asked for again before this. */
+  /** After a refusal, no machines are requested before this time. */
   notBefore: number;
   refusals: number;
-  asking: number;
+  /** Machines of the rental in progress; 0 if there is none. */
+  requestedCount: number;
 }
 
-interface Booting {
+/** A machine that is rented and has not sent a message to this leader yet. */
+interface BootingMachine {
   index: number;
   name: string;
   type: number;
   zone: number;
   spot: boolean;
   rentedAt: number;
-  /** Not given up before this: a machine found in the list may just not have reached this leader yet. */
+  /** It is not terminated as never joined before this time: a listed machine may not have found this leader yet. */
   keepUntil: number;
   /** The cloud lists it as running. */
   running: boolean;
 }
 
-/** A machine without tasks, and for how many milliseconds it has had none. */
+/** A machine without tasks, and the milliseconds for which it has had none. */
 export interface IdleMachine {
   name: string;
   type: number;
@@ -56,41 +59,43 @@
 }
 
 const MAX_MACHINES_PER_RENTAL = 50;
-/** Time for the worker of a listed machine to find a new leader: some tries and time-outs. */
+/** Time for the worker of a listed machine to find a new leader: several attempts with their time-outs. */
 const LISTED_GRACE_MS = 15_000;
 const MAX_MACHINES_PER_TERMINATION = 100;
-/** Reports and lists of a machine that is gone may still come for much longer than a lease. */
-const TERMINATED_KEPT_MS = 3_600_000;
+/** Heartbeats and machine lists may still contain a terminated machine for much longer than a lease. */
+const TERMINATED_RETENTION_MS = 3_600_000;
 
-/** Rents and returns machines: what was asked of the cloud, what is booting, what is on its way back. */
+/** Rents and terminates machines; keeps track of rentals in progress, booting machines and terminations. */
 export class MachineProvisioner {
   private readonly options: OptionState[] = [];
-  private readonly bootingByName = new Map<string, Booting>();
+  private readonly bootingByName = new Map<string, BootingMachine>();
   private readonly rentedAt = new Map<string, number>();
   private bootIndex = 0;
   private requestCount = 0;
+  /** The machines to be terminated, with the earliest time of the next request. */
   private readonly terminating = new Map<string, number>();
   private terminationInFlight = false;
+  /** The machines that the cloud has terminated, and when. */
   private readonly terminated = new Map<string, number>();
   private listInFlight = false;
-  /** The machine list has been read at least once by this leader. */
-  listed = false;
+  /** This leader has read the machine list at least once. */
+  hasListedMachines = false;
   private lastListAt = -Infinity;
   private lastCatalogAt: number;
 
   constructor(private readonly deps: MachineProvisionerDeps) {
     this.lastCatalogAt = deps.clock.now();
-    deps.catalog.types.forEach((type, t) => {
+    deps.catalog.types.forEach((type, typeIndex) => {
       for (const zone of type.zones) {
         for (const spot of [false, true]) {
           this.options.push({
             index: this.options.length,
-            type: t,
+            type: typeIndex,
             zone: deps.zones.index(zone),
             spot,
             notBefore: -Infinity,
             refusals: 0,
-            asking: 0,
+            requestedCount: 0,
           });
         }
       }
@@ -98,63 +103,63 @@
   }
 
   /**
-   * Machines on their way, those among them that the cloud was asked for and has not answered about: without
-   * them every round during the call would ask for the same room again, of another kind or zone.
+   * Booting machines, including those of rentals that the cloud has not answered yet: without these, every round
+   * during a rental would request the same room again, in another zone or with another machine type.
    */
-  booting(): Booting[] {
-    const found = [...this.bootingByName.values()].filter((b) => !this.terminating.has(b.name));
+  booting(): BootingMachine[] {
+    const machines = [...this.bootingByName.values()].filter((b) => !this.terminating.has(b.name));
     const now = this.deps.clock.now();
-    for (const o of this.options) {
-      for (let i = 0; i < o.asking; i++) {
-        const index = this.bootIndex + found.length;
-        found.push({
+    for (const option of this.options) {
+      for (let i = 0; i < option.requestedCount; i++) {
+        const index = this.bootIndex + machines.length;
+        machines.push({
           index,
           name: '',
-          type: o.type,
-          zone: o.zone,
-          spot: o.spot,
+          type: option.type,
+          zone: option.zone,
+          spot: option.spot,
           rentedAt: now,
           keepUntil: now,
           running: false,
         });
       }
     }
-    return found;
+    return machines;
   }
 
-  /** Options of the flow graph: machines that could be rented now. */
-  rentable(dark: ReadonlySet<number>): ProvisioningOption[] {
+  /** The machines that can be rented now. */
+  provisioningOptions(unreachableZones: ReadonlySet<number>): ProvisioningOption[] {
     const now = this.deps.clock.now();
-    // Of a zone that is cut off one machine is on trial at a time: it tells when the zone is back.
-    const tried = new Set<number>();
-    for (const b of this.bootingByName.values()) tried.add(b.zone);
-    for (const o of this.options) if (o.asking > 0) tried.add(o.zone);
-    const views: ProvisioningOption[] = [];
-    for (const o of this.options) {
-      if (now < o.notBefore || o.asking > 0) continue;
-      if (dark.has(o.zone) && tried.has(o.zone)) continue;
-      const type = required(this.deps.catalog.types[o.type], 'machine type of the option');
-      views.push({
-        option: o.index,
-        type: o.type,
-        zone: o.zone,
-        spot: o.spot,
+    // In an unreachable zone only one machine at a time is rented, to find out when the zone is reachable again.
+    const triedZones = new Set<number>();
+    for (const booting of this.bootingByName.values()) triedZones.add(booting.zone);
+    for (const o of this.options) if (o.requestedCount > 0) triedZones.add(o.zone);
+    const available: ProvisioningOption[] = [];
+    for (const option of this.options) {
+      if (now < option.notBefore || option.requestedCount > 0) continue;
+      if (unreachableZones.has(option.zone) && triedZones.has(option.zone)) continue;
+      const type = required(this.deps.catalog.types[option.type], 'machine type of the option');
+      available.push({
+        option: option.index,
+        type: option.type,
+        zone: option.zone,
+        spot: option.spot,
         size: resourcesOf(type),
-        max: dark.has(o.zone) ? 1 : this.deps.options.fleet.rent_at_once,
-        price: o.spot ? type.spotPrice : type.price,
+        maxMachines: unreachableZones.has(option.zone) ? 1 : this.deps.options.fleet.rent_at_once,
+        price: option.spot ? type.spotPrice : type.price,
         bootS: type.bootS,
         fetchGbPerS: type.fetchGbPerS,
       });
     }
-    return views;
+    return available;
   }
 
-  /** Takes the round's wishes. What can't be asked for now is wished for again by the next round. */
-  setDemand(rents: ReadonlyMap<number, number>): void {
-    for (const [index, count] of rents) {
+  /** Rents machines for a round's demand. The next round demands again what can't be requested now. */
+  setDemand(demand: ReadonlyMap<number, number>): void {
+    for (const [index, count] of demand) {
       const option = this.options[index];
-      if (!option || option.asking > 0 || count <= 0) continue;
-      if (!this.deps.cloud.ready(1)) return;
+      if (!option || option.requestedCount > 0 || count <= 0) continue;
+      if (!this.deps.cloud.canRequest(1)) return;
       void this.provision(option, Math.min(count, MAX_MACHINES_PER_RENTAL));
     }
   }
@@ -162,7 +167,7 @@
   private async provision(option: OptionState, count: number): Promise<void> {
     const { clock, cloud, catalog, zones, log, term } = this.deps;
     this.requestCount += 1;
-    // Names carry the term and a counter: no other leadership ever uses them.
+    // The name of a request contains the term and a counter, so that no other leadership ever uses it.
     const request = `pw-${term}-${this.requestCount}`;
     const rental = {
       request,
@@ -171,7 +176,7 @@
       spot: option.spot,
       count,
     };
-    option.asking = count;
+    option.requestedCount = count;
     log.info(rental, 'provisioning machines');
     for (let attempt = 0; attempt < 5 && this.deps.hasValidLease(); attempt++) {
       const rentedAt = clock.now();
@@ -179,7 +184,7 @@
       if (result.kind === 'rented') {
         this.deps.enqueue(() => {
           option.refusals = 0;
-          option.asking = 0;
+          option.requestedCount = 0;
           for (const name of result.names) this.addBooting(name, option, rentedAt, rentedAt);
           if (result.names.length < count) this.backOff(option, 'partly filled');
         });
@@ -187,16 +192,17 @@
       }
       if (result.kind === 'no_capacity' || (result.kind === 'refused' && attempt > 0)) {
         this.deps.enqueue(() => {
-          option.asking = 0;
+          option.requestedCount = 0;
           this.backOff(option, result.kind);
         });
         return;
       }
-      // Not known whether it was carried out: the same name again tells, and rents nothing twice.
+      // It is unknown whether the rental was carried out. Repeating it under the same name returns the outcome and
+      // rents nothing twice.
       await this.deps.pause(700 * (attempt + 1));
     }
     this.deps.enqueue(() => {
-      option.asking = 0;
+      option.requestedCount = 0;
       this.backOff(option, 'no answer');
     });
   }
@@ -239,16 +245,17 @@
     );
   }
 
-  /** The worker of this machine has reported. */
+  /** A message of the machine's worker has arrived. */
   onMachineUp(name: string): void {
     this.bootingByName.delete(name);
   }
 
-  /** Asked to be returned, which has not been done yet. */
+  /** Whether the machine is to be terminated and the cloud has not done so yet. */
   isTerminating(name: string): boolean {
     return this.terminating.has(name);
   }
 
+  /** Whether the cloud has terminated the machine for this leader lately. */
   wasTerminated(name: string): boolean {
     return this.terminated.has(name);
   }
@@ -259,18 +266,19 @@
   }
 
   /**
-   * Gives idle machines back. What takes long to boot is kept a little longer, since renting it anew costs
-   * that time again; within the least time that is charged anyway nothing is gained by returning.
+   * Terminates machines that have been idle for long enough. Machines that take long to boot are kept a little longer,
+   * since renting one again costs that time again. A machine younger than the minimum charge is kept, since
+   * terminating it saves nothing.
    */
-  offerIdle(idle: readonly IdleMachine[]): void {
+  terminateIdle(idle: readonly IdleMachine[]): void {
     const { idle_s, idle_boot_share, least_charge_s } = this.deps.options.fleet;
     const now = this.deps.clock.now();
     const names: string[] = [];
-    for (const m of idle) {
-      const bootS = this.deps.catalog.types[m.type]?.bootS ?? 0;
-      const rentedAt = this.rentedAt.get(m.name) ?? -Infinity;
+    for (const machine of idle) {
+      const bootS = this.deps.catalog.types[machine.type]?.bootS ?? 0;
+      const rentedAt = this.rentedAt.get(machine.name) ?? -Infinity;
       if (now - rentedAt < least_charge_s * 1000) continue;
-      if (m.idleMs > Math.max(idle_s, bootS * idle_boot_share) * 1000) names.push(m.name);
+      if (machine.idleMs > Math.max(idle_s, bootS * idle_boot_share) * 1000) names.push(machine.name);
     }
     if (names.length === 0) return;
     this.deps.log.info({ machines: names, reason: 'idle' }, 'machines terminated');
@@ -278,51 +286,60 @@
   }
 
   /**
-   * The controller stood still or was overloaded until now: whatever came up meanwhile could not report to it.
-   * Machines that were booting get as long as those of an earlier leader to find it again.
+   * Called when the controller has been paused or overloaded: machines that came up meanwhile could not reach it. Gives
+   * booting machines the time to find this leader that listed machines of an earlier leader have.
    */
-  resumed(): void {
+  extendBootGrace(): void {
     const keepUntil = this.deps.clock.now() + LISTED_GRACE_MS;
-    for (const b of this.bootingByName.values()) b.keepUntil = Math.max(b.keepUntil, keepUntil);
+    for (const booting of this.bootingByName.values())
+      booting.keepUntil = Math.max(booting.keepUntil, keepUntil);
   }
 
-  /** Machines that the cloud lists as running, and of which no report has been heard yet. */
+  /** Number of machines that the cloud lists as running and that have sent no message yet. */
   get runningUnregistered(): number {
     let count = 0;
-    for (const b of this.bootingByName.values()) if (b.running && !this.terminating.has(b.name)) count += 1;
+    for (const booting of this.bootingByName.values())
+      if (booting.running && !this.terminating.has(booting.name)) count += 1;
     return count;
   }
 
   /**
-   * `overloaded`: this controller can't keep up with reports, so a machine that wasn't heard may well be up. With 4,000
-   * machines and one controller to hear them hundreds of healthy ones were once returned.
+   * Terminates machines that never joined, sends the terminations that are due and refreshes prices.
+   *
+   * @param overloaded this controller can't keep up with heartbeats, so machines without one may well be up. They are
+   *   kept: with 4,000 machines and a single controller, hundreds of healthy machines would be terminated.
    */
   tick(overloaded: boolean): void {
     if (!this.deps.hasValidLease()) return;
-    if (overloaded) this.resumed();
+    if (overloaded) this.extendBootGrace();
     const now = this.deps.clock.now();
-    for (const b of this.bootingByName.values()) {
-      const bootS = this.deps.catalog.types[b.type]?.bootS ?? 60;
-      const patience = (bootS * this.deps.options.fleet.boot_patience + 15) * 1000;
-      if (now - b.rentedAt > patience && now > b.keepUntil && !this.terminating.has(b.name)) {
-        this.deps.log.info({ machine: b.name, reason: 'neverJoined' }, 'machine terminated');
-        this.terminate([b.name]);
+    for (const booting of this.bootingByName.values()) {
+      const bootS = this.deps.catalog.types[booting.type]?.bootS ?? 60;
+      const bootTimeoutMs = (bootS * this.deps.options.fleet.boot_patience + 15) * 1000;
+      if (
+        now - booting.rentedAt > bootTimeoutMs &&
+        now > booting.keepUntil &&
+        !this.terminating.has(booting.name)
+      ) {
+        this.deps.log.info({ machine: booting.name, reason: 'neverJoined' }, 'machine terminated');
+        this.terminate([booting.name]);
       }
     }
     this.terminateDue();
-    if (now - this.lastCatalogAt > 60_000 && this.deps.cloud.ready(1)) {
+    if (now - this.lastCatalogAt > 60_000 && this.deps.cloud.canRequest(1)) {
       this.lastCatalogAt = now;
       void this.refreshPrices();
     }
   }
 
   /**
-   * A leader that may have been replaced returns nothing: cut off from workers and state service, it takes machines
-   * for lost on which its successor runs tasks, and a request held back by the cut would end them afterwards.
+   * Sends a request for the terminations that are due, unless the leader may have been replaced. A leader that is cut
+   * off from workers and the state service takes machines for lost on which its successor runs tasks, and a request
+   * that the network delays would end these tasks afterwards.
    */
   private terminateDue(): void {
     if (this.terminating.size === 0 || this.terminationInFlight) return;
-    if (this.deps.hasValidLease() && this.deps.cloud.ready()) void this.sendTerminations();
+    if (this.deps.hasValidLease() && this.deps.cloud.canRequest()) void this.sendTerminations();
   }
 
   private async refreshPrices(): Promise<void> {
@@ -341,11 +358,11 @@
     const now = this.deps.clock.now();
     const names = [...this.terminating].filter(([, after]) => now >= after).map(([name]) => name);
     const batch = names.slice(0, MAX_MACHINES_PER_TERMINATION);
-    const done = batch.length > 0 && (await this.deps.cloud.terminate(batch));
+    const succeeded = batch.length > 0 && (await this.deps.cloud.terminate(batch));
     this.deps.enqueue(() => {
       this.terminationInFlight = false;
       for (const name of batch) {
-        if (!done) {
+        if (!succeeded) {
           this.terminating.set(name, this.deps.clock.now() + 1000);
           continue;
         }
@@ -354,45 +371,52 @@
         this.rentedAt.delete(name);
         this.terminated.set(name, this.deps.clock.now());
       }
-      if (done) this.deps.onTerminated(batch);
+      if (succeeded) this.deps.onTerminated(batch);
     });
   }
 
-  /** Reads the machine list now and then, to find machines that nobody here knows of. */
+  /** Reads the cloud's machine list at intervals, to find machines that this leader doesn't know. */
   reconcileMachineList(known: { has(name: string): boolean }): void {
     const now = this.deps.clock.now();
     if (this.listInFlight || now - this.lastListAt < this.deps.options.fleet.list_s * 1000) return;
-    if (!this.deps.cloud.ready(1)) return;
+    if (!this.deps.cloud.canRequest(1)) return;
     this.lastListAt = now;
     this.listInFlight = true;
     void this.deps.cloud.list().then((machines) => {
       this.deps.enqueue(() => {
         this.listInFlight = false;
         if (!machines) return;
-        this.listed = true;
-        const at = this.deps.clock.now();
+        this.hasListedMachines = true;
+        const listedAt = this.deps.clock.now();
         const unexpected: string[] = [];
-        for (const m of machines) {
-          const awaited = this.bootingByName.get(m.name);
-          const running = m.state === 'running';
-          if (awaited) awaited.running = running;
-          // The list lags, so what was returned lately may still stand in it.
-          if (this.terminated.has(m.name) || this.terminating.has(m.name)) continue;
-          if (m.state === 'failed') {
-            this.terminate([m.name]);
-          } else if (!known.has(m.name) && !this.bootingByName.has(m.name)) {
-            const type = this.deps.catalog.typeIndex(m.machineType);
-            const place = { type, zone: this.deps.zones.index(m.zone), spot: m.spot };
-            unexpected.push(m.name);
-            if (type < 0) this.terminate([m.name]);
-            else this.addBooting(m.name, place, at - m.ageS * 1000, at + LISTED_GRACE_MS, running);
+        for (const machine of machines) {
+          const booting = this.bootingByName.get(machine.name);
+          const running = machine.state === 'running';
+          if (booting) booting.running = running;
+          // The list lags behind, so it may still contain machines that were terminated lately.
+          if (this.terminated.has(machine.name) || this.terminating.has(machine.name)) continue;
+          if (machine.state === 'failed') {
+            this.terminate([machine.name]);
+          } else if (!known.has(machine.name) && !this.bootingByName.has(machine.name)) {
+            const type = this.deps.catalog.typeIndex(machine.machineType);
+            const place = { type, zone: this.deps.zones.index(machine.zone), spot: machine.spot };
+            unexpected.push(machine.name);
+            if (type < 0) this.terminate([machine.name]);
+            else
+              this.addBooting(
+                machine.name,
+                place,
+                listedAt - machine.ageS * 1000,
+                listedAt + LISTED_GRACE_MS,
+                running,
+              );
           }
         }
-        // In one line: a new leader finds hundreds.
+        // One line for all of them: a new leader finds hundreds.
         if (unexpected.length > 0)
           this.deps.log.info({ machines: unexpected }, 'unknown machines listed by the cloud');
-        for (const [name, when] of this.terminated)
-          if (at - when > TERMINATED_KEPT_MS) this.terminated.delete(name);
+        for (const [name, terminatedAt] of this.terminated)
+          if (listedAt - terminatedAt > TERMINATED_RETENTION_MS) this.terminated.delete(name);
       });
     });
   }
--- a/src/leader/best-effort-work.ts
+++ b/src/leader/best-effort-work.ts
@@ -1,8 +1,8 @@
 /** Work of the lowest priority of teams without a guarantee. */
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
-import type { IdleTask } from '../scheduling/idle-work.ts';
-import { fits, resourcesOf, allocate, type Resources } from '../scheduling/snapshot.ts';
+import type { BestEffortTask } from '../scheduling/idle-work.ts';
+import { countFittingTasks, resourcesOf, allocate, type Resources } from '../scheduling/snapshot.ts';
 import type { Machine } from '../workers/machine.ts';
 import { computeJobSlack } from './job-slack.ts';
 import { OVERRUN_REMAINING_RATIO, type SnapshotDeps } from './snapshot-sources.ts';
@@ -34,7 +34,7 @@
     let lowestPricePerTask = Infinity;
     for (const type of this.deps.catalog.types) {
       if (job.spec.types && !job.spec.types.includes(type.name)) continue;
-      const tasksPerMachine = fits(job.spec, type);
+      const tasksPerMachine = countFittingTasks(job.spec, type);
       if (tasksPerMachine === 0) continue;
       const price = job.spec.spot ? Math.min(type.price, type.spotPrice) : type.price;
       lowestPricePerTask = Math.min(lowestPricePerTask, price / tasksPerMachine);
@@ -44,9 +44,9 @@
   }
 
   /** The tasks of a machine that runs only best-effort tasks which can be stopped without being late; else null. */
-  findIdleTasks(machine: Machine): IdleTask[] | null {
+  findIdleTasks(machine: Machine): BestEffortTask[] | null {
     const now = this.deps.host.clock.now();
-    const tasks: IdleTask[] = [];
+    const tasks: BestEffortTask[] = [];
     for (const attempt of machine.attempts.values()) {
       if (attempt.released) continue;
       const { job } = attempt;
@@ -59,8 +59,8 @@
       const ranS = (now - attempt.runningSince) / 1000;
       const { checkpointIntervalS, checkpointDurationS, estimateS } = job.spec;
       tasks.push({
-        worth: this.computeMaxProvisionPrice(job),
-        remainS: Math.max(estimateS - ranS, ranS * OVERRUN_REMAINING_RATIO),
+        maxPrice: this.computeMaxProvisionPrice(job),
+        remainingS: Math.max(estimateS - ranS, ranS * OVERRUN_REMAINING_RATIO),
         lossS: checkpointIntervalS > 0 ? checkpointDurationS : ranS,
       });
     }
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -1,7 +1,7 @@
 /** The machines as inputs of a scheduling round. */
 import { required } from '../base/required.ts';
 import {
-  fetchTime,
+  computeFetchS,
   mergeReleases,
   resourcesOf,
   allocate,
@@ -63,7 +63,7 @@
         // A task that exceeds its estimate is expected to run on for a share of the time that it has run.
         inS = Math.max(spec.estimateS - ranS, ranS * OVERRUN_REMAINING_RATIO, 3);
       }
-      releases.push({ inS, room });
+      releases.push({ inS, resources: room });
     }
     return mergeReleases(releases.sort((x, y) => x.inS - y.inS));
   }
@@ -118,10 +118,10 @@
         fetchS: (image, gb) => {
           const readyAt = machine.images.get(image);
           // The fetch begins after those under way.
-          if (readyAt === undefined) return fetchTime(gb, type.fetchGbPerS) + fetchingS;
+          if (readyAt === undefined) return computeFetchS(gb, type.fetchGbPerS) + fetchingS;
           return Math.max(0, readyAt - now) / 1000;
         },
-        warm: this.countLatencySensitiveImages(machine),
+        warmImageCount: this.countLatencySensitiveImages(machine),
         surplus: false,
         penalty: this.computeFailurePenalty(machine),
         price: machine.id.spot ? type.spotPrice : type.price,
@@ -149,8 +149,8 @@
         releases: [],
         load: 0,
         bootsInS: Math.max(1, type.bootS - (now - bootingMachine.rentedAt) / 1000),
-        fetchS: (_image, gb) => fetchTime(gb, type.fetchGbPerS),
-        warm: 0,
+        fetchS: (_image, gb) => computeFetchS(gb, type.fetchGbPerS),
+        warmImageCount: 0,
         surplus: false,
         penalty: 0,
         price: bootingMachine.spot ? type.spotPrice : type.price,
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -3,7 +3,7 @@
 import type { MachineProvisioner, IdleMachine } from '../fleet/machine-provisioner.ts';
 import type { Job } from '../jobs/job.ts';
 import { selectVictims, type PreemptionCandidate } from '../scheduling/preempt.ts';
-import { worthKeeping } from '../scheduling/idle-work.ts';
+import { isWorthKeeping } from '../scheduling/idle-work.ts';
 import { runRound } from '../scheduling/round.ts';
 import {
   resourcesOf,
@@ -96,7 +96,7 @@
     if (canPlace) this.placingSince = Math.min(this.placingSince, start);
     if (canPlace) this.applyResult(groups, machines, quotaHeadroom, result);
     this.lastDurationMs = this.now() - start;
-    this.adaptGroupLimit(groups.length, result.leftOut);
+    this.adaptGroupLimit(groups.length, result.deferredGroupCount);
     this.deps.host.log.debug(
       {
         groups: groups.length,
@@ -131,7 +131,7 @@
     return runRound(
       [...groups, ...this.snapshots.createExpectedGroups()],
       machines,
-      this.provisioner.rentable(this.cluster.unreachableZones),
+      this.provisioner.provisioningOptions(this.cluster.unreachableZones),
       // The groups of expected tasks have a team index of their own, which has no limit.
       [...quotaHeadroom, { cpus: Infinity, gpus: Infinity }],
       (type) => {
@@ -140,14 +140,14 @@
       },
       {
         reserveAfterMs: scheduling.reserve_after_s * 1000,
-        turn: this.roundCount,
+        roundNumber: this.roundCount,
         maxGroups: Math.min(scheduling.max_groups, this.groupLimit),
         fetchSteps: scheduling.fetch_steps,
         priceSteps: scheduling.price_steps,
         rentSteps: scheduling.rent_steps,
         rentBiasS: scheduling.rent_bias_s,
         warmSteps: scheduling.warm_steps,
-        rentRound: scheduling.rent_round,
+        roundDownFraction: scheduling.rent_round,
       },
       () => this.now() > deadline,
     );
@@ -184,8 +184,8 @@
       this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: placement.count }, 'tasks placed');
     }
     // Groups that were left out may need the idle machines, which would be returned now and rented anew a moment later.
-    if (result.leftOut === 0) {
-      this.provisioner.offerIdle(this.findIdleMachines(result.held));
+    if (result.deferredGroupCount === 0) {
+      this.provisioner.terminateIdle(this.findIdleMachines(result.heldForExpected));
       this.consolidate(machines, result);
     }
     if (result.unplaced.size + result.awaiting.size > 0) {
@@ -231,7 +231,7 @@
       const needed =
         !snapshot.surplus ||
         machinesWithPlacements.has(machine.index) ||
-        result.held.has(machine.index) ||
+        result.heldForExpected.has(machine.index) ||
         result.reserved.has(machine.index);
       const idleTasks = needed || !machine.reconciled ? null : this.snapshots.findIdleTasks(machine);
       if (!idleTasks) {
@@ -240,7 +240,7 @@
       }
       const since = this.bestEffortOnlySince.get(machine) ?? now;
       this.bestEffortOnlySince.set(machine, since);
-      if (now - since < this.deps.options.fleet.idle_s * 1000 || worthKeeping(snapshot.price, idleTasks))
+      if (now - since < this.deps.options.fleet.idle_s * 1000 || isWorthKeeping(snapshot.price, idleTasks))
         continue;
       for (const attempt of machine.live()) this.stopGracefully(attempt, 'consolidation for scale-in');
     }
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -1,10 +1,10 @@
 /** Creates the inputs of scheduling rounds from the leader's state. */
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
-import type { IdleTask } from '../scheduling/idle-work.ts';
+import type { BestEffortTask } from '../scheduling/idle-work.ts';
 import type { PreemptionCandidate } from '../scheduling/preempt.ts';
 import {
-  fits,
+  countFittingTasks,
   resourcesOf,
   type TaskGroup,
   type MachineSnapshot,
@@ -65,7 +65,7 @@
   }
 
   /** The tasks of a machine that runs only best-effort tasks which can be stopped; else null. */
-  findIdleTasks(machine: Machine): IdleTask[] | null {
+  findIdleTasks(machine: Machine): BestEffortTask[] | null {
     return this.bestEffort.findIdleTasks(machine);
   }
 
@@ -114,13 +114,21 @@
         neededMachines += computeMachineShare(used, size);
       }
       for (const group of groups) {
-        if (group.bestEffort || (group.types && !group.types.has(type)) || fits(group.need, size) === 0)
+        if (
+          group.bestEffort ||
+          (group.types && !group.types.has(type)) ||
+          countFittingTasks(group.need, size) === 0
+        )
           continue;
-        neededMachines += group.pending / fits(group.need, size);
+        neededMachines += group.pending / countFittingTasks(group.need, size);
       }
       const neededCount = Math.ceil(neededMachines + park_headroom);
       present.sort(
-        (a, b) => a.price - b.price || b.load - a.load || a.warm - b.warm || a.machine - b.machine,
+        (a, b) =>
+          a.price - b.price ||
+          b.load - a.load ||
+          a.warmImageCount - b.warmImageCount ||
+          a.machine - b.machine,
       );
       for (const snapshot of present.slice(neededCount)) snapshot.surplus = true;
     });
@@ -144,7 +152,7 @@
       const lastReleaseS = snapshot.releases.at(-1)?.inS ?? snapshot.bootsInS;
       snapshot.releases.push({
         inS: lastReleaseS + totalEstimateS / taskCount,
-        room: resourcesOf(size),
+        resources: resourcesOf(size),
       });
     }
   }
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -2,8 +2,8 @@
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
 import { MeanWork } from '../scheduling/mean-work.ts';
-import { shareGuarantees, type GuaranteeLeft } from '../scheduling/urgency.ts';
-import { fits, resourcesOf, type TaskGroup } from '../scheduling/snapshot.ts';
+import { assignGuarantees, type GuaranteeHeadroom } from '../scheduling/urgency.ts';
+import { countFittingTasks, resourcesOf, type TaskGroup } from '../scheduling/snapshot.ts';
 import type { JobRequest } from '../wire/user.ts';
 import { isFailing } from '../workers/failure-attribution.ts';
 import type { Cluster } from './cluster.ts';
@@ -115,9 +115,9 @@
         // A single task is in one zone in any case, so the flow network may choose among all zones.
         oneZone: spec.oneZone && spec.tasks > 1,
         zoneHint: job.zoneHint,
-        zoneCap: spec.spread ? Math.ceil(spec.tasks / 2) : Infinity,
+        maxTasksPerZone: spec.spread ? Math.ceil(spec.tasks / 2) : Infinity,
         liveByZone,
-        latencySensitive: this.sources.forecast.watches(spec.className),
+        latencySensitive: this.sources.forecast.isWatched(spec.className),
         expected: false,
         waitedMs: probe ? 0 : starving ? STARVING_WAIT_OFFSET_MS + waitedMs : waitedMs,
         probe,
@@ -135,21 +135,21 @@
         maxQueueingDelayS,
         slackS,
         guaranteed: false,
-        size: 0,
+        relativeWork: 0,
       });
-      meanWork.note(
+      meanWork.record(
         required(groups.at(-1), 'newest group'),
         spec.className,
         job.pendingCount * spec.estimateS,
         perTask || spec.gang,
       );
     }
-    meanWork.giveSizes();
-    shareGuarantees(groups, this.computeGuaranteesLeft(), scheduling.reserve_after_s * 1000);
+    meanWork.setRelativeWork();
+    assignGuarantees(groups, this.computeGuaranteesLeft(), scheduling.reserve_after_s * 1000);
     return groups;
   }
 
-  private computeGuaranteesLeft(): GuaranteeLeft[] {
+  private computeGuaranteesLeft(): GuaranteeHeadroom[] {
     return this.deps.teams.map((team, index) => {
       const usage = required(this.cluster.usage[index], 'usage of the team');
       return { cpus: team.cpus > 0 ? team.cpus - usage.cpus : null, gpus: team.gpus - usage.gpus };
@@ -166,12 +166,12 @@
       let cheapest: { price: number; bootS: number } | null = null;
       for (const type of this.deps.catalog.types) {
         if (job.types && !job.types.includes(type.name)) continue;
-        if (fits(job, type) === 0) continue;
+        if (countFittingTasks(job, type) === 0) continue;
         if (!cheapest || type.price < cheapest.price) cheapest = type;
       }
       return cheapest?.bootS ?? 0;
     };
-    const expected = this.sources.forecast.expected(
+    const expected = this.sources.forecast.expectedTasks(
       this.deps.host.clock.wall(),
       estimateBootS,
       scheduling.spare_swing,
@@ -182,15 +182,15 @@
       pending: expectedTasks.tasks,
       gang: false,
       priority: 0,
-      need: resourcesOf(expectedTasks.like),
-      types: expectedTasks.like.types
-        ? new Set(expectedTasks.like.types.map((t) => this.deps.catalog.typeIndex(t)))
+      need: resourcesOf(expectedTasks.template),
+      types: expectedTasks.template.types
+        ? new Set(expectedTasks.template.types.map((t) => this.deps.catalog.typeIndex(t)))
         : null,
       zone: -1,
-      spot: expectedTasks.like.spot,
+      spot: expectedTasks.template.spot,
       oneZone: false,
       zoneHint: -1,
-      zoneCap: Infinity,
+      maxTasksPerZone: Infinity,
       liveByZone: new Map(),
       latencySensitive: true,
       expected: true,
@@ -199,7 +199,7 @@
       mayProvision: true,
       bestEffort: false,
       maxProvisionPrice: Infinity,
-      image: expectedTasks.like.image,
+      image: expectedTasks.template.image,
       imageGb: 0,
       excludedMachines: new Set(),
       nominatedMachine: -1,
@@ -207,7 +207,7 @@
       maxQueueingDelayS: scheduling.spare_patience_s,
       slackS: Infinity,
       guaranteed: false,
-      size: 0,
+      relativeWork: 0,
     }));
   }
 }
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -1,21 +1,24 @@
+/** The choice of running tasks to be stopped to make room for a waiting group. */
 import { required } from '../base/required.ts';
 import {
-  fits,
+  countFittingTasks,
   allocate,
-  quotaFits,
+  countTasksWithinQuota,
   type TaskGroup,
   type MachineSnapshot,
   type Resources,
   type QuotaHeadroom,
 } from './snapshot.ts';
 
-/** A task on a machine that may be stopped for others; `item` is whatever the caller knows it by. */
+/** A task on a machine that may be stopped to make room. */
 export interface PreemptionCandidate<T> {
+  /** The caller's object for the task. */
   item: T;
   priority: number;
   team: number;
-  /** Its job is run in excess of its own team's guarantee. */
+  /** Its job runs in excess of its own team's guarantee. */
   beyondGuarantee: boolean;
+  /** It has been told to stop already. */
   stopping: boolean;
   need: Resources;
   /** Seconds of work that stopping it loses. */
@@ -23,8 +26,9 @@
 }
 
 /**
- * May this task be stopped for that group? By rank at once. To give a team its guarantee only after a while:
- * machines that end their tasks or that are rented mostly bring it sooner, and stopping loses work.
+ * Whether the task may be stopped for the group: at once for a group of higher rank, and to give a team its guarantee
+ * once the group has waited for `guaranteeAfterMs`. Before that, tasks that end and machines that are rented mostly make
+ * room anyway, and stopping tasks loses work.
  */
 function mayPreempt(
   group: TaskGroup,
@@ -37,66 +41,71 @@
 }
 
 /**
- * Picks the tasks to stop so that a group finds room, on the machines where least is lost. Room that is
- * already being made counts first, so that a round that comes while tasks save doesn't stop more; null: it is
- * enough. Empty: stopping others can't make enough.
+ * Selects the tasks to stop so that a group finds room, on the machines where the least work is lost. Room that is
+ * free or being made counts first, so that a round doesn't stop further tasks while others are saving.
+ *
+ * Returns null if that room is enough, and an empty list if stopping tasks makes no room or, for a gang, not enough.
  */
 export function selectVictims<T>(
   group: TaskGroup,
-  waiting: number,
+  waitingTasks: number,
   machines: readonly MachineSnapshot[],
   victimsOn: (machine: number) => PreemptionCandidate<T>[],
-  teamRoom: readonly QuotaHeadroom[],
+  quotaHeadroom: readonly QuotaHeadroom[],
   guaranteeAfterMs: number,
   reserved: ReadonlyMap<number, number>,
-  /** Takes the machines that the group will find its room on, those with room already included. */
-  counted = new Set<number>(),
+  /** Receives the machines on which the group will find its room, including those with room already. */
+  chosenMachines = new Set<number>(),
 ): T[] | null {
-  let want = Math.min(waiting, quotaFits(group.need, required(teamRoom[group.team], 'room of the team')));
-  if (group.gang && want < group.pending) return [];
+  let tasksLeft = Math.min(
+    waitingTasks,
+    countTasksWithinQuota(group.need, required(quotaHeadroom[group.team], 'quota headroom of the team')),
+  );
+  if (group.gang && tasksLeft < group.pending) return [];
   const plans: { machine: number; items: T[]; count: number; loss: number; zone: number }[] = [];
-  for (const m of machines) {
-    if (m.bootsInS > 0 || group.excludedMachines.has(m.machine)) continue;
-    // A machine kept free for another job would take that job's tasks, and the stopped ones would come to nothing.
-    const holder = reserved.get(m.machine);
-    if (holder !== undefined && holder !== group.job) continue;
-    if (m.spot && !group.spot) continue;
-    if (group.zone >= 0 && group.zone !== m.zone) continue;
-    if (group.types && !group.types.has(m.type)) continue;
-    const free = { ...m.free };
-    const victims = victimsOn(m.machine);
+  for (const snapshot of machines) {
+    if (snapshot.bootsInS > 0 || group.excludedMachines.has(snapshot.machine)) continue;
+    // A machine reserved for another job takes that job's tasks: stopping tasks there makes no room for this group.
+    const reservedFor = reserved.get(snapshot.machine);
+    if (reservedFor !== undefined && reservedFor !== group.job) continue;
+    if (snapshot.spot && !group.spot) continue;
+    if (group.zone >= 0 && group.zone !== snapshot.zone) continue;
+    if (group.types && !group.types.has(snapshot.type)) continue;
+    const free = { ...snapshot.free };
+    const victims = victimsOn(snapshot.machine);
     for (const v of victims) if (v.stopping) allocate(free, v.need, -1);
-    const already = fits(group.need, free);
-    if (already > 0) {
-      // Free room, or room that is being made: the next rounds will use it.
-      if (want > 0) counted.add(m.machine);
-      want -= Math.min(want, already);
+    const fittingTasks = countFittingTasks(group.need, free);
+    if (fittingTasks > 0) {
+      // Room that is free or being made: the next rounds use it.
+      if (tasksLeft > 0) chosenMachines.add(snapshot.machine);
+      tasksLeft -= Math.min(tasksLeft, fittingTasks);
       continue;
     }
     const candidates = victims.filter((v) => !v.stopping && mayPreempt(group, v, guaranteeAfterMs));
     candidates.sort((a, b) => a.priority - b.priority || a.lossS - b.lossS);
     const items: T[] = [];
     let loss = 0;
-    for (const v of candidates) {
-      if (fits(group.need, free) > 0) break;
-      allocate(free, v.need, -1);
-      items.push(v.item);
-      loss += v.lossS + 2;
+    for (const candidate of candidates) {
+      if (countFittingTasks(group.need, free) > 0) break;
+      allocate(free, candidate.need, -1);
+      items.push(candidate.item);
+      loss += candidate.lossS + 2;
     }
-    const count = fits(group.need, free);
-    if (count > 0 && items.length > 0) plans.push({ machine: m.machine, items, count, loss, zone: m.zone });
+    const count = countFittingTasks(group.need, free);
+    if (count > 0 && items.length > 0)
+      plans.push({ machine: snapshot.machine, items, count, loss, zone: snapshot.zone });
   }
-  if (want <= 0) return null;
+  if (tasksLeft <= 0) return null;
   plans.sort((a, b) => a.loss / a.count - b.loss / b.count);
   const chosen: T[] = [];
   const zone = group.oneZone ? plans[0]?.zone : undefined;
   for (const plan of plans) {
-    if (want <= 0) break;
+    if (tasksLeft <= 0) break;
     if (zone !== undefined && plan.zone !== zone) continue;
     chosen.push(...plan.items);
-    counted.add(plan.machine);
-    want -= plan.count;
+    chosenMachines.add(plan.machine);
+    tasksLeft -= plan.count;
   }
-  // A gang gains nothing from room for a part of it.
-  return group.gang && want > 0 ? [] : chosen;
+  // Room for only a part of a gang is useless.
+  return group.gang && tasksLeft > 0 ? [] : chosen;
 }
--- a/src/scheduling/zones.ts
+++ b/src/scheduling/zones.ts
@@ -1,83 +1,93 @@
+/** The choice of a zone for task groups that must stay together. */
 import { required } from '../base/required.ts';
 import type { TaskGroup } from './snapshot.ts';
-import { allowed, fitting, type Needs, type Target } from './targets.ts';
+import { isAllowed, countFittingOnTarget, type DistinctNeeds, type Target } from './targets.ts';
 
-/** Much more than any other part of a zone's score: all tasks of the group find room there at once. */
-const ALL_NOW = 100_000;
-/** Room within this time counts toward a zone. */
+/** Score of a zone in which all tasks of the group fit at once: much more than any other part of a score. */
+const ALL_FIT_NOW_SCORE = 100_000;
+/** Room that comes within this time counts toward a zone. */
 const SOON_S = 60;
-/** What a second of waiting for images weighs among zones in which all fit at once. */
-const PER_FETCH_S = 10;
-/** The zone of the last round is kept unless another is better by this part. */
-const KEPT = 1.3;
-const KEPT_FETCH_S = 2;
+/** Score that a second of image fetch costs, among zones in which all tasks fit at once. */
+const SCORE_PER_FETCH_S = 10;
+/** The zone of the last round is kept unless another one's score is this many times as high. */
+const PREVIOUS_ZONE_SCORE_RATIO = 1.3;
+/** Where all tasks fit at once, it is kept unless the image is there sooner in another zone by more than this. */
+const PREVIOUS_ZONE_FETCH_ALLOWANCE_S = 2;
 
-interface Zone {
-  /** Room now, by how long the image takes there. */
+/** Numbers of the group's tasks that fit into a zone. */
+interface ZoneCapacity {
+  /** Tasks that fit now, with the seconds that the image takes there. */
   now: { count: number; fetchS: number }[];
+  /** Tasks that fit into room that comes soon. */
   soon: number;
+  /** Tasks that fit on machines to be rented, each divided by 1 + the hourly price. */
   rent: number;
 }
 
-/** How long the slowest of the tasks waits for its image if each goes where it is quickest; -1: not all fit. */
-function slowestFetch(now: { count: number; fetchS: number }[], wanted: number): number {
+/** Seconds that the last task waits for its image if the tasks go where it is there soonest; -1: not all fit. */
+function findSlowestFetchS(now: { count: number; fetchS: number }[], wanted: number): number {
   now.sort((a, b) => a.fetchS - b.fetchS);
-  let left = wanted;
-  for (const n of now) {
-    left -= n.count;
-    if (left <= 0) return n.fetchS;
+  let tasksLeft = wanted;
+  for (const machines of now) {
+    tasksLeft -= machines.count;
+    if (tasksLeft <= 0) return machines.fetchS;
   }
   return -1;
 }
 
 /**
- * The one zone for a group that must stay together: where its tasks are; else where all of it fits at once, and
- * soonest has its image, since a gang waits for the slowest fetch; else where most of it soon will. The zone of
- * the last round is kept unless another is clearly better: what is kept free, rented or stopped for the group
- * there would otherwise come to nothing.
+ * Picks the zone for a group whose tasks must stay together, or -1 if there is none: the zone in which it has live
+ * tasks or the only one it allows; else a zone in which all its tasks fit at once, the one in which all have the image
+ * soonest, since a gang waits for the slowest fetch; else the zone with the most room, now or to come.
+ *
+ * The zone of the last round is kept unless another is clearly better: machines reserved or rented and tasks preempted
+ * there for the group would otherwise be of no use.
  */
 export function pickZone(
   group: TaskGroup,
-  need: number,
+  needIndex: number,
   wanted: number,
-  needs: Needs,
+  needs: DistinctNeeds,
   targets: readonly Target[],
 ): number {
   for (const [zone, count] of group.liveByZone) if (count > 0) return zone;
   if (group.zone >= 0) return group.zone;
-  const zones = new Map<number, Zone>();
-  for (const t of targets) {
-    if (!allowed(group, t.type, t.zone, t.spot)) continue;
-    if (t.holder >= 0 && t.holder !== group.job) continue;
-    const count = fitting(t, needs, need);
+  const zones = new Map<number, ZoneCapacity>();
+  for (const target of targets) {
+    if (!isAllowed(group, target.type, target.zone, target.spot)) continue;
+    if (target.reservedFor >= 0 && target.reservedFor !== group.job) continue;
+    const count = countFittingOnTarget(target, needs, needIndex);
     if (count === 0) continue;
-    let zone = zones.get(t.zone);
+    let zone = zones.get(target.zone);
     if (!zone) {
       zone = { now: [], soon: 0, rent: 0 };
-      zones.set(t.zone, zone);
+      zones.set(target.zone, zone);
     }
-    if (t.kind === 'now') {
-      const there = t.views.filter((v) => !group.excludedMachines.has(v.machine)).length * count;
-      const view = required(t.views[0], 'machine of the target');
-      zone.now.push({ count: there, fetchS: view.fetchS(group.image, group.imageGb) });
-    } else if (t.option) zone.rent += count / (1 + t.price);
-    else if (t.inS <= SOON_S) zone.soon += count;
+    if (target.kind === 'now') {
+      const totalCount =
+        target.snapshots.filter((v) => !group.excludedMachines.has(v.machine)).length * count;
+      const snapshot = required(target.snapshots[0], 'machine of the target');
+      zone.now.push({ count: totalCount, fetchS: snapshot.fetchS(group.image, group.imageGb) });
+    } else if (target.option) zone.rent += count / (1 + target.price);
+    else if (target.inS <= SOON_S) zone.soon += count;
   }
   let best = -1;
   let bestScore = 0;
-  for (const [at, zone] of zones) {
-    const kept = at === group.zoneHint;
-    const fetchS = slowestFetch(zone.now, wanted);
+  for (const [zoneIndex, zone] of zones) {
+    const isPrevious = zoneIndex === group.zoneHint;
+    const fetchS = findSlowestFetchS(zone.now, wanted);
     let score: number;
     if (fetchS >= 0) {
-      score = ALL_NOW - Math.max(0, fetchS - (kept ? KEPT_FETCH_S : 0)) * PER_FETCH_S;
+      score =
+        ALL_FIT_NOW_SCORE -
+        Math.max(0, fetchS - (isPrevious ? PREVIOUS_ZONE_FETCH_ALLOWANCE_S : 0)) * SCORE_PER_FETCH_S;
     } else {
-      const here = zone.now.reduce((sum, n) => sum + n.count, 0);
-      score = here * 2 + Math.min(wanted, zone.soon) + Math.min(wanted, zone.rent) * 0.5;
-      if (kept) score = score * KEPT + 1;
+      const fittingNow = zone.now.reduce((sum, n) => sum + n.count, 0);
+      score = fittingNow * 2 + Math.min(wanted, zone.soon) + Math.min(wanted, zone.rent) * 0.5;
+      if (isPrevious) score = score * PREVIOUS_ZONE_SCORE_RATIO + 1;
     }
     if (score > bestScore) {
-      best = at;
+      best = zoneIndex;
       bestScore = score;
     }
   }
