--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -5,7 +5,7 @@
 import { decodeStoredJob } from '../wire/user.ts';
 import { decodeHeartbeat, encodeCommands, encodeHeartbeatResponse } from '../wire/worker.ts';
 import { Machine } from '../workers/machine.ts';
-import { applyHeartbeat, commandsFor, isNewer } from '../workers/reconcile.ts';
+import { applyHeartbeat, buildCommands, isNewerHeartbeat } from '../workers/reconcile.ts';
 import { SYNTHETIC_MACHINE, syntheticHeartbeat, syntheticJobRecord } from './practice-messages.ts';
 
 const MACHINE_COUNT = 40;
@@ -110,7 +110,7 @@
   private step = 0;
   private readonly machine = new Machine({
     index: 0,
-    id: { name: SYNTHETIC_MACHINE, address: 'x:1', machineType: 'x', zone: 'x', spot: false },
+    identity: { name: SYNTHETIC_MACHINE, address: 'x:1', machineType: 'x', zone: 'x', spot: false },
     type: 0,
     zone: 0,
     now: 0,
@@ -144,9 +144,9 @@
 
   private processHeartbeat(sequence: number): void {
     const decoded = decodeHeartbeat(syntheticHeartbeat(sequence));
-    if (!decoded.ok || !isNewer(this.machine, decoded.value)) return;
+    if (!decoded.ok || !isNewerHeartbeat(this.machine, decoded.value)) return;
     applyHeartbeat(this.machine, decoded.value, false, { now: sequence, jobOf: () => this.job });
-    const commands = commandsFor(this.machine, true);
+    const commands = buildCommands(this.machine, true);
     encodeHeartbeatResponse(1, commands);
     encodeCommands(1, 1, commands);
   }
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,6 +1,6 @@
 /** The leader's state of one job: which of its tasks are pending, assigned, done and durable. */
 import type { JobRequest, JobStatus } from '../wire/user.ts';
-import { newJobFailures } from '../workers/failure-attribution.ts';
+import { createJobFailures } from '../workers/failure-attribution.ts';
 import { chunkOf, chunkRange, hasBit, newBitmap, setBit } from './completion-chunks.ts';
 
 /** State of a task that waits to be assigned to a machine. */
@@ -56,7 +56,7 @@
   readonly onTerminal: (() => void)[] = [];
   /** Set once the terminal record is durable. */
   terminalState: JobOutcome | null = null;
-  readonly failures = newJobFailures();
+  readonly failures = createJobFailures();
   /** No task is started before this time, in ms on the steady clock. */
   notBefore = 0;
   /**
@@ -194,7 +194,7 @@
       if (!hasBit(bits, task - first) || state === DURABLE) continue;
       if (state === PENDING) this.pendingCount -= 1;
       if (state < DONE) this.doneCount += 1;
-      this.failures.succeededBefore = true;
+      this.failures.hasDurableSuccess = true;
       this.taskStates[task] = DURABLE;
       this.durableCount += 1;
     }
--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -5,7 +5,12 @@
 import { computeFetchS } from '../scheduling/snapshot.ts';
 import { Attempt, attemptKey } from '../workers/attempt.ts';
 import type { Machine } from '../workers/machine.ts';
-import { isFailing, recordFailure, recordSuccess, retryDelayMs } from '../workers/failure-attribution.ts';
+import {
+  isFailing,
+  recordFailure,
+  recordSuccess,
+  computeRetryDelayMs,
+} from '../workers/failure-attribution.ts';
 import type { WorkerEvent } from '../workers/reconcile.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
@@ -113,7 +118,7 @@
     }
     if (this.deps.cluster.liveAttempts.get(job)?.has(attempt)) {
       // Our own start has arrived, by a direct command or a heartbeat response.
-      attempt.machine.connectivity.acknowledged(this.now());
+      attempt.machine.connectivity.noteAcknowledgement(this.now());
       return;
     }
     // A task that an earlier leader started.
@@ -146,7 +151,7 @@
         job: attempt.jobId,
         task: attempt.task,
         machine: attempt.machine.name,
-        type: attempt.machine.id.machineType,
+        type: attempt.machine.identity.machineType,
         afterMs: Math.round(this.now() - attempt.assignedAt),
       },
       'task running',
@@ -164,7 +169,7 @@
     }
     if (attempt.runningSince !== null) job.runningCount = Math.max(0, job.runningCount - 1);
     this.logEnd(attempt, checkpointed);
-    if (machine.liveCount === 0) machine.noteIdle(this.now());
+    if (machine.liveAttemptCount === 0) machine.noteIdle(this.now());
     this.abandonFetch(machine, job);
     if (attempt.exitReason === 'done') this.onDone(job, attempt);
     else if (job.taskStates[attempt.task] === ASSIGNED && otherHolders === 0) this.requeue(job, attempt);
@@ -207,7 +212,7 @@
    */
   private abandonFetch(machine: Machine, job: Job): void {
     const { image } = job.spec;
-    const readyAt = machine.images.get(image) ?? -Infinity;
+    const readyAt = machine.images.getReadyAt(image) ?? -Infinity;
     if (readyAt <= this.now()) return;
     for (const other of machine.attempts.values()) {
       if (!other.released && other.job?.spec.image === image) return;
@@ -230,7 +235,7 @@
       assignedAt,
       now: this.now(),
     });
-    this.delay(job, retryDelayMs(job.failures));
+    this.delay(job, computeRetryDelayMs(job.failures));
     const failing = isFailing(job.failures);
     // A job that fails on every machine may be retried on any of them.
     if (failing) job.excludedMachines.clear();
--- a/src/leader/command-dispatcher.ts
+++ b/src/leader/command-dispatcher.ts
@@ -4,7 +4,7 @@
 import type { Command, Heartbeat } from '../wire/worker.ts';
 import { attemptKey, type Attempt } from '../workers/attempt.ts';
 import type { Machine } from '../workers/machine.ts';
-import { commandsFor, startIsDurable } from '../workers/reconcile.ts';
+import { buildCommands, isStartDurable } from '../workers/reconcile.ts';
 import type { CommandResult, InspectResult } from '../workers/worker-client.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
@@ -55,7 +55,7 @@
       if (attempt.released) continue;
       if (attempt.stopGraceS !== null) {
         if (attempt.observed) return true;
-      } else if (!attempt.observed && startIsDurable(attempt) && this.canStartOn(machine)) {
+      } else if (!attempt.observed && isStartDurable(attempt) && this.canStartOn(machine)) {
         return true;
       }
     }
@@ -75,7 +75,7 @@
       if (machine.incarnation === 0 || machine.leaseExpired) continue;
       // Starts can go with the response to the next heartbeat, which costs less.
       if (busy && !hasDueStop(machine)) continue;
-      this.dispatch(machine, commandsFor(machine, this.canStartOn(machine)));
+      this.dispatch(machine, buildCommands(machine, this.canStartOn(machine)));
     }
   }
 
@@ -83,7 +83,7 @@
   dispatch(machine: Machine, commands: Command[]): void {
     machine.beginCommand();
     const started = attemptsStartedBy(machine, commands);
-    for (const attempt of started) attempt.noteStartSent();
+    for (const attempt of started) attempt.noteDirectStartSent();
     const { host } = this.deps;
     const settle = (result: CommandResult): void => {
       host.enqueue(() => {
@@ -98,7 +98,7 @@
 
   private onCommandResult(machine: Machine, started: readonly Attempt[], result: CommandResult): void {
     const now = this.deps.host.clock.now();
-    for (const attempt of started) attempt.noteStartSettled(result.kind === 'unanswered');
+    for (const attempt of started) attempt.noteDirectStartCompleted(result.kind === 'unanswered');
     if (result.kind !== 'answered') {
       machine.endCommand(now + UNANSWERED_PAUSE_MS);
       machine.connectivity.noteMissedAcknowledgement();
@@ -106,7 +106,7 @@
       return;
     }
     machine.endCommand(now + (result.executed ? EXECUTED_PAUSE_MS : REFUSED_PAUSE_MS));
-    machine.connectivity.acknowledged(now);
+    machine.connectivity.noteAcknowledgement(now);
     this.unanswered.clear();
     this.onResponse(result.heartbeat);
   }
@@ -114,7 +114,7 @@
   /** Asks a worker for its state: its heartbeats may be lost on the way while it lives, or our responses to it. */
   probe(machine: Machine): void {
     if (this.probing.has(machine) || this.probing.size >= this.maxConcurrentProbes()) return;
-    if (machine.id.address === '') return;
+    if (machine.identity.address === '') return;
     this.probing.add(machine);
     const { host } = this.deps;
     const settle = (result: InspectResult): void => {
@@ -148,7 +148,7 @@
       this.unanswered.add(machine);
       return;
     }
-    machine.connectivity.acknowledged(this.deps.host.clock.now());
+    machine.connectivity.noteAcknowledgement(this.deps.host.clock.now());
     this.unanswered.clear();
     // A higher token shows that another controller leads by now, so the state of this worker is not applied. The lease,
     // heartbeats and responses to commands end this leadership.
--- a/src/leader/heartbeat-intake.ts
+++ b/src/leader/heartbeat-intake.ts
@@ -2,7 +2,12 @@
 import type { MachineProvisioner } from '../fleet/machine-provisioner.ts';
 import type { Command, Heartbeat } from '../wire/worker.ts';
 import type { Machine } from '../workers/machine.ts';
-import { applyHeartbeat, commandsFor, isNewer, noteResponse } from '../workers/reconcile.ts';
+import {
+  applyHeartbeat,
+  buildCommands,
+  isNewerHeartbeat,
+  noteStartsInResponse,
+} from '../workers/reconcile.ts';
 import type { Attempts } from './attempts.ts';
 import type { Cluster } from './cluster.ts';
 import type { CommandDispatcher } from './command-dispatcher.ts';
@@ -38,8 +43,8 @@
       return [];
     }
     if (machine.awaitingLeaseExpiry) return null;
-    const commands = commandsFor(machine, dispatcher.canStartOn(machine));
-    noteResponse(machine, commands);
+    const commands = buildCommands(machine, dispatcher.canStartOn(machine));
+    noteStartsInResponse(machine, commands);
     return commands;
   }
 
@@ -63,7 +68,7 @@
     const now = this.deps.host.clock.now();
     const machine = cluster.machines.get(heartbeat.machine) ?? membership.admit(heartbeat);
     if (!machine) return null;
-    if (!isNewer(machine, heartbeat) || this.isStale(machine, heartbeat)) {
+    if (!isNewerHeartbeat(machine, heartbeat) || this.isStale(machine, heartbeat)) {
       // Sent before the newest known message, so the lease that its answer renews counts from before that.
       if (!direct) machine.noteLeaseRenewal(machine.connectivity.lastMessageAt);
       return machine;
@@ -76,7 +81,7 @@
     const { cluster, provisioner, attempts, dispatcher, membership } = this.parts;
     const { lease_s, report_s } = this.deps.settings.settings.workers;
     provisioner.onMachineUp(heartbeat.machine);
-    machine.noteContact(heartbeat, {
+    machine.assessConnectivity(heartbeat, {
       direct,
       term: this.deps.term,
       now,
--- a/src/leader/machine-membership.ts
+++ b/src/leader/machine-membership.ts
@@ -59,7 +59,7 @@
     const type = this.deps.catalog.typeIndex(identity.machineType);
     const zone = this.deps.zones.index(identity.zone);
     return this.parts.cluster.addMachine(
-      (index) => new Machine({ index, id: identity, type, zone, now: this.now(), leaseRenewedBefore }),
+      (index) => new Machine({ index, identity, type, zone, now: this.now(), leaseRenewedBefore }),
     );
   }
 
@@ -92,7 +92,7 @@
     if (!machine.needsRegistration) return;
     const { cluster, registry } = this.parts;
     machine.markRegistrationQueued();
-    registry.register(machine.id, () => {
+    registry.register(machine.identity, () => {
       machine.markRegistered();
       cluster.dirty = true;
       cluster.commandsDue.add(machine);
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -8,20 +8,20 @@
   type CancellationTimes,
 } from '../workers/attempt-deadlines.ts';
 import type { Attempt } from '../workers/attempt.ts';
-import { machineHealth } from '../workers/failure-attribution.ts';
+import { assessMachineHealth } from '../workers/failure-attribution.ts';
 import {
   hasLeaseExpired,
-  livenessFailure,
+  detectLivenessFailure,
   needsProbe,
-  silenceMs,
+  computeSilenceMs,
   type LivenessContext,
 } from '../workers/liveness.ts';
 import type { Machine } from '../workers/machine.ts';
 import {
-  isNearlyAllLost,
+  hasLostNearlyAll,
   MIN_MISSING_MACHINES,
   surveyMachines,
-  zoneTransition,
+  decideZoneTransition,
   type Survey,
 } from '../workers/reachability.ts';
 import { releaseAll } from '../workers/reconcile.ts';
@@ -105,7 +105,7 @@
     const survey = surveyMachines(cluster.machines.values(), liveness);
     const overloaded = host.lagMs() > BUSY_MS;
     this.updateZones(survey, overloaded);
-    const isolated = !overloaded && (isNearlyAllLost(survey) || this.reachesNoWorker());
+    const isolated = !overloaded && (hasLostNearlyAll(survey) || this.reachesNoWorker());
     if (isolated) host.lostAllWorkers();
     const context = { ...liveness, cancellation: this.cancellation, overloaded, isolated };
     for (const machine of [...cluster.machines.values()]) {
@@ -154,7 +154,7 @@
     for (const [zone, zoneSurvey] of survey.zones) {
       const { total } = zoneSurvey;
       const missing = overloaded ? 0 : zoneSurvey.missing;
-      switch (zoneTransition({ ...zoneSurvey, missing }, cluster.unreachableZones.has(zone))) {
+      switch (decideZoneTransition({ ...zoneSurvey, missing }, cluster.unreachableZones.has(zone))) {
         case 'becameUnreachable':
           cluster.unreachableZones.add(zone);
           host.log.info({ zone: zones.name(zone), missing, total }, 'zone unreachable');
@@ -173,7 +173,10 @@
   private checkMachine(machine: Machine, context: CheckContext): void {
     const leaseExpired = hasLeaseExpired(machine, context.cancellation.leaseMs, context.now);
     if (leaseExpired && !machine.leaseExpired) this.onLeaseExpired(machine);
-    if (!machine.terminating && machineHealth(machine.failures, machine.index, context.now) === 'faulty')
+    if (
+      !machine.terminating &&
+      assessMachineHealth(machine.failures, machine.index, context.now) === 'faulty'
+    )
       this.terminate(machine, 'faulty', { jobs: machine.failures.jobs.size });
     if (needsProbe(machine, context)) this.deps.dispatcher.probe(machine);
     else machine.connectivity.clearFailedProbes();
@@ -192,13 +195,13 @@
   private terminateUnresponsive(machine: Machine, leaseExpired: boolean, context: CheckContext): void {
     // Without a valid lease, another leader may receive the heartbeats, so silence here proves nothing.
     if (!this.deps.host.hasValidLease()) return;
-    const reason = livenessFailure(machine, context);
+    const reason = detectLivenessFailure(machine, context);
     if (reason === null || machine.terminating) return;
     // Many silent machines of one zone point to a partition, which may end; single ones have failed, or receive
     // nothing.
     const unreachable = this.deps.cluster.unreachableZones.has(machine.zone);
     if ((unreachable || context.overloaded || context.isolated) && !leaseExpired) return;
-    this.terminate(machine, reason, { silenceMs: Math.round(silenceMs(machine, context)) });
+    this.terminate(machine, reason, { silenceMs: Math.round(computeSilenceMs(machine, context)) });
   }
 
   private terminate(machine: Machine, reason: TerminationReason, details: object): void {
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -8,7 +8,7 @@
   type MachineSnapshot,
   type Resources,
 } from '../scheduling/snapshot.ts';
-import { isFailing, machineHealth } from '../workers/failure-attribution.ts';
+import { isFailing, assessMachineHealth } from '../workers/failure-attribution.ts';
 import type { Machine } from '../workers/machine.ts';
 import { OVERRUN_REMAINING_RATIO, type SnapshotDeps, type SnapshotSources } from './snapshot-sources.ts';
 
@@ -87,7 +87,7 @@
     const now = this.deps.host.clock.now();
     for (const machine of this.sources.cluster.machines.values()) {
       const type = this.deps.catalog.types[machine.type];
-      if (!type || machine.terminating || machine.reclaimedAt !== null) continue;
+      if (!type || machine.terminating || machine.reclaimAt !== null) continue;
       if (machine.incarnation === 0 || machine.leaseExpired) continue;
       const heartbeatIntervalMs = this.deps.settings.settings.workers.report_s * 1000;
       if (now - machine.connectivity.lastMessageAt > heartbeatIntervalMs * MAX_MESSAGE_AGE_INTERVALS)
@@ -100,23 +100,23 @@
       // acknowledgements, it may not receive commands. Tasks that are placed on either may wait in vain.
       if (machine.fencingToken !== this.deps.term || machine.connectivity.missedAcknowledgements > 0)
         continue;
-      if (machineHealth(machine.failures, machine.index, now) !== 'healthy') continue;
+      if (assessMachineHealth(machine.failures, machine.index, now) !== 'healthy') continue;
       const { fetchingUntil } = machine.images;
       const fetchingS = fetchingUntil > now ? (fetchingUntil - now) / 1000 : 0;
       snapshots.push({
         machine: machine.index,
         type: machine.type,
         zone: machine.zone,
-        spot: machine.id.spot,
+        spot: machine.identity.spot,
         free: this.computeFreeResources(machine),
         perAccelerator: computeSharePerAccelerator(type),
         releases: this.estimateReleases(machine, now),
-        load: machine.liveCount,
+        load: machine.liveAttemptCount,
         // A machine that is up but not yet in the machine registry takes tasks after a moment: none is rented in its
         // place.
         bootsInS: machine.registered ? 0 : 1,
         fetchS: (image, gb) => {
-          const readyAt = machine.images.get(image);
+          const readyAt = machine.images.getReadyAt(image);
           // The fetch begins after those under way.
           if (readyAt === undefined) return computeFetchS(gb, type.fetchGbPerS) + fetchingS;
           return Math.max(0, readyAt - now) / 1000;
@@ -124,7 +124,7 @@
         warmImageCount: this.countLatencySensitiveImages(machine),
         surplus: false,
         penalty: this.computeFailurePenalty(machine),
-        price: machine.id.spot ? type.spotPrice : type.price,
+        price: machine.identity.spot ? type.spotPrice : type.price,
       });
     }
     return snapshots;
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -13,7 +13,7 @@
   type RoundResult,
   type QuotaHeadroom,
 } from '../scheduling/snapshot.ts';
-import { machineHealth } from '../workers/failure-attribution.ts';
+import { assessMachineHealth } from '../workers/failure-attribution.ts';
 import type { Attempt } from '../workers/attempt.ts';
 import type { Machine } from '../workers/machine.ts';
 import type { Attempts } from './attempts.ts';
@@ -201,14 +201,14 @@
     for (const machine of this.cluster.machines.values()) {
       if (
         machine.terminating ||
-        machine.liveCount > 0 ||
+        machine.liveAttemptCount > 0 ||
         !machine.reconciled ||
         heldMachines.has(machine.index)
       )
         continue;
       // A quarantined machine is idle only because nothing is placed on it, and suspicion alone is no reason to return
       // it.
-      if (machineHealth(machine.failures, machine.index, now) === 'quarantined') continue;
+      if (assessMachineHealth(machine.failures, machine.index, now) === 'quarantined') continue;
       idleMachines.push({
         name: machine.name,
         type: machine.type,
@@ -242,7 +242,8 @@
       this.bestEffortOnlySince.set(machine, since);
       if (now - since < this.deps.options.fleet.idle_s * 1000 || isWorthKeeping(snapshot.price, idleTasks))
         continue;
-      for (const attempt of machine.live()) this.stopGracefully(attempt, 'consolidation for scale-in');
+      for (const attempt of machine.liveAttempts())
+        this.stopGracefully(attempt, 'consolidation for scale-in');
     }
   }
 
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -162,7 +162,7 @@
     const machine = this.cluster.machinesByIndex[index];
     if (!machine) return [];
     const now = this.deps.host.clock.now();
-    return machine.live().map((attempt) => ({
+    return machine.liveAttempts().map((attempt) => ({
       item: attempt,
       priority: attempt.job?.spec.priority ?? 99,
       team: attempt.job?.team ?? -1,
--- a/src/workers/attempt-deadlines.ts
+++ b/src/workers/attempt-deadlines.ts
@@ -5,7 +5,7 @@
 /** From the end of lease renewals: a heartbeat that is being answered and the monitor's own rhythm included. */
 const LEASE_EXPIRY_MARGIN_MS = 5000;
 /** Share of the time to cancel within which a start in doubt must be resolved. */
-const IN_DOUBT_SHARE = 1 / 4;
+const IN_DOUBT_TIMEOUT_RATIO = 1 / 4;
 
 /** The settings that bound a cancellation, in milliseconds. */
 export interface CancellationTimes {
@@ -24,9 +24,9 @@
   now: number,
   overloaded: boolean,
 ): boolean {
-  if (attempt.stopGraceS === null || attempt.observed || !attempt.inDoubt) return false;
+  if (attempt.stopGraceS === null || attempt.observed || !attempt.startInDoubt) return false;
   if (overloaded && !isCancelled(attempt)) return false;
-  return now - attempt.assignedAt > cancelMs * IN_DOUBT_SHARE;
+  return now - attempt.assignedAt > cancelMs * IN_DOUBT_TIMEOUT_RATIO;
 }
 
 /**
@@ -34,19 +34,19 @@
  * hasn't taken the machine back in time, only the expiry of its lease keeps the task within the time to cancel.
  */
 export function mustAwaitLeaseExpiry(attempt: Attempt, times: CancellationTimes, now: number): boolean {
-  if (!isCancelled(attempt) || attempt.observed || !attempt.inDoubt || attempt.awaitingLeaseExpiry)
+  if (!isCancelled(attempt) || attempt.observed || !attempt.startInDoubt || attempt.awaitingLeaseExpiry)
     return false;
-  const mostMs = times.cancelMs - times.leaseMs * (1 + DRIFT) - LEASE_EXPIRY_MARGIN_MS;
-  return attempt.trackUnwanted(now) >= mostMs;
+  const maxUnwantedMs = times.cancelMs - times.leaseMs * (1 + DRIFT) - LEASE_EXPIRY_MARGIN_MS;
+  return attempt.trackUnwantedStart(now) >= maxUnwantedMs;
 }
 
 /** The cloud reclaims the machine so soon that the task must save its checkpoint now, with `marginS` to spare. */
 export function mustCheckpointNow(attempt: Attempt, marginS: number, now: number): boolean {
-  const { reclaimedAt } = attempt.machine;
-  if (reclaimedAt === null || attempt.stopGraceS !== null || !attempt.job) return false;
+  const { reclaimAt } = attempt.machine;
+  if (reclaimAt === null || attempt.stopGraceS !== null || !attempt.job) return false;
   const { checkpointIntervalS, checkpointDurationS } = attempt.job.spec;
   if (checkpointIntervalS <= 0) return false;
-  return reclaimedAt - now < (checkpointDurationS + marginS) * 1000;
+  return reclaimAt - now < (checkpointDurationS + marginS) * 1000;
 }
 
 function isCancelled(attempt: Attempt): boolean {
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -7,7 +7,7 @@
 export type AttemptPhase = 'launching' | TaskPhase;
 
 /** Where an attempt belongs, and when it was decided. */
-export interface AttemptOrigin {
+export interface AttemptInit {
   readonly machine: Machine;
   /** null: a task of a job that isn't open, left over from an earlier leader. */
   readonly job: Job | null;
@@ -45,20 +45,20 @@
 
   private decidedStopGraceS: number | null = null;
 
-  private directStartsInFlight = 0;
+  private directStartsInFlightCount = 0;
   private startMayBeExecuted = false;
   private responseMayCarryStart = false;
   /** When the monitor first found that it may still start though its job is cancelled, or null. */
-  private unwantedSinceMs: number | null = null;
+  private unwantedStartSinceMs: number | null = null;
   private leaseExpiryAwaited = false;
 
-  constructor(origin: AttemptOrigin) {
-    this.machine = origin.machine;
-    this.job = origin.job;
-    this.jobId = origin.jobId;
-    this.task = origin.task;
-    this.number = origin.number;
-    this.assignedAt = origin.assignedAt;
+  constructor(init: AttemptInit) {
+    this.machine = init.machine;
+    this.job = init.job;
+    this.jobId = init.jobId;
+    this.task = init.task;
+    this.number = init.number;
+    this.assignedAt = init.assignedAt;
   }
 
   // ---- life cycle ----
@@ -119,12 +119,12 @@
   // ---- delivery of the start ----
 
   /** Direct commands with its start that are on their way. */
-  get inFlight(): number {
-    return this.directStartsInFlight;
+  get directStartsInFlight(): number {
+    return this.directStartsInFlightCount;
   }
 
   /** A direct start had no answer: it may be executed as long as the worker's incarnation lasts. */
-  get inDoubt(): boolean {
+  get startInDoubt(): boolean {
     return this.startMayBeExecuted;
   }
 
@@ -135,17 +135,17 @@
 
   /** No direct start can be executed any more that isn't known from a heartbeat. */
   get directStartsSettled(): boolean {
-    return !this.startMayBeExecuted && this.directStartsInFlight === 0;
+    return !this.startMayBeExecuted && this.directStartsInFlightCount === 0;
   }
 
   /** Its start leaves on a direct connection. */
-  noteStartSent(): void {
-    this.directStartsInFlight += 1;
+  noteDirectStartSent(): void {
+    this.directStartsInFlightCount += 1;
   }
 
   /** A direct start is settled; one without an answer may be executed yet. */
-  noteStartSettled(unanswered: boolean): void {
-    this.directStartsInFlight -= 1;
+  noteDirectStartCompleted(unanswered: boolean): void {
+    this.directStartsInFlightCount -= 1;
     if (unanswered) this.startMayBeExecuted = true;
   }
 
@@ -167,9 +167,9 @@
   }
 
   /** Tracks that it may still start though it must not; returns for how long that has been known, in milliseconds. */
-  trackUnwanted(now: number): number {
-    this.unwantedSinceMs ??= now;
-    return now - this.unwantedSinceMs;
+  trackUnwantedStart(now: number): number {
+    this.unwantedStartSinceMs ??= now;
+    return now - this.unwantedStartSinceMs;
   }
 
   /** From now on its machine's heartbeats stay unanswered until its lease has expired. */
--- a/src/workers/connectivity.ts
+++ b/src/workers/connectivity.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat } from '../wire/worker.ts';
 
 /** What it takes to judge whether a heartbeat shows that messages pass in both directions. */
-export interface ContactContext {
+export interface ConnectivityContext {
   /** It came as the answer to a direct request. */
   direct: boolean;
   /** The leader's own fencing token. */
@@ -14,24 +14,24 @@
 }
 
 /** What was known of a worker before a heartbeat of it arrived. */
-interface KnownWorker {
+interface PreviousWorkerState {
   readonly incarnation: number;
   readonly fencingToken: number;
   readonly leaseRenewedBefore: number;
 }
 
 /** Heartbeat intervals for which a worker may go on with an older fencing token though it is answered. */
-const MAX_INTERVALS_BEHIND = 2;
+const MAX_TOKEN_BEHIND_INTERVALS = 2;
 
 /** When messages of a worker arrived, and the signs that ours reach it. Times are in milliseconds on the steady clock. */
 export class Connectivity {
   private messageAt = -Infinity;
   private heartbeatAt = -Infinity;
   private roundTripAt = -Infinity;
-  private failedProbes = 0;
-  private missed = 0;
+  private failedProbeCount = 0;
+  private missedAcknowledgementCount = 0;
   /** When it first reported a token older than ours, though it had been answered. */
-  private behindSince: number | null = null;
+  private tokenBehindSince: number | null = null;
 
   /** When a heartbeat, or the answer to a direct request, last arrived; -Infinity before. */
   get lastMessageAt(): number {
@@ -49,8 +49,8 @@
   }
 
   /** Probes in a row without an answer. */
-  get probesFailed(): number {
-    return this.failedProbes;
+  get failedProbes(): number {
+    return this.failedProbeCount;
   }
 
   /**
@@ -58,7 +58,7 @@
    * heartbeats were answered.
    */
   get missedAcknowledgements(): number {
-    return this.missed;
+    return this.missedAcknowledgementCount;
   }
 
   /** A newer message arrived; `direct`: as the answer to a direct request. */
@@ -68,25 +68,25 @@
   }
 
   /** It answered a direct request, so messages pass in both directions. */
-  acknowledged(now: number): void {
-    this.missed = 0;
-    this.failedProbes = 0;
+  noteAcknowledgement(now: number): void {
+    this.missedAcknowledgementCount = 0;
+    this.failedProbeCount = 0;
     this.roundTripAt = now;
   }
 
   /** A direct command had no answer. */
   noteMissedAcknowledgement(): void {
-    this.missed += 1;
+    this.missedAcknowledgementCount += 1;
   }
 
   /** A probe had no answer. */
   noteFailedProbe(): void {
-    this.failedProbes += 1;
+    this.failedProbeCount += 1;
   }
 
   /** It is in contact again without having been asked. */
   clearFailedProbes(): void {
-    this.failedProbes = 0;
+    this.failedProbeCount = 0;
   }
 
   /**
@@ -94,24 +94,25 @@
    * only while nothing says that responses and commands don't reach it; a machine that reported and received nothing
    * once kept its tasks waiting for starts that never came.
    */
-  noteContact(
-    known: KnownWorker,
+  assessHeartbeat(
+    previous: PreviousWorkerState,
     heartbeat: Pick<Heartbeat, 'fencingToken' | 'incarnation'>,
-    context: ContactContext,
+    context: ConnectivityContext,
   ): void {
     const { direct, term, now, leaseMs, heartbeatIntervalMs } = context;
     if (direct) return;
     // Incarnations end when responses stay away for a lease. Ours were sent: they didn't arrive, or it hung that long.
-    const answered = now - known.leaseRenewedBefore < leaseMs;
-    const restarted = known.incarnation > 0 && heartbeat.incarnation > known.incarnation;
-    if (restarted && answered) this.missed += 1;
+    const answered = now - previous.leaseRenewedBefore < leaseMs;
+    const restarted = previous.incarnation > 0 && heartbeat.incarnation > previous.incarnation;
+    if (restarted && answered) this.missedAcknowledgementCount += 1;
     if (heartbeat.fencingToken === term) {
       // The first heartbeat with our token shows that a response arrived.
-      if (known.fencingToken !== term) this.missed = 0;
-      if (this.missed === 0) this.roundTripAt = now;
+      if (previous.fencingToken !== term) this.missedAcknowledgementCount = 0;
+      if (this.missedAcknowledgementCount === 0) this.roundTripAt = now;
       return;
     }
-    this.behindSince ??= now;
-    if (now - this.behindSince < MAX_INTERVALS_BEHIND * heartbeatIntervalMs) this.roundTripAt = now;
+    this.tokenBehindSince ??= now;
+    if (now - this.tokenBehindSince < MAX_TOKEN_BEHIND_INTERVALS * heartbeatIntervalMs)
+      this.roundTripAt = now;
   }
 }
--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -17,17 +17,17 @@
  */
 
 /** Different machines on which a job without any success fails before the fault is taken to be its own. */
-export const FAILING_MACHINES = 3;
+export const MIN_FAILING_MACHINES = 3;
 /** Jobs whose failures prove a machine to be faulty. */
-const FAULTY_JOBS = 2;
+const MIN_FAULTY_JOBS = 2;
 /** Jobs whose failures, proven or not, quarantine a machine. */
-const QUARANTINE_JOBS = 3;
+const MIN_QUARANTINE_JOBS = 3;
 /** How long after its last failure a quarantined machine takes no new tasks, in milliseconds. */
 const QUARANTINE_MS = 60_000;
 /** Delay of the second retry, in milliseconds; the first one is made at once, on another machine. */
-const RETRY_BASE_MS = 2000;
+const RETRY_BASE_DELAY_MS = 2000;
 /** Greatest delay between two attempts, in milliseconds. */
-export const RETRY_MAX_MS = 60_000;
+export const MAX_RETRY_DELAY_MS = 60_000;
 /** Doublings of the delay that are ever counted; the greatest delay is reached long before. */
 const MAX_RETRY_DOUBLINGS = 16;
 
@@ -36,7 +36,7 @@
   /** Machines on which a task of it has ended with `error`. */
   readonly failedOn: Set<number>;
   /** A task of it was done under an earlier leader, on a machine that isn't known. */
-  succeededBefore: boolean;
+  hasDurableSuccess: boolean;
   /** The first machine on which a task of it was done, or null. */
   succeededOn: number | null;
   /** Tasks were done on more than one machine. */
@@ -52,7 +52,7 @@
   /** Jobs that have failed on it. */
   readonly jobs: Set<JobFailures>;
   /** Time of the last failure, in milliseconds on the steady clock. */
-  lastAt: number;
+  lastFailureAt: number;
 }
 
 /** One attempt that ended with `error`. Times are in milliseconds on the steady clock. */
@@ -70,10 +70,10 @@
 export type MachineHealth = 'healthy' | 'quarantined' | 'faulty';
 
 /** The history of a job that has neither failed nor succeeded. */
-export function newJobFailures(): JobFailures {
+export function createJobFailures(): JobFailures {
   return {
     failedOn: new Set(),
-    succeededBefore: false,
+    hasDurableSuccess: false,
     succeededOn: null,
     succeededOnSeveral: false,
     failureCount: 0,
@@ -82,8 +82,8 @@
 }
 
 /** The history of a machine on which nothing has failed. */
-export function newMachineFailures(): MachineFailures {
-  return { jobs: new Set(), lastAt: -Infinity };
+export function createMachineFailures(): MachineFailures {
+  return { jobs: new Set(), lastFailureAt: -Infinity };
 }
 
 /** Records that an attempt ended with `error`. */
@@ -94,7 +94,7 @@
     job.lastFailureAt = now;
   }
   machine.jobs.add(job);
-  machine.lastAt = now;
+  machine.lastFailureAt = now;
 }
 
 /** Records that a task of the job was done on this machine. */
@@ -106,30 +106,35 @@
 
 /** The job fails wherever it is tried. */
 export function isFailing(job: JobFailures): boolean {
-  const succeeded = job.succeededBefore || job.succeededOn !== null;
-  return !succeeded && job.failedOn.size >= FAILING_MACHINES;
+  const succeeded = job.hasDurableSuccess || job.succeededOn !== null;
+  return !succeeded && job.failedOn.size >= MIN_FAILING_MACHINES;
 }
 
 /** How long the job's next attempt waits after its last failure, in milliseconds. */
-export function retryDelayMs(job: JobFailures): number {
+export function computeRetryDelayMs(job: JobFailures): number {
   if (job.failureCount <= 1) return 0;
   const doublings = Math.min(MAX_RETRY_DOUBLINGS, job.failureCount - 2);
-  return Math.min(RETRY_MAX_MS, RETRY_BASE_MS * 2 ** doublings);
+  return Math.min(MAX_RETRY_DELAY_MS, RETRY_BASE_DELAY_MS * 2 ** doublings);
 }
 
-function succeededElsewhere(job: JobFailures, machineIndex: number): boolean {
+function hasSucceededElsewhere(job: JobFailures, machineIndex: number): boolean {
   return job.succeededOnSeveral || (job.succeededOn !== null && job.succeededOn !== machineIndex);
 }
 
 /** Judges a machine by its failures, at `now` in milliseconds on the steady clock. */
-export function machineHealth(machine: MachineFailures, machineIndex: number, now: number): MachineHealth {
+export function assessMachineHealth(
+  machine: MachineFailures,
+  machineIndex: number,
+  now: number,
+): MachineHealth {
   let proven = 0;
   let suspicious = 0;
   for (const job of machine.jobs) {
-    if (succeededElsewhere(job, machineIndex)) proven += 1;
+    if (hasSucceededElsewhere(job, machineIndex)) proven += 1;
     else if (job.failedOn.size === 1) suspicious += 1;
   }
-  if (proven >= FAULTY_JOBS) return 'faulty';
-  const quarantined = proven + suspicious >= QUARANTINE_JOBS && now - machine.lastAt < QUARANTINE_MS;
+  if (proven >= MIN_FAULTY_JOBS) return 'faulty';
+  const quarantined =
+    proven + suspicious >= MIN_QUARANTINE_JOBS && now - machine.lastFailureAt < QUARANTINE_MS;
   return quarantined ? 'quarantined' : 'healthy';
 }
--- a/src/workers/liveness.ts
+++ b/src/workers/liveness.ts
@@ -6,11 +6,11 @@
  * In a network partition all machines miss a heartbeat, one after the other: the first of them must not be given up
  * before the others count as missing.
  */
-const MISSED_HEARTBEATS = 1.4;
+const MISSING_AFTER_INTERVALS = 1.4;
 /** Heartbeat intervals of silence after which a machine is probed. */
 const PROBE_AFTER_INTERVALS = 1.5;
 /** Added to a lease for the time that messages take. */
-const LEASE_ALLOWANCE_MS = 500;
+const MESSAGE_DELAY_ALLOWANCE_MS = 500;
 
 /** The time of a check and what silence is measured by, in milliseconds. */
 export interface LivenessContext {
@@ -25,11 +25,11 @@
 
 /** The worker's lease has surely expired, on its own clock too. */
 export function hasLeaseExpired(machine: Machine, leaseMs: number, now: number): boolean {
-  return now > machine.leaseRenewedBefore + leaseMs * (1 + DRIFT) + LEASE_ALLOWANCE_MS;
+  return now > machine.leaseRenewedBefore + leaseMs * (1 + DRIFT) + MESSAGE_DELAY_ALLOWANCE_MS;
 }
 
 /** How long there has been no sign that messages to and from the machine arrive, in milliseconds. */
-export function silenceMs(machine: Machine, context: LivenessContext): number {
+export function computeSilenceMs(machine: Machine, context: LivenessContext): number {
   return context.now - Math.max(machine.connectivity.lastRoundTripAt, context.listeningSince);
 }
 
@@ -43,15 +43,16 @@
  * one: they get longer, and are probed.
  */
 export function isMissing(machine: Machine, context: LivenessContext): boolean {
-  const silence = silenceMs(machine, context);
-  if (hasBeenInContact(machine, context)) return silence > context.heartbeatIntervalMs * MISSED_HEARTBEATS;
-  return silence > context.unresponsiveAfterMs && machine.connectivity.probesFailed > 0;
+  const silence = computeSilenceMs(machine, context);
+  if (hasBeenInContact(machine, context))
+    return silence > context.heartbeatIntervalMs * MISSING_AFTER_INTERVALS;
+  return silence > context.unresponsiveAfterMs && machine.connectivity.failedProbes > 0;
 }
 
 /** There is reason to ask the worker directly whether it is alive and receives our messages. */
 export function needsProbe(machine: Machine, context: LivenessContext): boolean {
   return (
-    silenceMs(machine, context) > context.heartbeatIntervalMs * PROBE_AFTER_INTERVALS ||
+    computeSilenceMs(machine, context) > context.heartbeatIntervalMs * PROBE_AFTER_INTERVALS ||
     machine.connectivity.missedAcknowledgements > 0
   );
 }
@@ -60,12 +61,12 @@
  * Why a machine is to be given up, or null if it isn't: `unresponsive` if nothing arrives from it, `unacknowledged` if
  * its heartbeats arrive and our messages don't reach it.
  */
-export function livenessFailure(
+export function detectLivenessFailure(
   machine: Machine,
   context: LivenessContext,
 ): 'unresponsive' | 'unacknowledged' | null {
   const { now, unresponsiveAfterMs } = context;
-  if (silenceMs(machine, context) <= unresponsiveAfterMs || machine.connectivity.probesFailed === 0)
+  if (computeSilenceMs(machine, context) <= unresponsiveAfterMs || machine.connectivity.failedProbes === 0)
     return null;
   return now - machine.connectivity.lastMessageAt < unresponsiveAfterMs ? 'unacknowledged' : 'unresponsive';
 }
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -42,7 +42,7 @@
  */
 export class MachineRegistry {
   private readonly pages: Page[] = [];
-  private readonly pageOf = new Map<string, Page>();
+  private readonly pageByName = new Map<string, Page>();
 
   constructor(private readonly deps: MachineRegistryDeps) {}
 
@@ -56,18 +56,18 @@
         onMalformed(item.key);
         continue;
       }
-      const page = this.page(index);
+      const page = this.ensurePage(index);
       for (const [name, address, machineType, zone, spot] of record.data.m) {
-        const id = { name, address, machineType, zone, spot };
-        this.put(page, id);
-        restored.push(id);
+        const identity = { name, address, machineType, zone, spot };
+        this.putEntry(page, identity);
+        restored.push(identity);
       }
     }
     return restored;
   }
 
   /** The page of this index; it and all before it are created if need be. */
-  private page(index: number): Page {
+  private ensurePage(index: number): Page {
     for (let next = this.pages.length; next <= index; next++) {
       this.pages.push({
         index: next,
@@ -81,23 +81,23 @@
     return required(this.pages[index], 'page');
   }
 
-  private pageWithRoom(bytes: number): Page {
-    const found = this.pages.find((page) => page.bytes + bytes <= this.deps.pageBytes);
-    return found ?? this.page(this.pages.length);
+  private ensurePageWithRoom(bytes: number): Page {
+    const pageWithRoom = this.pages.find((page) => page.bytes + bytes <= this.deps.pageBytes);
+    return pageWithRoom ?? this.ensurePage(this.pages.length);
   }
 
-  private put(page: Page, id: MachineIdentity): void {
-    page.entries.set(id.name, id);
-    page.bytes += sizeOf(id);
-    this.pageOf.set(id.name, page);
+  private putEntry(page: Page, identity: MachineIdentity): void {
+    page.entries.set(identity.name, identity);
+    page.bytes += computeEntryBytes(identity);
+    this.pageByName.set(identity.name, page);
   }
 
   /** Adds a machine with the next flush; calls back once the store holds it. */
-  register(id: MachineIdentity, onDurable: () => void): void {
-    let page = this.pageOf.get(id.name);
+  register(identity: MachineIdentity, onDurable: () => void): void {
+    let page = this.pageByName.get(identity.name);
     if (!page) {
-      page = this.pageWithRoom(sizeOf(id));
-      this.put(page, id);
+      page = this.ensurePageWithRoom(computeEntryBytes(identity));
+      this.putEntry(page, identity);
     }
     page.changed = 'added';
     page.onDurable.push(onDurable);
@@ -105,10 +105,10 @@
 
   /** Removes a machine that surely holds nothing any more. */
   remove(name: string): void {
-    const page = this.pageOf.get(name);
+    const page = this.pageByName.get(name);
     if (!page) return;
-    this.pageOf.delete(name);
-    page.bytes -= sizeOf(required(page.entries.get(name), 'entry of a registered machine'));
+    this.pageByName.delete(name);
+    page.bytes -= computeEntryBytes(required(page.entries.get(name), 'entry of a registered machine'));
     page.entries.delete(name);
     if (page.changed === 'no') page.changed = 'removalsOnly';
   }
@@ -128,23 +128,35 @@
     page.onDurable = [];
     page.changed = 'no';
     page.writing = true;
-    const done = (): void => {
+    const onCommitted = (): void => {
       this.deps.enqueue(() => {
         page.writing = false;
         for (const callback of callbacks) callback();
       });
     };
-    this.deps.enqueueWrite({ kind: 'ready', mutations: [mutationOf(page)], onCommitted: done }, urgent);
+    this.deps.enqueueWrite({ kind: 'ready', mutations: [buildMutation(page)], onCommitted }, urgent);
   }
 }
 
-function mutationOf(page: Page): Mutation {
+function buildMutation(page: Page): Mutation {
   const key = KEYS.machineRegistry(page.index);
   if (page.entries.size === 0) return { delete: key };
-  const m = [...page.entries.values()].map((id) => [id.name, id.address, id.machineType, id.zone, id.spot]);
-  return { put: key, value: { m } };
+  const entries = [...page.entries.values()].map((identity) => [
+    identity.name,
+    identity.address,
+    identity.machineType,
+    identity.zone,
+    identity.spot,
+  ]);
+  return { put: key, value: { m: entries } };
 }
 
-function sizeOf(id: MachineIdentity): number {
-  return id.name.length + id.address.length + id.machineType.length + id.zone.length + ENTRY_OVERHEAD_BYTES;
+function computeEntryBytes(identity: MachineIdentity): number {
+  return (
+    identity.name.length +
+    identity.address.length +
+    identity.machineType.length +
+    identity.zone.length +
+    ENTRY_OVERHEAD_BYTES
+  );
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,8 +1,8 @@
 /** What the leader knows of one machine: its worker's connectivity, incarnation and lease, its tasks and images. */
 import type { Heartbeat } from '../wire/worker.ts';
 import type { Attempt } from './attempt.ts';
-import { Connectivity, type ContactContext } from './connectivity.ts';
-import { newMachineFailures } from './failure-attribution.ts';
+import { Connectivity, type ConnectivityContext } from './connectivity.ts';
+import { createMachineFailures } from './failure-attribution.ts';
 import { ImageCache } from './image-cache.ts';
 
 /** What a machine is, as its worker reports it and the machine registry keeps it. */
@@ -16,10 +16,10 @@
 }
 
 /** How a machine enters the leader's state. */
-export interface MachineOrigin {
+export interface MachineInit {
   /** Dense index among all machines of this leadership. */
   index: number;
-  id: MachineIdentity;
+  identity: MachineIdentity;
   /** Index of its type in the catalog. */
   type: number;
   /** Index of its zone. */
@@ -38,7 +38,7 @@
   // ---- identity ----
 
   readonly index: number;
-  readonly id: MachineIdentity;
+  readonly identity: MachineIdentity;
   readonly type: number;
   readonly zone: number;
 
@@ -50,9 +50,9 @@
 
   private knownIncarnation = 0;
   private knownSequence = 0;
-  private highestToken = 0;
-  private expired = false;
-  private reclaimAt: number | null = null;
+  private highestFencingToken = 0;
+  private isLeaseExpired = false;
+  private reclaimAtMs: number | null = null;
   private renewedBefore: number;
 
   // ---- registration ----
@@ -65,33 +65,36 @@
 
   /** Attempts that may be on it or that its worker still remembers, by `attemptKey`. */
   readonly attempts = new Map<string, Attempt>();
-  readonly failures = newMachineFailures();
+  readonly failures = createMachineFailures();
   private idleFrom: number;
-  private commandPending = false;
-  private nextCommandAt = 0;
+  private isCommandInFlight = false;
+  private earliestCommandAt = 0;
 
   // ---- images ----
 
   readonly images = new ImageCache();
 
-  constructor(origin: MachineOrigin) {
-    this.index = origin.index;
-    this.id = origin.id;
-    this.type = origin.type;
-    this.zone = origin.zone;
-    this.idleFrom = origin.now;
-    this.renewedBefore = origin.leaseRenewedBefore;
+  constructor(init: MachineInit) {
+    this.index = init.index;
+    this.identity = init.identity;
+    this.type = init.type;
+    this.zone = init.zone;
+    this.idleFrom = init.now;
+    this.renewedBefore = init.leaseRenewedBefore;
   }
 
   get name(): string {
-    return this.id.name;
+    return this.identity.name;
   }
 
   // ---- connectivity ----
 
   /** Judges by a heartbeat whether messages pass in both directions; to be called before the heartbeat is applied. */
-  noteContact(heartbeat: Pick<Heartbeat, 'fencingToken' | 'incarnation'>, context: ContactContext): void {
-    this.connectivity.noteContact(this, heartbeat, context);
+  assessConnectivity(
+    heartbeat: Pick<Heartbeat, 'fencingToken' | 'incarnation'>,
+    context: ConnectivityContext,
+  ): void {
+    this.connectivity.assessHeartbeat(this, heartbeat, context);
   }
 
   // ---- incarnation and lease ----
@@ -108,12 +111,12 @@
 
   /** The highest fencing token that the worker has shown. */
   get fencingToken(): number {
-    return this.highestToken;
+    return this.highestFencingToken;
   }
 
   /** The lease of the present incarnation has surely expired: nothing of it counts any more. */
   get leaseExpired(): boolean {
-    return this.expired;
+    return this.isLeaseExpired;
   }
 
   /** Upper bound for when anyone last answered a heartbeat of it: its lease counts from before that. */
@@ -122,14 +125,14 @@
   }
 
   /** When the cloud reclaims the machine, by its interruption notice; null without one. */
-  get reclaimedAt(): number | null {
-    return this.reclaimAt;
+  get reclaimAt(): number | null {
+    return this.reclaimAtMs;
   }
 
   /** The worker has started anew: it has no tasks and no images. */
   beginIncarnation(incarnation: number, now: number): void {
     this.knownIncarnation = incarnation;
-    this.expired = false;
+    this.isLeaseExpired = false;
     // The lease of an incarnation counts from its start at the latest, and it had started when this was sent. Without
     // this, the end of the old one's lease was taken for the end of the new one's, and its tasks for lost.
     this.noteLeaseRenewal(now);
@@ -139,9 +142,9 @@
   /** A newer heartbeat arrived; `direct`: as the answer to a direct request. */
   noteHeartbeat(heartbeat: Heartbeat, direct: boolean, now: number): void {
     this.knownSequence = heartbeat.sequence;
-    this.highestToken = Math.max(this.highestToken, heartbeat.fencingToken);
+    this.highestFencingToken = Math.max(this.highestFencingToken, heartbeat.fencingToken);
     this.connectivity.noteMessage(direct, now);
-    this.reclaimAt =
+    this.reclaimAtMs =
       heartbeat.interruptionNoticeS === null ? null : now + heartbeat.interruptionNoticeS * 1000;
     if (direct) return;
     // A worker has one heartbeat in flight: the responses to all earlier ones were carried out or given up.
@@ -155,7 +158,7 @@
 
   /** The lease has surely expired, so nothing that any leader started is left on it. */
   markLeaseExpired(): void {
-    this.expired = true;
+    this.isLeaseExpired = true;
     this.isReconciled = true;
   }
 
@@ -205,28 +208,28 @@
 
   /** A direct command is on its way; there is one at a time. */
   get commandInFlight(): boolean {
-    return this.commandPending;
+    return this.isCommandInFlight;
   }
 
   /** Earliest time of the next direct command. */
   get commandNotBefore(): number {
-    return this.nextCommandAt;
+    return this.earliestCommandAt;
   }
 
   /** What it is to be told can't wait: no pause is kept before the next direct command. */
   expediteCommand(): void {
-    this.nextCommandAt = 0;
+    this.earliestCommandAt = 0;
   }
 
   /** A direct command leaves. */
   beginCommand(): void {
-    this.commandPending = true;
+    this.isCommandInFlight = true;
   }
 
   /** The direct command is settled; the next one may leave at `notBefore`. */
   endCommand(notBefore: number): void {
-    this.commandPending = false;
-    this.nextCommandAt = notBefore;
+    this.isCommandInFlight = false;
+    this.earliestCommandAt = notBefore;
   }
 
   // ---- tasks ----
@@ -242,14 +245,14 @@
   }
 
   /** Attempts that hold resources. */
-  live(): Attempt[] {
+  liveAttempts(): Attempt[] {
     const found: Attempt[] = [];
     for (const attempt of this.attempts.values()) if (!attempt.released) found.push(attempt);
     return found;
   }
 
   /** The number of attempts that hold resources. */
-  get liveCount(): number {
+  get liveAttemptCount(): number {
     let count = 0;
     for (const attempt of this.attempts.values()) if (!attempt.released) count += 1;
     return count;
--- a/src/workers/reachability.ts
+++ b/src/workers/reachability.ts
@@ -5,7 +5,7 @@
 /** Fewer missing machines say nothing of a partition. */
 export const MIN_MISSING_MACHINES = 3;
 /** Share of the machines once in contact that are missing when this node itself is cut off. */
-const NEARLY_ALL_SHARE = 0.75;
+const NEARLY_ALL_RATIO = 0.75;
 
 /** What one check found of the machines of a zone. */
 export interface ZoneSurvey {
@@ -56,7 +56,7 @@
  * the zone stays unreachable until one of its machines is in contact: the provisioner keeps one on trial. Machines once
  * went on being provisioned there for as long as a partition lasted, to be paid for and never to come up.
  */
-export function zoneTransition(zone: ZoneSurvey, unreachable: boolean): ZoneTransition {
+export function decideZoneTransition(zone: ZoneSurvey, unreachable: boolean): ZoneTransition {
   const mostAreMissing = zone.missing * 2 > zone.total;
   if (!unreachable)
     return mostAreMissing && zone.missing >= MIN_MISSING_MACHINES ? 'becameUnreachable' : 'unchanged';
@@ -64,6 +64,6 @@
 }
 
 /** Nearly all machines are missing: perhaps only this node is cut off, and the workers reach others. */
-export function isNearlyAllLost({ contacted, contactLost }: Survey): boolean {
-  return contactLost >= MIN_MISSING_MACHINES && contactLost >= contacted * NEARLY_ALL_SHARE;
+export function hasLostNearlyAll({ contacted, contactLost }: Survey): boolean {
+  return contactLost >= MIN_MISSING_MACHINES && contactLost >= contacted * NEARLY_ALL_RATIO;
 }
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -34,7 +34,7 @@
 }
 
 /** True if the heartbeat is newer than all before. Late copies must change nothing. */
-export function isNewer(machine: Machine, heartbeat: Heartbeat): boolean {
+export function isNewerHeartbeat(machine: Machine, heartbeat: Heartbeat): boolean {
   if (heartbeat.incarnation > machine.incarnation) return true;
   return (
     heartbeat.incarnation === machine.incarnation &&
@@ -65,7 +65,7 @@
   for (const status of heartbeat.tasks) {
     const key = attemptKey(status.jobId, status.task, status.attempt);
     reported.add(key);
-    const attempt = machine.attempts.get(key) ?? discover(machine, key, status, context);
+    const attempt = machine.attempts.get(key) ?? adoptAttempt(machine, key, status, context);
     applyTaskStatus(attempt, status, context.now, events);
   }
   releaseMissing(machine, reported, direct, events);
@@ -73,7 +73,7 @@
 }
 
 /** Tracks an attempt that an earlier leader started. */
-function discover(machine: Machine, key: string, status: TaskStatus, context: ReconcileContext): Attempt {
+function adoptAttempt(machine: Machine, key: string, status: TaskStatus, context: ReconcileContext): Attempt {
   const job = context.jobOf(status.jobId);
   const attempt = new Attempt({
     machine,
@@ -125,7 +125,7 @@
  * Notes the starts that the response to a heartbeat carries. A direct command can overtake that response: a task that
  * was refused and forgotten meanwhile would be started anew by it, while it runs elsewhere.
  */
-export function noteResponse(machine: Machine, commands: readonly Command[]): void {
+export function noteStartsInResponse(machine: Machine, commands: readonly Command[]): void {
   for (const command of commands) {
     if (command.op !== 'start') continue;
     machine.attempts.get(attemptKey(command.jobId, command.task, command.attempt))?.noteStartInResponse();
@@ -133,27 +133,27 @@
 }
 
 /** May the worker forget this ended attempt? Not while a start may arrive, nor before its end is durable. */
-export function mayForget(attempt: Attempt): boolean {
+export function canForget(attempt: Attempt): boolean {
   if (attempt.phase !== 'ended' || !attempt.directStartsSettled || attempt.startInResponse) return false;
   return attempt.exitReason !== 'done' || attempt.job === null || attempt.job.isDurable(attempt.task);
 }
 
 /** The store says that the task may have been started. */
-export function startIsDurable(attempt: Attempt): boolean {
+export function isStartDurable(attempt: Attempt): boolean {
   return attempt.job !== null && attempt.task < attempt.job.durableStartWatermark;
 }
 
 /** All that the worker should do now. `mayStart`: new tasks too, which takes a valid lease. */
-export function commandsFor(machine: Machine, mayStart: boolean): Command[] {
+export function buildCommands(machine: Machine, canStart: boolean): Command[] {
   const commands: Command[] = [];
   for (const attempt of machine.attempts.values()) {
-    const id = { jobId: attempt.jobId, task: attempt.task, attempt: attempt.number };
+    const target = { jobId: attempt.jobId, task: attempt.task, attempt: attempt.number };
     if (attempt.phase === 'ended') {
-      if (mayForget(attempt)) commands.push({ op: 'forget', ...id });
+      if (canForget(attempt)) commands.push({ op: 'forget', ...target });
     } else if (attempt.stopGraceS !== null) {
-      if (attempt.observed) commands.push({ op: 'stop', ...id, graceS: attempt.stopGraceS });
-    } else if (!attempt.observed && mayStart && startIsDurable(attempt)) {
-      commands.push({ op: 'start', ...id });
+      if (attempt.observed) commands.push({ op: 'stop', ...target, graceS: attempt.stopGraceS });
+    } else if (!attempt.observed && canStart && isStartDurable(attempt)) {
+      commands.push({ op: 'start', ...target });
     }
   }
   return commands;
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -44,13 +44,13 @@
    */
   async sendCommands(
     machine: Machine,
-    token: number,
+    fencingToken: number,
     commands: readonly Command[],
     mayStillSend: () => boolean,
   ): Promise<CommandResult> {
-    const body = encodeCommands(token, machine.incarnation, commands);
-    const client = this.network.connect(machine.id.address);
-    const result = await client.send('POST', '/orders', body, COMMAND_TIMEOUT_MS, mayStillSend);
+    const body = encodeCommands(fencingToken, machine.incarnation, commands);
+    const sender = this.network.connect(machine.identity.address);
+    const result = await sender.send('POST', '/orders', body, COMMAND_TIMEOUT_MS, mayStillSend);
     if (result.kind === 'silent') return result.sent ? { kind: 'unanswered' } : { kind: 'notSent' };
     if (result.status !== HTTP_OK && result.status !== HTTP_CONFLICT) return { kind: 'notSent' };
     const decoded = decodeHeartbeat(result.body);
@@ -61,8 +61,8 @@
 
   /** Asks a worker for its state, outside of its heartbeats. */
   async inspect(machine: Machine): Promise<InspectResult> {
-    const client = this.network.connect(machine.id.address);
-    const result = await client.send('GET', '/inspect', null, INSPECT_TIMEOUT_MS);
+    const sender = this.network.connect(machine.identity.address);
+    const result = await sender.send('GET', '/inspect', null, INSPECT_TIMEOUT_MS);
     if (result.kind === 'silent') return { kind: 'unanswered' };
     if (result.status !== HTTP_OK) return { kind: 'rejected', status: result.status };
     const decoded = decodeHeartbeat(result.body);
--- a/test/leader/command-dispatcher.test.ts
+++ b/test/leader/command-dispatcher.test.ts
@@ -4,7 +4,7 @@
 import { CommandDispatcher } from '../../src/leader/command-dispatcher.ts';
 import type { LeaderHost } from '../../src/leader/context.ts';
 import type { Heartbeat } from '../../src/wire/worker.ts';
-import { commandsFor } from '../../src/workers/reconcile.ts';
+import { buildCommands } from '../../src/workers/reconcile.ts';
 import { FakeClock } from '../helpers.ts';
 import { fakeHost, settle, TERM } from './fakes.ts';
 import { heartbeat, newMachine, setup } from '../workers/fixtures.ts';
@@ -27,10 +27,16 @@
     const { machine, assign } = setup();
     const attempt = assign(0);
     const { dispatcher, responses } = dispatcherOn({ sendCommands });
-    dispatcher.dispatch(machine, commandsFor(machine, true));
-    assert.deepEqual([attempt.inFlight, attempt.inDoubt, machine.commandInFlight], [1, false, true]);
+    dispatcher.dispatch(machine, buildCommands(machine, true));
+    assert.deepEqual(
+      [attempt.directStartsInFlight, attempt.startInDoubt, machine.commandInFlight],
+      [1, false, true],
+    );
     await settle();
-    assert.deepEqual([attempt.inFlight, attempt.inDoubt, machine.commandInFlight], [0, true, false]);
+    assert.deepEqual(
+      [attempt.directStartsInFlight, attempt.startInDoubt, machine.commandInFlight],
+      [0, true, false],
+    );
     assert.equal(machine.connectivity.missedAcknowledgements, 1);
     assert.equal(dispatcher.unansweredCount, 1);
     assert.deepEqual(responses, []);
@@ -41,9 +47,12 @@
   const { machine, assign } = setup();
   const attempt = assign(0);
   const { dispatcher } = dispatcherOn({ sendCommands: () => Promise.resolve({ kind: 'notSent' }) });
-  dispatcher.dispatch(machine, commandsFor(machine, true));
+  dispatcher.dispatch(machine, buildCommands(machine, true));
   await settle();
-  assert.deepEqual([attempt.inFlight, attempt.inDoubt, machine.commandInFlight], [0, false, false]);
+  assert.deepEqual(
+    [attempt.directStartsInFlight, attempt.startInDoubt, machine.commandInFlight],
+    [0, false, false],
+  );
   assert.equal(machine.connectivity.missedAcknowledgements, 1);
 });
 
@@ -55,9 +64,12 @@
     sendCommands: () => Promise.resolve({ kind: 'answered', heartbeat: answer, executed: true }),
   });
   machine.connectivity.noteMissedAcknowledgement();
-  dispatcher.dispatch(machine, commandsFor(machine, true));
+  dispatcher.dispatch(machine, buildCommands(machine, true));
   await settle();
-  assert.deepEqual([attempt.inFlight, attempt.inDoubt, machine.commandInFlight], [0, false, false]);
+  assert.deepEqual(
+    [attempt.directStartsInFlight, attempt.startInDoubt, machine.commandInFlight],
+    [0, false, false],
+  );
   assert.equal(machine.connectivity.missedAcknowledgements, 0);
   assert.deepEqual(responses, [answer]);
 });
@@ -69,11 +81,11 @@
     const { dispatcher } = dispatcherOn({ inspect });
     dispatcher.probe(machine);
     await settle();
-    assert.equal(machine.connectivity.probesFailed, 1);
+    assert.equal(machine.connectivity.failedProbes, 1);
     assert.equal(dispatcher.unansweredCount, 1);
     // The pause after a probe never ends here, so a second one is not sent.
     dispatcher.probe(machine);
     await settle();
-    assert.equal(machine.connectivity.probesFailed, 1);
+    assert.equal(machine.connectivity.failedProbes, 1);
   }
 });
--- a/test/workers/attempt-deadlines.test.ts
+++ b/test/workers/attempt-deadlines.test.ts
@@ -16,8 +16,8 @@
 function startInDoubt(): { attempt: Attempt; job: Job } {
   const { job, assign } = setup();
   const attempt = assign(0);
-  attempt.noteStartSent();
-  attempt.noteStartSettled(true);
+  attempt.noteDirectStartSent();
+  attempt.noteDirectStartCompleted(true);
   return { attempt, job };
 }
 
--- a/test/workers/connectivity.test.ts
+++ b/test/workers/connectivity.test.ts
@@ -18,7 +18,7 @@
 /** Lets the machine judge a heartbeat of its own that arrives at `now`. */
 function receive(machine: Machine, now: number, fencingToken = TERM, incarnation = 1): void {
   const context = { direct: false, term: TERM, now, leaseMs: 30_000, heartbeatIntervalMs: 5000 };
-  machine.noteContact({ fencingToken, incarnation }, context);
+  machine.assessConnectivity({ fencingToken, incarnation }, context);
 }
 
 test('heartbeats alone are contact only while nothing says that our messages do not arrive', () => {
@@ -29,7 +29,7 @@
   machine.connectivity.noteMissedAcknowledgement();
   receive(machine, 6000);
   assert.equal(machine.connectivity.lastRoundTripAt, 1000);
-  machine.connectivity.acknowledged(7000);
+  machine.connectivity.noteAcknowledgement(7000);
   assert.deepEqual(
     [machine.connectivity.lastRoundTripAt, machine.connectivity.missedAcknowledgements],
     [7000, 0],
--- a/test/workers/failure-attribution.test.ts
+++ b/test/workers/failure-attribution.test.ts
@@ -3,15 +3,15 @@
 import fc from 'fast-check';
 import { required } from '../../src/base/required.ts';
 import {
-  FAILING_MACHINES,
+  MIN_FAILING_MACHINES,
   isFailing,
-  machineHealth,
-  newJobFailures,
-  newMachineFailures,
+  assessMachineHealth,
+  createJobFailures,
+  createMachineFailures,
   recordFailure,
   recordSuccess,
-  RETRY_MAX_MS,
-  retryDelayMs,
+  MAX_RETRY_DELAY_MS,
+  computeRetryDelayMs,
   type JobFailures,
   type MachineFailures,
   type MachineHealth,
@@ -71,14 +71,14 @@
   constructor(private readonly plan: Plan) {
     this.jobs = plan.jobs.map((hasMistake) => ({
       hasMistake,
-      failures: newJobFailures(),
+      failures: createJobFailures(),
       waiting: TASKS,
       notBefore: 0,
       failedAt: [],
     }));
     this.machines = Array.from({ length: MACHINES }, (_, index) => ({
       index,
-      failures: newMachineFailures(),
+      failures: createMachineFailures(),
       terminated: false,
       healths: new Set(),
     }));
@@ -88,7 +88,7 @@
     for (let now = 0; now < DURATION_MS; now += STEP_MS) {
       for (const attempt of [...this.attempts]) if (attempt.endsAt <= now) this.end(attempt, now);
       for (const machine of this.machines) {
-        const health = machineHealth(machine.failures, machine.index, now);
+        const health = assessMachineHealth(machine.failures, machine.index, now);
         machine.healths.add(health);
         if (health === 'faulty') machine.terminated = true;
       }
@@ -117,7 +117,7 @@
     });
     job.failedAt.push(now);
     job.waiting += 1;
-    job.notBefore = now + retryDelayMs(job.failures);
+    job.notBefore = now + computeRetryDelayMs(job.failures);
   }
 
   private start(job: SimulatedJob, now: number): void {
@@ -127,7 +127,7 @@
       (machine) =>
         !machine.terminated &&
         (failing || !job.failures.failedOn.has(machine.index)) &&
-        machineHealth(machine.failures, machine.index, now) === 'healthy',
+        assessMachineHealth(machine.failures, machine.index, now) === 'healthy',
     );
     if (usable.length === 0) return;
     for (let count = failing ? 1 : job.waiting; count > 0; count--) {
@@ -165,9 +165,9 @@
         // Attempts are spaced ever further, up to the bound, and go on.
         const [lastButOne, last] = failedAt.slice(-2);
         assert.ok(lastButOne !== undefined && last !== undefined);
-        assert.ok(last - lastButOne >= RETRY_MAX_MS, 'attempts are far apart');
-        assert.ok(last > DURATION_MS - 2 * RETRY_MAX_MS, 'attempts go on');
-        assert.ok(failedAt.length < 4 + 4 * FAILING_MACHINES + 20);
+        assert.ok(last - lastButOne >= MAX_RETRY_DELAY_MS, 'attempts are far apart');
+        assert.ok(last > DURATION_MS - 2 * MAX_RETRY_DELAY_MS, 'attempts go on');
+        assert.ok(failedAt.length < 4 + 4 * MIN_FAILING_MACHINES + 20);
       }
       for (const machine of machines) {
         if (!plan.faulty.includes(machine.index)) {
@@ -187,36 +187,36 @@
   job: JobFailures,
   at: { machineIndex: number; assignedAt: number; now: number; machine?: MachineFailures },
 ): void {
-  recordFailure({ job, machine: newMachineFailures(), ...at });
+  recordFailure({ job, machine: createMachineFailures(), ...at });
 }
 
 test('a healthy machine is not quarantined for long because of jobs that fail everywhere', () => {
   // Counted per machine, a tenth of all jobs failing everywhere once took healthy machines out of use.
-  const machine = newMachineFailures();
-  const jobs = Array.from({ length: 20 }, newJobFailures);
+  const machine = createMachineFailures();
+  const jobs = Array.from({ length: 20 }, createJobFailures);
   for (const job of jobs) fail(job, { machine, machineIndex: 0, assignedAt: 0, now: 100 });
-  assert.equal(machineHealth(machine, 0, 100), 'quarantined');
+  assert.equal(assessMachineHealth(machine, 0, 100), 'quarantined');
   for (const job of jobs) fail(job, { machineIndex: 1, assignedAt: 200, now: 1200 });
-  assert.equal(machineHealth(machine, 0, 1200), 'healthy');
+  assert.equal(assessMachineHealth(machine, 0, 1200), 'healthy');
 });
 
 test('tasks of one attempt that fail together count once, and a success resets the count', () => {
-  const job = newJobFailures();
-  const machine = newMachineFailures();
+  const job = createJobFailures();
+  const machine = createMachineFailures();
   for (let task = 0; task < 100; task++)
     fail(job, { machine, machineIndex: 0, assignedAt: 0, now: 1000 + task });
-  assert.equal(retryDelayMs(job), 0);
+  assert.equal(computeRetryDelayMs(job), 0);
   // One machine, however many tasks fail on it, says nothing of the job.
   assert.ok(!isFailing(job));
   const delays: number[] = [];
   for (let assignedAt = 10_000, machineIndex = 1; machineIndex < 9; machineIndex++) {
     fail(job, { machineIndex, assignedAt, now: assignedAt + 1000 });
-    delays.push(retryDelayMs(job));
-    assignedAt += 1000 + retryDelayMs(job);
+    delays.push(computeRetryDelayMs(job));
+    assignedAt += 1000 + computeRetryDelayMs(job);
   }
   assert.deepEqual(delays, [2000, 4000, 8000, 16_000, 32_000, 60_000, 60_000, 60_000]);
   assert.ok(isFailing(job));
   recordSuccess(job, 3);
-  assert.equal(retryDelayMs(job), 0);
+  assert.equal(computeRetryDelayMs(job), 0);
   assert.ok(!isFailing(job));
 });
--- a/test/workers/fixtures.ts
+++ b/test/workers/fixtures.ts
@@ -28,7 +28,7 @@
 
 /** A machine that has sent nothing yet, known since time 0. */
 export function newMachine(zone = 0): Machine {
-  return new Machine({ index: 0, id: IDENTITY, type: 0, zone, now: 0, leaseRenewedBefore: 0 });
+  return new Machine({ index: 0, identity: IDENTITY, type: 0, zone, now: 0, leaseRenewedBefore: 0 });
 }
 
 /** A heartbeat of the machine that `newMachine` returns. */
--- a/test/workers/image-cache.test.ts
+++ b/test/workers/image-cache.test.ts
@@ -6,13 +6,13 @@
   const images = new ImageCache();
   images.noteFetch('first', 10_000, 1000);
   images.noteFetch('second', 5000, 2000);
-  assert.deepEqual([images.get('first'), images.get('second')], [11_000, 16_000]);
+  assert.deepEqual([images.getReadyAt('first'), images.getReadyAt('second')], [11_000, 16_000]);
   assert.equal(images.fetchingUntil, 16_000);
   images.abandonFetch('second', 3000);
   assert.equal(images.has('second'), false);
   assert.equal(images.fetchingUntil, 11_000);
   images.notePresent('first', 9000);
-  assert.equal(images.get('first'), 9000, 'it was there earlier than expected');
+  assert.equal(images.getReadyAt('first'), 9000, 'it was there earlier than expected');
   images.clear();
   assert.deepEqual([...images.keys()], []);
 });
--- a/test/workers/liveness.test.ts
+++ b/test/workers/liveness.test.ts
@@ -4,9 +4,9 @@
   hasBeenInContact,
   hasLeaseExpired,
   isMissing,
-  livenessFailure,
+  detectLivenessFailure,
   needsProbe,
-  silenceMs,
+  computeSilenceMs,
   type LivenessContext,
 } from '../../src/workers/liveness.ts';
 import { heartbeat, newMachine } from './fixtures.ts';
@@ -28,18 +28,18 @@
 
 test('silence counts from the last round trip, or from when this controller began to listen', () => {
   const machine = newMachine();
-  assert.equal(silenceMs(machine, at(5000, 3000)), 2000);
-  machine.connectivity.acknowledged(4000);
-  assert.equal(silenceMs(machine, at(5000, 3000)), 1000);
+  assert.equal(computeSilenceMs(machine, at(5000, 3000)), 2000);
+  machine.connectivity.noteAcknowledgement(4000);
+  assert.equal(computeSilenceMs(machine, at(5000, 3000)), 1000);
   assert.equal(hasBeenInContact(machine, at(5000, 3000)), true);
   // After a pause of the process what was before says nothing.
-  assert.equal(silenceMs(machine, at(9000, 9000)), 0);
+  assert.equal(computeSilenceMs(machine, at(9000, 9000)), 0);
   assert.equal(hasBeenInContact(machine, at(9000, 9000)), false);
 });
 
 test('a machine once in contact is missing after a heartbeat, another only when it answers no probe either', () => {
   const known = newMachine();
-  known.connectivity.acknowledged(1);
+  known.connectivity.noteAcknowledgement(1);
   assert.equal(isMissing(known, at(1401)), false);
   assert.equal(isMissing(known, at(1402)), true);
   const unknown = newMachine();
@@ -51,7 +51,7 @@
 
 test('a machine is probed when it is silent or has left a command unanswered', () => {
   const machine = newMachine();
-  machine.connectivity.acknowledged(0);
+  machine.connectivity.noteAcknowledgement(0);
   assert.equal(needsProbe(machine, at(1500)), false);
   assert.equal(needsProbe(machine, at(1501)), true);
   machine.connectivity.noteMissedAcknowledgement();
@@ -60,12 +60,12 @@
 
 test('a machine that is given up either sends nothing or receives nothing', () => {
   const machine = newMachine();
-  assert.equal(livenessFailure(machine, at(2501)), null, 'not probed yet');
+  assert.equal(detectLivenessFailure(machine, at(2501)), null, 'not probed yet');
   machine.connectivity.noteFailedProbe();
-  assert.equal(livenessFailure(machine, at(2500)), null);
-  assert.equal(livenessFailure(machine, at(2501)), 'unresponsive');
+  assert.equal(detectLivenessFailure(machine, at(2500)), null);
+  assert.equal(detectLivenessFailure(machine, at(2501)), 'unresponsive');
   machine.noteHeartbeat(heartbeat(1, 1), false, 2000);
-  assert.equal(livenessFailure(machine, at(2501)), 'unacknowledged');
-  machine.connectivity.acknowledged(2400);
-  assert.equal(livenessFailure(machine, at(2501)), null);
+  assert.equal(detectLivenessFailure(machine, at(2501)), 'unacknowledged');
+  machine.connectivity.noteAcknowledgement(2400);
+  assert.equal(detectLivenessFailure(machine, at(2501)), null);
 });
--- a/test/workers/reachability.test.ts
+++ b/test/workers/reachability.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import type { LivenessContext } from '../../src/workers/liveness.ts';
 import type { Machine } from '../../src/workers/machine.ts';
-import { isNearlyAllLost, surveyMachines, zoneTransition } from '../../src/workers/reachability.ts';
+import { hasLostNearlyAll, surveyMachines, decideZoneTransition } from '../../src/workers/reachability.ts';
 import { newMachine } from './fixtures.ts';
 
 const CONTEXT: LivenessContext = {
@@ -16,7 +16,7 @@
 function machinesOf(zone: number, roundTripsAt: readonly number[]): Machine[] {
   return roundTripsAt.map((roundTripAt) => {
     const machine = newMachine(zone);
-    machine.connectivity.acknowledged(roundTripAt);
+    machine.connectivity.noteAcknowledgement(roundTripAt);
     return machine;
   });
 }
@@ -36,20 +36,20 @@
 });
 
 test('a zone is unreachable when most of its machines are missing, and at least three', () => {
-  assert.equal(zoneTransition({ total: 2, missing: 2, inContact: false }, false), 'unchanged');
-  assert.equal(zoneTransition({ total: 6, missing: 3, inContact: true }, false), 'unchanged');
-  assert.equal(zoneTransition({ total: 5, missing: 3, inContact: true }, false), 'becameUnreachable');
+  assert.equal(decideZoneTransition({ total: 2, missing: 2, inContact: false }, false), 'unchanged');
+  assert.equal(decideZoneTransition({ total: 6, missing: 3, inContact: true }, false), 'unchanged');
+  assert.equal(decideZoneTransition({ total: 5, missing: 3, inContact: true }, false), 'becameUnreachable');
 });
 
 test('an unreachable zone is reachable again once a machine is in contact and most are not missing', () => {
-  assert.equal(zoneTransition({ total: 4, missing: 0, inContact: false }, true), 'unchanged');
-  assert.equal(zoneTransition({ total: 5, missing: 3, inContact: true }, true), 'unchanged');
-  assert.equal(zoneTransition({ total: 4, missing: 2, inContact: true }, true), 'becameReachable');
+  assert.equal(decideZoneTransition({ total: 4, missing: 0, inContact: false }, true), 'unchanged');
+  assert.equal(decideZoneTransition({ total: 5, missing: 3, inContact: true }, true), 'unchanged');
+  assert.equal(decideZoneTransition({ total: 4, missing: 2, inContact: true }, true), 'becameReachable');
 });
 
 test('this node seems cut off when three quarters of the machines it was in contact with are missing', () => {
   const zones = new Map();
-  assert.equal(isNearlyAllLost({ zones, contacted: 2, contactLost: 2 }), false);
-  assert.equal(isNearlyAllLost({ zones, contacted: 5, contactLost: 3 }), false);
-  assert.equal(isNearlyAllLost({ zones, contacted: 4, contactLost: 3 }), true);
+  assert.equal(hasLostNearlyAll({ zones, contacted: 2, contactLost: 2 }), false);
+  assert.equal(hasLostNearlyAll({ zones, contacted: 5, contactLost: 3 }), false);
+  assert.equal(hasLostNearlyAll({ zones, contacted: 4, contactLost: 3 }), true);
 });
--- a/test/workers/reconcile.test.ts
+++ b/test/workers/reconcile.test.ts
@@ -4,10 +4,10 @@
 import { Job } from '../../src/jobs/job.ts';
 import {
   applyHeartbeat,
-  commandsFor,
-  isNewer,
-  mayForget,
-  noteResponse,
+  buildCommands,
+  isNewerHeartbeat,
+  canForget,
+  noteStartsInResponse,
 } from '../../src/workers/reconcile.ts';
 import { SEED } from '../helpers.ts';
 import { heartbeat, setup, SPEC, taskStatus } from './fixtures.ts';
@@ -18,8 +18,8 @@
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
   const attempt = assign(0);
   assert.deepEqual(applyHeartbeat(machine, heartbeat(1, 2), false, context), []);
-  assert.equal(commandsFor(machine, true)[0]?.op, 'start');
-  assert.deepEqual(commandsFor(machine, false), [], 'nothing starts without a valid lease');
+  assert.equal(buildCommands(machine, true)[0]?.op, 'start');
+  assert.deepEqual(buildCommands(machine, false), [], 'nothing starts without a valid lease');
   const events = applyHeartbeat(machine, heartbeat(2, 3), false, context);
   assert.deepEqual(
     events.map((event) => event.kind),
@@ -34,8 +34,8 @@
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
   const inDoubt = assign(0);
   inDoubt.decideStop(0);
-  inDoubt.noteStartSent();
-  inDoubt.noteStartSettled(true);
+  inDoubt.noteDirectStartSent();
+  inDoubt.noteDirectStartCompleted(true);
   assert.deepEqual(
     applyHeartbeat(machine, heartbeat(1, 2), false, context),
     [],
@@ -43,9 +43,9 @@
   );
   const attempt = assign(1);
   attempt.decideStop(0);
-  attempt.noteStartSent();
+  attempt.noteDirectStartSent();
   assert.deepEqual(applyHeartbeat(machine, heartbeat(1, 3), false, context), [], 'a command in flight');
-  attempt.noteStartSettled(false);
+  attempt.noteDirectStartCompleted(false);
   assert.deepEqual(
     applyHeartbeat(machine, heartbeat(1, 4), true, context),
     [],
@@ -63,13 +63,13 @@
   const done = taskStatus(3, { phase: 'ended', exitReason: 'done' });
   applyHeartbeat(machine, heartbeat(1, 1, [done]), false, context);
   job.markDone(3);
-  assert.equal(mayForget(attempt), false);
+  assert.equal(canForget(attempt), false);
   job.markChunkDurable(0, job.chunkBits(0));
-  assert.equal(mayForget(attempt), true);
-  attempt.noteStartSent();
-  assert.equal(mayForget(attempt), false);
-  attempt.noteStartSettled(true);
-  assert.equal(mayForget(attempt), false);
+  assert.equal(canForget(attempt), true);
+  attempt.noteDirectStartSent();
+  assert.equal(canForget(attempt), false);
+  attempt.noteDirectStartCompleted(true);
+  assert.equal(canForget(attempt), false);
 });
 
 test('an attempt is not forgotten while a response with its start may still be on its way', () => {
@@ -78,14 +78,14 @@
   const context = { now: 1, jobOf: () => job };
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
   const attempt = assign(0);
-  noteResponse(machine, commandsFor(machine, true));
+  noteStartsInResponse(machine, buildCommands(machine, true));
   const refused = [taskStatus(0, { phase: 'ended', exitReason: 'insufficientResources' })];
   applyHeartbeat(machine, heartbeat(1, 2, refused), true, context);
   assert.ok(attempt.released);
-  assert.deepEqual(commandsFor(machine, true), [], 'known from the answer to a command only');
+  assert.deepEqual(buildCommands(machine, true), [], 'known from the answer to a command only');
   applyHeartbeat(machine, heartbeat(1, 3, refused), false, context);
   assert.equal(
-    commandsFor(machine, true)[0]?.op,
+    buildCommands(machine, true)[0]?.op,
     'forget',
     'its next heartbeat shows that the response is settled',
   );
@@ -105,7 +105,7 @@
         const newer =
           incarnation > newest.incarnation ||
           (incarnation === newest.incarnation && sequence > newest.sequence);
-        assert.equal(isNewer(machine, received), newer);
+        assert.equal(isNewerHeartbeat(machine, received), newer);
         if (!newer) continue;
         applyHeartbeat(machine, received, false, { now: 1, jobOf: () => job });
         newest = { incarnation, sequence };
@@ -122,7 +122,7 @@
   applyHeartbeat(machine, heartbeat(1, 1), false, { now: 1, jobOf: () => job });
   machine.markLeaseExpired();
   assert.equal(machine.leaseExpired, true);
-  assert.equal(isNewer(machine, heartbeat(1, 9)), false);
+  assert.equal(isNewerHeartbeat(machine, heartbeat(1, 9)), false);
   applyHeartbeat(machine, heartbeat(2, 10), false, { now: 5000, jobOf: () => job });
   assert.equal(machine.leaseExpired, false);
   assert.equal(machine.leaseRenewedBefore, 5000);
@@ -134,7 +134,7 @@
   assign(0);
   assign(1);
   assert.deepEqual(
-    commandsFor(machine, true).map((command) => command.task),
+    buildCommands(machine, true).map((command) => command.task),
     [0],
   );
 });
