--- a/src/workers/attempt-deadlines.ts
+++ b/src/workers/attempt-deadlines.ts
@@ -1,22 +1,27 @@
-/** Decides when an attempt that must end, or that its machine can't hold any longer, takes a step of the leader. */
+/** Decides when the leader must act on an attempt that must not run, or whose machine the cloud reclaims. */
 import { DRIFT } from '../base/clock.ts';
 import type { Attempt } from './attempt.ts';
 
-/** From the end of lease renewals: a heartbeat that is being answered and the monitor's own rhythm included. */
+/**
+ * Time that the end of lease renewals may take beside the lease itself: it covers a heartbeat that is being answered
+ * and the interval between two checks of the monitor.
+ */
 const LEASE_EXPIRY_MARGIN_MS = 5000;
-/** Share of the time to cancel within which a start in doubt must be resolved. */
+/** A start in doubt must be resolved within this ratio of the time to cancel. */
 const IN_DOUBT_TIMEOUT_RATIO = 1 / 4;
 
 /** The settings that bound a cancellation, in milliseconds. */
 export interface CancellationTimes {
-  /** So long after the cancellation was confirmed every task of the job must be gone. */
+  /** Time from the confirmation of a cancellation until every task of the job must be gone. */
   cancelMs: number;
+  /** Duration of a machine's lease. */
   leaseMs: number;
 }
 
 /**
- * A start in doubt of a task that must not run: terminating the machine is the only sure end before the lease.
- * An overloaded controller misses answers; only a cancelled task is worth the machine then.
+ * Whether the start of a task that must not run has been in doubt for so long that the machine must be terminated:
+ * before the lease expires, nothing else is certain to prevent the task from running. An overloaded controller misses
+ * answers that workers have sent, so while `overloaded`, only the start of a cancelled task justifies a termination.
  */
 export function isStartInDoubtOverdue(
   attempt: Attempt,
@@ -30,8 +35,10 @@
 }
 
 /**
- * A start in doubt of a cancelled task may be executed for as long as the worker's incarnation lasts. If the cloud
- * hasn't taken the machine back in time, only the expiry of its lease keeps the task within the time to cancel.
+ * Whether the lease of the machine must be left to expire from now on. A start in doubt of a cancelled task may be
+ * executed as long as the worker's incarnation lasts. If the cloud hasn't terminated the machine by now, only the
+ * expiry of its lease ensures that the task is gone within the time to cancel. Each call for such an attempt notes on
+ * it that its start is unwanted.
  */
 export function mustAwaitLeaseExpiry(attempt: Attempt, times: CancellationTimes, now: number): boolean {
   if (!isCancelled(attempt) || attempt.observed || !attempt.startInDoubt || attempt.awaitingLeaseExpiry)
@@ -40,7 +47,7 @@
   return attempt.trackUnwantedStart(now) >= maxUnwantedMs;
 }
 
-/** The cloud reclaims the machine so soon that the task must save its checkpoint now, with `marginS` to spare. */
+/** Whether the cloud reclaims the machine so soon that the task must save a checkpoint now, with `marginS` to spare. */
 export function mustCheckpointNow(attempt: Attempt, marginS: number, now: number): boolean {
   const { reclaimAt } = attempt.machine;
   if (reclaimAt === null || attempt.stopGraceS !== null || !attempt.job) return false;
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -6,28 +6,28 @@
 /** `launching` until the worker has reported the attempt; from then on the phase that it reported last. */
 export type AttemptPhase = 'launching' | TaskPhase;
 
-/** Where an attempt belongs, and when it was decided. */
+/** What identifies an attempt, and when its task was assigned to the machine. */
 export interface AttemptInit {
   readonly machine: Machine;
-  /** null: a task of a job that isn't open, left over from an earlier leader. */
+  /** null: the job isn't open; an earlier leader started the task. */
   readonly job: Job | null;
   readonly jobId: string;
   readonly task: number;
   readonly number: number;
-  /** Milliseconds on the steady clock. */
+  /** In milliseconds on the steady clock. */
   readonly assignedAt: number;
 }
 
 /**
- * One start of a task on a machine, from the decision until the machine has forgotten it.
+ * One start of a task on a machine, from the leader's decision until the worker has forgotten the attempt.
  *
  * Three things are tracked, each with its own transitions:
  *
  * - The life cycle as the worker reports it: `launching`, then the reported phases (`observe`).
- * - Whether the attempt still counts: it is live until `release`, which sets the exit reason and is final. A released
- *   attempt stays with its machine in phase `ended` until the worker may forget it.
- * - The delivery of its start. These flags do not exclude each other: a start can be in flight on a direct connection,
- *   in doubt because of an earlier one, and carried by a heartbeat response, while the attempt is stopped as well.
+ * - Whether the attempt is live: it is until `release`, which sets the exit reason and is final. An attempt released
+ *   because it has ended stays with its machine in phase `ended` until the worker may forget it.
+ * - The delivery of its start. These flags do not exclude each other: a start can be in flight in a direct command, in
+ *   doubt because of an earlier command, and carried by a heartbeat response, while a stop is decided as well.
  */
 export class Attempt {
   readonly machine: Machine;
@@ -35,7 +35,10 @@
   readonly jobId: string;
   readonly task: number;
   readonly number: number;
-  /** When it was decided, or first reported if an earlier leader decided it; milliseconds on the steady clock. */
+  /**
+   * When this leader assigned the task to the machine, or the first report of the attempt if an earlier leader did; in
+   * milliseconds on the steady clock.
+   */
   readonly assignedAt: number;
 
   private currentPhase: AttemptPhase = 'launching';
@@ -48,7 +51,7 @@
   private directStartsInFlightCount = 0;
   private startMayBeExecuted = false;
   private responseMayCarryStart = false;
-  /** When the monitor first found that it may still start though its job is cancelled, or null. */
+  /** When the monitor first found that the task may still start though its job is cancelled, or null. */
   private unwantedStartSinceMs: number | null = null;
   private leaseExpiryAwaited = false;
 
@@ -63,22 +66,22 @@
 
   // ---- life cycle ----
 
-  /** The phase that the worker reported last. */
+  /** The phase that the worker reported last, `launching` before the first report. */
   get phase(): AttemptPhase {
     return this.currentPhase;
   }
 
-  /** The worker has reported it in its present incarnation. */
+  /** Whether the worker's present incarnation has reported the attempt. */
   get observed(): boolean {
     return this.currentPhase !== 'launching';
   }
 
-  /** When it was first reported as running, or as running again; null before. Milliseconds on the steady clock. */
+  /** When the task was last reported to have begun to run, in milliseconds on the steady clock; null before. */
   get runningSince(): number | null {
     return this.runningSinceMs;
   }
 
-  /** The worker reports it in this phase. Returns true if the task has begun to run. */
+  /** Records the phase that the worker reports. Returns true if the task has begun to run. */
   observe(phase: TaskPhase, now: number): boolean {
     const beginsToRun = phase === 'running' && this.currentPhase !== 'running';
     this.currentPhase = phase;
@@ -86,17 +89,17 @@
     return beginsToRun;
   }
 
-  /** It no longer counts: it has ended, or can't be anywhere any more. */
+  /** Whether the attempt is no longer live: it has ended, or can't be on its machine any more. */
   get released(): boolean {
     return this.isReleased;
   }
 
-  /** Why it ended; null while it is live, and if it is gone without having said why. */
+  /** Why the attempt ended; null while it is live, and if it is gone without a reported reason. */
   get exitReason(): ExitReason | null {
     return this.finalExitReason;
   }
 
-  /** Ends its life; the first call decides. Returns false if it had been released before. */
+  /** Ends the live attempt. A later call changes nothing and returns false. */
   release(exitReason: ExitReason | null): boolean {
     if (this.isReleased) return false;
     this.isReleased = true;
@@ -106,79 +109,79 @@
 
   // ---- stop ----
 
-  /** Grace in seconds of the stop that was decided, or null. */
+  /** Grace period in seconds of the stop that was decided, or null. */
   get stopGraceS(): number | null {
     return this.decidedStopGraceS;
   }
 
-  /** Decides that it must stop, or changes the grace of its stop. */
+  /** Decides that the task must stop, or changes the grace period of its stop. */
   decideStop(graceS: number): void {
     this.decidedStopGraceS = graceS;
   }
 
   // ---- delivery of the start ----
 
-  /** Direct commands with its start that are on their way. */
+  /** The number of direct commands with the attempt's start that are in flight. */
   get directStartsInFlight(): number {
     return this.directStartsInFlightCount;
   }
 
-  /** A direct start had no answer: it may be executed as long as the worker's incarnation lasts. */
+  /** Whether a direct start had no answer: it may be executed as long as the worker's incarnation lasts. */
   get startInDoubt(): boolean {
     return this.startMayBeExecuted;
   }
 
-  /** The response to the worker's last heartbeat carried its start, and may still be on its way. */
+  /** Whether the response to the worker's last heartbeat carried the start and may still be on its way. */
   get startInResponse(): boolean {
     return this.responseMayCarryStart;
   }
 
-  /** No direct start can be executed any more that isn't known from a heartbeat. */
+  /** Whether no direct start is in flight or in doubt, so that none can be executed any more. */
   get directStartsSettled(): boolean {
     return !this.startMayBeExecuted && this.directStartsInFlightCount === 0;
   }
 
-  /** Its start leaves on a direct connection. */
+  /** A direct command with the start is sent. */
   noteDirectStartSent(): void {
     this.directStartsInFlightCount += 1;
   }
 
-  /** A direct start is settled; one without an answer may be executed yet. */
+  /** A direct command with the start has completed. If it is `unanswered`, the start is in doubt. */
   noteDirectStartCompleted(unanswered: boolean): void {
     this.directStartsInFlightCount -= 1;
     if (unanswered) this.startMayBeExecuted = true;
   }
 
-  /** The response to a heartbeat carries its start. */
+  /** The response to a heartbeat carries the start. */
   noteStartInResponse(): void {
     this.responseMayCarryStart = true;
   }
 
-  /** A newer heartbeat arrived: the response to the one before was carried out or given up. */
+  /** A newer heartbeat arrived: the worker has carried out the response to the one before, or given it up. */
   noteResponseSettled(): void {
     this.responseMayCarryStart = false;
   }
 
-  // ---- a start that must not happen ----
+  // ---- a start that must not be executed ----
 
-  /** The lease of its machine must expire, as nothing else surely keeps it from starting too late. */
+  /** Whether the machine's lease must expire, as nothing else is certain to prevent a start that is too late. */
   get awaitingLeaseExpiry(): boolean {
     return this.leaseExpiryAwaited;
   }
 
-  /** Tracks that it may still start though it must not; returns for how long that has been known, in milliseconds. */
+  /** Notes that the task may still start though it must not; returns the milliseconds since that was first noted. */
   trackUnwantedStart(now: number): number {
     this.unwantedStartSinceMs ??= now;
     return now - this.unwantedStartSinceMs;
   }
 
-  /** From now on its machine's heartbeats stay unanswered until its lease has expired. */
+  /** From now on the machine's heartbeats stay unanswered until its lease has expired. */
   awaitLeaseExpiry(): void {
     this.leaseExpiryAwaited = true;
   }
 }
 
-/** The key of an attempt among those of its machine. */
+/** The key of an attempt in `Machine.attempts`. */
 export function attemptKey(jobId: string, task: number, number: number): string {
   return `${jobId}/${task}#${number}`;
 }
--- a/src/workers/connectivity.ts
+++ b/src/workers/connectivity.ts
@@ -1,36 +1,39 @@
-/** Whether messages pass between the leader and a worker, in both directions. */
+/** Tracks whether messages pass between the leader and a worker in both directions. */
 import type { Heartbeat } from '../wire/worker.ts';
 
-/** What it takes to judge whether a heartbeat shows that messages pass in both directions. */
+/** What the assessment of a heartbeat depends on. */
 export interface ConnectivityContext {
-  /** It came as the answer to a direct request. */
+  /** The heartbeat is the answer to a direct request. */
   direct: boolean;
   /** The leader's own fencing token. */
   term: number;
-  /** Milliseconds on the steady clock. */
+  /** In milliseconds on the steady clock. */
   now: number;
   leaseMs: number;
   heartbeatIntervalMs: number;
 }
 
-/** What was known of a worker before a heartbeat of it arrived. */
+/** What was known of a worker before its heartbeat is applied. */
 interface PreviousWorkerState {
   readonly incarnation: number;
   readonly fencingToken: number;
   readonly leaseRenewedBefore: number;
 }
 
-/** Heartbeat intervals for which a worker may go on with an older fencing token though it is answered. */
+/** Heartbeat intervals for which the heartbeats of a worker still count as contact though they show an older token. */
 const MAX_TOKEN_BEHIND_INTERVALS = 2;
 
-/** When messages of a worker arrived, and the signs that ours reach it. Times are in milliseconds on the steady clock. */
+/**
+ * When messages of a worker arrived, and whether there are signs that ours reach the worker. Times are in milliseconds
+ * on the steady clock.
+ */
 export class Connectivity {
   private messageAt = -Infinity;
   private heartbeatAt = -Infinity;
   private roundTripAt = -Infinity;
   private failedProbeCount = 0;
   private missedAcknowledgementCount = 0;
-  /** When it first reported a token older than ours, though it had been answered. */
+  /** When the worker first reported a token older than ours, or null. */
   private tokenBehindSince: number | null = null;
 
   /** When a heartbeat, or the answer to a direct request, last arrived; -Infinity before. */
@@ -38,36 +41,36 @@
     return this.messageAt;
   }
 
-  /** When a newer heartbeat of its own last arrived: only such heartbeats renew its lease. */
+  /** When a newer heartbeat that wasn't requested last arrived; only the answers to such heartbeats renew the lease. */
   get lastHeartbeatAt(): number {
     return this.heartbeatAt;
   }
 
-  /** The last sign that messages pass in both directions. */
+  /** When there was last a sign that messages pass in both directions. */
   get lastRoundTripAt(): number {
     return this.roundTripAt;
   }
 
-  /** Probes in a row without an answer. */
+  /** The number of unanswered probes since the last contact. */
   get failedProbes(): number {
     return this.failedProbeCount;
   }
 
   /**
-   * Signs in a row that our messages don't reach it: commands without an answer, an incarnation that ended though its
-   * heartbeats were answered.
+   * The number of signs, since the last acknowledgement, that our messages don't reach the worker: commands without an
+   * answer, and incarnations that ended though their heartbeats were answered.
    */
   get missedAcknowledgements(): number {
     return this.missedAcknowledgementCount;
   }
 
-  /** A newer message arrived; `direct`: as the answer to a direct request. */
+  /** A newer message of the worker arrived; `direct`: as the answer to a direct request. */
   noteMessage(direct: boolean, now: number): void {
     this.messageAt = now;
     if (!direct) this.heartbeatAt = now;
   }
 
-  /** It answered a direct request, so messages pass in both directions. */
+  /** The worker answered a direct request, or a start has reached it: messages pass in both directions. */
   noteAcknowledgement(now: number): void {
     this.missedAcknowledgementCount = 0;
     this.failedProbeCount = 0;
@@ -84,15 +87,16 @@
     this.failedProbeCount += 1;
   }
 
-  /** It is in contact again without having been asked. */
+  /** The worker is in contact, so it need not be probed. */
   clearFailedProbes(): void {
     this.failedProbeCount = 0;
   }
 
   /**
-   * A heartbeat shows that the worker's messages arrive, not that ours do. A heartbeat of its own counts as contact
-   * only while nothing says that responses and commands don't reach it; a machine that reported and received nothing
-   * once kept its tasks waiting for starts that never came.
+   * Assesses whether a newer heartbeat shows that messages pass in both directions; to be called before the heartbeat
+   * is applied. A heartbeat shows only that the worker's messages arrive here, so it counts as contact only while there
+   * is no sign that our responses and commands don't reach the worker. Otherwise the tasks of a machine that sends
+   * heartbeats and receives nothing would wait for starts that never arrive.
    */
   assessHeartbeat(
     previous: PreviousWorkerState,
@@ -101,12 +105,13 @@
   ): void {
     const { direct, term, now, leaseMs, heartbeatIntervalMs } = context;
     if (direct) return;
-    // Incarnations end when responses stay away for a lease. Ours were sent: they didn't arrive, or it hung that long.
+    // A worker ends its incarnation when it receives no response for the duration of the lease. Ours were sent within
+    // that time, so they were lost, or the worker hung that long.
     const answered = now - previous.leaseRenewedBefore < leaseMs;
     const restarted = previous.incarnation > 0 && heartbeat.incarnation > previous.incarnation;
     if (restarted && answered) this.missedAcknowledgementCount += 1;
     if (heartbeat.fencingToken === term) {
-      // The first heartbeat with our token shows that a response arrived.
+      // The first heartbeat with our token shows that a message of ours has reached the worker.
       if (previous.fencingToken !== term) this.missedAcknowledgementCount = 0;
       if (this.missedAcknowledgementCount === 0) this.roundTripAt = now;
       return;
--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -1,55 +1,59 @@
 /**
- * Decides whether a task that ended with `error` points to its job or to its machine.
+ * Attributes the failures of tasks that ended with `error` to their job or to their machine.
  *
- * A job that was submitted with a mistake fails on every machine; a faulty machine fails the tasks of many jobs,
- * which succeed elsewhere. The rule:
+ * A job that was submitted with a mistake fails on every machine. On a faulty machine the tasks of many jobs fail, and
+ * succeed on other machines. The rules:
  *
- * - A job is *failing* once it has failed on `FAILING_MACHINES` different machines and none of its tasks has ever
- *   succeeded. A failing job is evidence against no machine.
+ * - A job is *failing* once it has failed on `MIN_FAILING_MACHINES` different machines and none of its tasks has ever
+ *   succeeded. The failures of a failing job are no evidence against a machine.
  * - A failure is *proof* against a machine if a task of the same job has succeeded on another machine, before or after
- *   it. A machine with proof from `FAULTY_JOBS` jobs is *faulty*: it is terminated.
+ *   it. A machine with proof from `MIN_FAULTY_JOBS` jobs is *faulty*: it is terminated.
  * - A failure is a *suspicion* while the job has failed on no other machine. A machine with proof or suspicion from
- *   `QUARANTINE_JOBS` jobs in all is *quarantined*: it takes no new tasks until `QUARANTINE_MS` after its last failure.
- * - Attempts after failures without a success between them are spaced by `retryDelayMs`. Failures of attempts that
- *   were in progress at the same time count as one.
+ *   `MIN_QUARANTINE_JOBS` jobs in all is *quarantined*: it takes no new tasks until `QUARANTINE_MS` after its last
+ *   failure.
+ * - A job's retries wait for `computeRetryDelayMs`, which grows with each failure since the job's last success. Failures
+ *   of attempts that were in progress at the same time count as one.
  *
- * The history lives in the leader's memory. A new leader learns it anew, which costs a failing job a few attempts.
+ * The history is kept in the leader's memory. A new leader starts without it, which costs a failing job a few attempts.
  */
 
-/** Different machines on which a job without any success fails before the fault is taken to be its own. */
+/** Different machines on which a job without any success must fail to count as failing. */
 export const MIN_FAILING_MACHINES = 3;
-/** Jobs whose failures prove a machine to be faulty. */
+/** Jobs with proof against a machine that make it faulty. */
 const MIN_FAULTY_JOBS = 2;
-/** Jobs whose failures, proven or not, quarantine a machine. */
+/** Jobs with proof or suspicion against a machine that quarantine it. */
 const MIN_QUARANTINE_JOBS = 3;
-/** How long after its last failure a quarantined machine takes no new tasks, in milliseconds. */
+/** How long after its last failure a quarantined machine takes no new tasks. */
 const QUARANTINE_MS = 60_000;
-/** Delay of the second retry, in milliseconds; the first one is made at once, on another machine. */
+/** Delay of the second retry; the first retry is made at once, on another machine. */
 const RETRY_BASE_DELAY_MS = 2000;
-/** Greatest delay between two attempts, in milliseconds. */
+/** Greatest delay of a retry after the failure before it. */
 export const MAX_RETRY_DELAY_MS = 60_000;
-/** Doublings of the delay that are ever counted; the greatest delay is reached long before. */
+/** Greatest number of doublings of the delay that are computed; the greatest delay is reached after fewer. */
 const MAX_RETRY_DOUBLINGS = 16;
 
-/** What is remembered of one job's attempts. Machines are given by index. */
+/** The failures and successes of one job's attempts. Machines are given by index. */
 export interface JobFailures {
-  /** Machines on which a task of it has ended with `error`. */
+  /** Machines on which a task of the job has ended with `error`. */
   readonly failedOn: Set<number>;
-  /** A task of it was done under an earlier leader, on a machine that isn't known. */
+  /**
+   * The store holds the completion of a task of the job. That is all that a new leader knows of successes under earlier
+   * leaders: it doesn't know the machines.
+   */
   hasDurableSuccess: boolean;
-  /** The first machine on which a task of it was done, or null. */
+  /** The first machine on which a task of the job was done, or null. */
   succeededOn: number | null;
-  /** Tasks were done on more than one machine. */
+  /** Tasks of the job were done on more than one machine. */
   succeededOnSeveral: boolean;
-  /** Failures since the last success, those of simultaneous attempts counted once. */
+  /** Failures since the last success; those of attempts that were in progress at the same time count as one. */
   failureCount: number;
   /** Time of the last failure that was counted, in milliseconds on the steady clock. */
   lastFailureAt: number;
 }
 
-/** What is remembered of one machine's failures. */
+/** The failures of tasks on one machine. */
 export interface MachineFailures {
-  /** Jobs that have failed on it. */
+  /** Jobs of which a task has failed on the machine. */
   readonly jobs: Set<JobFailures>;
   /** Time of the last failure, in milliseconds on the steady clock. */
   lastFailureAt: number;
@@ -62,14 +66,14 @@
   readonly machineIndex: number;
   /** When the attempt was assigned to the machine. */
   readonly assignedAt: number;
-  /** When it ended. */
+  /** When the attempt ended. */
   readonly now: number;
 }
 
-/** What a machine's failures say of it: a quarantined one takes no new tasks, a faulty one is terminated. */
+/** State of a machine by its failures: a quarantined machine takes no new tasks, a faulty one is terminated. */
 export type MachineHealth = 'healthy' | 'quarantined' | 'faulty';
 
-/** The history of a job that has neither failed nor succeeded. */
+/** Creates the history of a job that has neither failed nor succeeded. */
 export function createJobFailures(): JobFailures {
   return {
     failedOn: new Set(),
@@ -81,7 +85,7 @@
   };
 }
 
-/** The history of a machine on which nothing has failed. */
+/** Creates the history of a machine on which no task has failed. */
 export function createMachineFailures(): MachineFailures {
   return { jobs: new Set(), lastFailureAt: -Infinity };
 }
@@ -104,13 +108,13 @@
   else if (job.succeededOn !== machineIndex) job.succeededOnSeveral = true;
 }
 
-/** The job fails wherever it is tried. */
+/** Whether the job's failures are attributed to the job itself, as it fails on every machine. */
 export function isFailing(job: JobFailures): boolean {
   const succeeded = job.hasDurableSuccess || job.succeededOn !== null;
   return !succeeded && job.failedOn.size >= MIN_FAILING_MACHINES;
 }
 
-/** How long the job's next attempt waits after its last failure, in milliseconds. */
+/** Computes how long the job's next attempt waits after its last failure, in milliseconds. */
 export function computeRetryDelayMs(job: JobFailures): number {
   if (job.failureCount <= 1) return 0;
   const doublings = Math.min(MAX_RETRY_DOUBLINGS, job.failureCount - 2);
@@ -121,7 +125,7 @@
   return job.succeededOnSeveral || (job.succeededOn !== null && job.succeededOn !== machineIndex);
 }
 
-/** Judges a machine by its failures, at `now` in milliseconds on the steady clock. */
+/** Assesses a machine by its failures. `now`: in milliseconds on the steady clock. */
 export function assessMachineHealth(
   machine: MachineFailures,
   machineIndex: number,
--- a/src/workers/image-cache.ts
+++ b/src/workers/image-cache.ts
@@ -1,11 +1,14 @@
-/** What is known of the container images on one machine, and of the fetches under way. */
+/**
+ * The container images on one machine and the fetches in progress, as far as the leader can tell. Times are in
+ * milliseconds on the steady clock.
+ */
 export class ImageCache {
-  /** Images that the machine has or fetches, with the time at which each is expected to be there. */
+  /** The expected time of completion of each image that the machine has or fetches. */
   private readonly readyAtByImage = new Map<string, number>();
-  /** When all fetches under way are expected to be complete; -Infinity before the first one. */
+  /** When all fetches in progress are expected to be complete; -Infinity before the first one. */
   private fetchesEndAt = -Infinity;
 
-  /** When all fetches under way are expected to be complete, in milliseconds on the steady clock. */
+  /** When all fetches in progress are expected to be complete; -Infinity before the first one. */
   get fetchingUntil(): number {
     return this.fetchesEndAt;
   }
@@ -15,7 +18,7 @@
     return this.readyAtByImage.keys();
   }
 
-  /** When the image is expected to be there; undefined if it is neither there nor being fetched. */
+  /** When the image is expected to be complete; undefined if the machine neither has nor fetches it. */
   getReadyAt(image: string): number | undefined {
     return this.readyAtByImage.get(image);
   }
@@ -24,24 +27,24 @@
     return this.readyAtByImage.has(image);
   }
 
-  /** The image is on the machine, as a task that uses it shows. */
+  /** The image is on the machine: the phase of a task that uses it shows that. */
   notePresent(image: string, now: number): void {
     this.readyAtByImage.set(image, now);
   }
 
-  /** A fetch begins after those under way; it takes `durationMs`. */
+  /** A fetch that takes `durationMs` begins once those in progress are complete. */
   noteFetch(image: string, durationMs: number, now: number): void {
     this.fetchesEndAt = Math.max(now, this.fetchesEndAt) + durationMs;
     this.readyAtByImage.set(image, this.fetchesEndAt);
   }
 
-  /** The fetch of an image is given up. */
+  /** The worker gives up the fetch of an image. */
   abandonFetch(image: string, now: number): void {
     this.readyAtByImage.delete(image);
     this.fetchesEndAt = Math.max(now, ...this.readyAtByImage.values());
   }
 
-  /** The worker has lost what it had. */
+  /** The worker has lost all images. */
   clear(): void {
     this.readyAtByImage.clear();
   }
--- a/src/workers/liveness.ts
+++ b/src/workers/liveness.ts
@@ -1,46 +1,47 @@
-/** Decides from the state of a machine and the time whether its worker is alive, in contact, and under a lease. */
+/** Decides from the state of a machine and the time whether its worker is alive, in contact, and holds a lease. */
 import { DRIFT } from '../base/clock.ts';
 import type { Machine } from './machine.ts';
 
 /**
- * In a network partition all machines miss a heartbeat, one after the other: the first of them must not be given up
- * before the others count as missing.
+ * Heartbeat intervals of silence after which a machine that was in contact counts as missing. In a network partition
+ * all machines miss a heartbeat, one after the other within an interval: the first of them must not be given up before
+ * the others count as missing.
  */
 const MISSING_AFTER_INTERVALS = 1.4;
 /** Heartbeat intervals of silence after which a machine is probed. */
 const PROBE_AFTER_INTERVALS = 1.5;
-/** Added to a lease for the time that messages take. */
+/** Added to the duration of a lease for the time that messages take. */
 const MESSAGE_DELAY_ALLOWANCE_MS = 500;
 
-/** The time of a check and what silence is measured by, in milliseconds. */
+/** The time of a check and the bounds of silence, in milliseconds; times are on the steady clock. */
 export interface LivenessContext {
   now: number;
-  /** Silence before this says nothing: this controller was not there to listen, or not the leader yet. */
+  /** Silence before this time doesn't count: the process was paused, or this controller was not the leader yet. */
   listeningSince: number;
   /** Interval between two heartbeats. */
   heartbeatIntervalMs: number;
-  /** Silence after which a machine that answers no probe either is given up. */
+  /** Silence after which a machine is given up if it also leaves a probe unanswered. */
   unresponsiveAfterMs: number;
 }
 
-/** The worker's lease has surely expired, on its own clock too. */
+/** Whether the worker's lease has surely expired, by the worker's own clock too. */
 export function hasLeaseExpired(machine: Machine, leaseMs: number, now: number): boolean {
   return now > machine.leaseRenewedBefore + leaseMs * (1 + DRIFT) + MESSAGE_DELAY_ALLOWANCE_MS;
 }
 
-/** How long there has been no sign that messages to and from the machine arrive, in milliseconds. */
+/** Computes how long there has been no sign that messages pass in both directions, in milliseconds. */
 export function computeSilenceMs(machine: Machine, context: LivenessContext): number {
   return context.now - Math.max(machine.connectivity.lastRoundTripAt, context.listeningSince);
 }
 
-/** There has been a sign of contact since this controller listens. */
+/** Whether messages have passed in both directions since `listeningSince`. */
 export function hasBeenInContact(machine: Machine, context: LivenessContext): boolean {
   return machine.connectivity.lastRoundTripAt > context.listeningSince;
 }
 
 /**
- * The machine misses heartbeats. Those that a new leader has never been in contact with may still be with the last
- * one: they get longer, and are probed.
+ * Whether the machine misses heartbeats. A worker that a new leader has not been in contact with yet may still send its
+ * heartbeats to the last leader, so its machine counts as missing only after a longer silence and a failed probe.
  */
 export function isMissing(machine: Machine, context: LivenessContext): boolean {
   const silence = computeSilenceMs(machine, context);
@@ -49,7 +50,7 @@
   return silence > context.unresponsiveAfterMs && machine.connectivity.failedProbes > 0;
 }
 
-/** There is reason to ask the worker directly whether it is alive and receives our messages. */
+/** Whether the worker must be asked directly if it is alive and receives our messages. */
 export function needsProbe(machine: Machine, context: LivenessContext): boolean {
   return (
     computeSilenceMs(machine, context) > context.heartbeatIntervalMs * PROBE_AFTER_INTERVALS ||
@@ -58,8 +59,8 @@
 }
 
 /**
- * Why a machine is to be given up, or null if it isn't: `unresponsive` if nothing arrives from it, `unacknowledged` if
- * its heartbeats arrive and our messages don't reach it.
+ * Detects whether a machine is to be given up, and why: `unresponsive` if nothing arrives from its worker,
+ * `unacknowledged` if messages of the worker arrive and ours don't reach it. Returns null if the machine is to be kept.
  */
 export function detectLivenessFailure(
   machine: Machine,
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -151,12 +151,6 @@
   return { put: key, value: { m: entries } };
 }
 
-function computeEntryBytes(identity: MachineIdentity): number {
-  return (
-    identity.name.length +
-    identity.address.length +
-    identity.machineType.length +
-    identity.zone.length +
-    ENTRY_OVERHEAD_BYTES
-  );
+function computeEntryBytes(id: MachineIdentity): number {
+  return id.name.length + id.address.length + id.machineType.length + id.zone.length + ENTRY_OVERHEAD_BYTES;
 }
