--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -11,8 +11,8 @@
  * - A failure is a *suspicion* while the job has failed on no other machine. A machine with proof or suspicion from
  *   `MIN_QUARANTINE_JOBS` jobs in all is *quarantined*: it takes no new tasks until `QUARANTINE_MS` after its last
  *   failure.
- * - A job's retries wait for `computeRetryDelayMs`, which grows with each failure since the job's last success. Failures
- *   of attempts that were in progress at the same time count as one.
+ * - A job's retries wait for `computeRetryDelayMs`, which grows with each failure since the job's last success.
+ *   Failures of attempts that were in progress at the same time count as one.
  *
  * The history is kept in the leader's memory. A new leader starts without it, which costs a failing job a few attempts.
  */
--- a/src/workers/image-cache.ts
+++ b/src/workers/image-cache.ts
@@ -3,7 +3,7 @@
  * milliseconds on the steady clock.
  */
 export class ImageCache {
-  /** The expected time of completion of each image that the machine has or fetches. */
+  /** When each image that the machine has or fetches is expected to be complete. */
   private readonly readyAtByImage = new Map<string, number>();
   /** When all fetches in progress are expected to be complete; -Infinity before the first one. */
   private fetchesEndAt = -Infinity;
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -11,42 +11,48 @@
   m: z.array(z.tuple([z.string(), z.string(), z.string(), z.string(), z.boolean()])),
 });
 
-/** Upper bound of the bytes of an entry beside its strings. */
-const ENTRY_OVERHEAD_BYTES = 20;
+/** Upper bound of the size of an entry without its strings. */
+const MAX_ENTRY_OVERHEAD_BYTES = 20;
 
+/** One page: a value of the store with the entries of many machines. */
 interface Page {
   readonly index: number;
+  /** By machine name. */
   readonly entries: Map<string, MachineIdentity>;
+  /** Approximate size of the stored value. */
   bytes: number;
-  /** Whether it changed since the last write began, and whether by removals alone, which can wait. */
+  /** How the page has changed since its last write began. Removals alone are no reason for an urgent write. */
   changed: 'no' | 'removalsOnly' | 'added';
   writing: boolean;
-  /** Called once the next write of the page is durable. */
+  /** Callbacks for when the next write of the page is durable. */
   onDurable: (() => void)[];
 }
 
 /** What the registry needs of the leader. */
 export interface MachineRegistryDeps {
-  /** Pages stay below this, so that a change rewrites little and a value is never too long. */
+  /** Maximum size of a page, so that a mutation rewrites little and a value is never too long for the store. */
   pageBytes: number;
-  /** Queues a write; an urgent one is the condition of starts, another can wait. */
+  /** Queues a write. Tasks can't start before an urgent write is durable; others can wait. */
   enqueueWrite(write: ReadyWrite, urgent: boolean): void;
-  /** Queues a command of the single writer. */
+  /** Queues a command for the single writer of the leader's state. */
   enqueue(command: () => void): void;
 }
 
 /**
- * The machines that may hold tasks, as the store knows them: many to a value. One value a machine used up the
- * store's budget of writes for a minute whenever some hundred machines sent their first heartbeat. A machine is in a
- * durable page before its first task, and until it surely holds none.
+ * The machines that may hold tasks, in pages of many machines each. With one value per machine, the first heartbeats of
+ * some hundred machines would use up the store's write budget for a minute. A machine is in a durable page before its
+ * first task starts, and until it surely holds no task.
  */
 export class MachineRegistry {
   private readonly pages: Page[] = [];
-  private readonly pageByName = new Map<string, Page>();
+  private readonly pageOfMachine = new Map<string, Page>();
 
   constructor(private readonly deps: MachineRegistryDeps) {}
 
-  /** Restores what an earlier leader wrote, and returns its machines. `onMalformed` is told the keys of bad pages. */
+  /**
+   * Restores the pages that an earlier leader wrote, and returns their machines. `onMalformed` is called with the key
+   * of each page that can't be decoded.
+   */
   restore(items: readonly Item[], onMalformed: (key: string) => void): MachineIdentity[] {
     const restored: MachineIdentity[] = [];
     for (const item of items) {
@@ -56,18 +62,18 @@
         onMalformed(item.key);
         continue;
       }
-      const page = this.ensurePage(index);
+      const page = this.getOrCreatePage(index);
       for (const [name, address, machineType, zone, spot] of record.data.m) {
         const identity = { name, address, machineType, zone, spot };
-        this.putEntry(page, identity);
+        this.setEntry(page, identity);
         restored.push(identity);
       }
     }
     return restored;
   }
 
-  /** The page of this index; it and all before it are created if need be. */
-  private ensurePage(index: number): Page {
+  /** The page of this index. Creates that page, and those before it, if they don't exist. */
+  private getOrCreatePage(index: number): Page {
     for (let next = this.pages.length; next <= index; next++) {
       this.pages.push({
         index: next,
@@ -81,39 +87,40 @@
     return required(this.pages[index], 'page');
   }
 
-  private ensurePageWithRoom(bytes: number): Page {
-    const pageWithRoom = this.pages.find((page) => page.bytes + bytes <= this.deps.pageBytes);
-    return pageWithRoom ?? this.ensurePage(this.pages.length);
+  /** The first page with space for `bytes` more, or a new one if all are full. */
+  private findPageWithSpace(bytes: number): Page {
+    const pageWithSpace = this.pages.find((page) => page.bytes + bytes <= this.deps.pageBytes);
+    return pageWithSpace ?? this.getOrCreatePage(this.pages.length);
   }
 
-  private putEntry(page: Page, identity: MachineIdentity): void {
+  private setEntry(page: Page, identity: MachineIdentity): void {
     page.entries.set(identity.name, identity);
-    page.bytes += computeEntryBytes(identity);
-    this.pageByName.set(identity.name, page);
+    page.bytes += entryBytes(identity);
+    this.pageOfMachine.set(identity.name, page);
   }
 
-  /** Adds a machine with the next flush; calls back once the store holds it. */
+  /** Adds a machine, to be written with the next flush. Calls `onDurable` once that write is durable. */
   register(identity: MachineIdentity, onDurable: () => void): void {
-    let page = this.pageByName.get(identity.name);
+    let page = this.pageOfMachine.get(identity.name);
     if (!page) {
-      page = this.ensurePageWithRoom(computeEntryBytes(identity));
-      this.putEntry(page, identity);
+      page = this.findPageWithSpace(entryBytes(identity));
+      this.setEntry(page, identity);
     }
     page.changed = 'added';
     page.onDurable.push(onDurable);
   }
 
-  /** Removes a machine that surely holds nothing any more. */
+  /** Removes a machine that surely holds no tasks any more. */
   remove(name: string): void {
-    const page = this.pageByName.get(name);
+    const page = this.pageOfMachine.get(name);
     if (!page) return;
-    this.pageByName.delete(name);
-    page.bytes -= computeEntryBytes(required(page.entries.get(name), 'entry of a registered machine'));
+    this.pageOfMachine.delete(name);
+    page.bytes -= entryBytes(required(page.entries.get(name), 'entry of a registered machine'));
     page.entries.delete(name);
     if (page.changed === 'no') page.changed = 'removalsOnly';
   }
 
-  /** Writes the pages that changed; those with removals alone only while the writer has nothing else to do: `idle`. */
+  /** Queues the writes of changed pages; if removals alone changed a page, only while the writer is `idle`. */
   flush(idle: boolean): void {
     for (const page of this.pages) {
       if (page.writing || page.changed === 'no') continue;
@@ -151,6 +158,9 @@
   return { put: key, value: { m: entries } };
 }
 
-function computeEntryBytes(id: MachineIdentity): number {
-  return id.name.length + id.address.length + id.machineType.length + id.zone.length + ENTRY_OVERHEAD_BYTES;
+/** Approximate size of a machine's entry in the stored value of its page. */
+function entryBytes(id: MachineIdentity): number {
+  return (
+    id.name.length + id.address.length + id.machineType.length + id.zone.length + MAX_ENTRY_OVERHEAD_BYTES
+  );
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -5,35 +5,35 @@
 import { createMachineFailures } from './failure-attribution.ts';
 import { ImageCache } from './image-cache.ts';
 
-/** What a machine is, as its worker reports it and the machine registry keeps it. */
+/** The fixed properties of a machine, as its worker reports them and the machine registry stores them. */
 export interface MachineIdentity {
   name: string;
-  /** Host and port of its worker. */
+  /** Host and port of the machine's worker. */
   address: string;
   machineType: string;
   zone: string;
   spot: boolean;
 }
 
-/** How a machine enters the leader's state. */
+/** What the leader knows of a machine when it adds the machine to its state. */
 export interface MachineInit {
   /** Dense index among all machines of this leadership. */
   index: number;
   identity: MachineIdentity;
-  /** Index of its type in the catalog. */
+  /** Index of the machine type in the catalog. */
   type: number;
-  /** Index of its zone. */
+  /** Index of the zone. */
   zone: number;
-  /** Milliseconds on the steady clock, as are all times of a machine. */
+  /** In milliseconds on the steady clock, as are all times of a machine. */
   now: number;
-  /** Upper bound for when anyone may have answered a heartbeat of it. */
+  /** Upper bound of the time at which any controller last answered a heartbeat of the machine. */
   leaseRenewedBefore: number;
 }
 
-/** Whether the machine registry holds a machine; `queued`: its write has been requested and isn't durable yet. */
+/** Whether the machine registry holds a machine; `queued`: its write is requested and not durable yet. */
 type RegistrationState = 'unregistered' | 'queued' | 'registered';
 
-/** One machine, as far as its worker's messages and the leader's own decisions tell. Fields are grouped by concern. */
+/** One machine, as known from its worker's messages and the leader's own decisions. Members are grouped by concern. */
 export class Machine {
   // ---- identity ----
 
@@ -63,7 +63,7 @@
 
   // ---- tasks ----
 
-  /** Attempts that may be on it or that its worker still remembers, by `attemptKey`. */
+  /** Attempts that may be on the machine or that its worker hasn't forgotten yet, by `attemptKey`. */
   readonly attempts = new Map<string, Attempt>();
   readonly failures = createMachineFailures();
   private idleFrom: number;
@@ -89,7 +89,7 @@
 
   // ---- connectivity ----
 
-  /** Judges by a heartbeat whether messages pass in both directions; to be called before the heartbeat is applied. */
+  /** Assesses by a heartbeat whether messages pass in both directions; to be called before the heartbeat is applied. */
   assessConnectivity(
     heartbeat: Pick<Heartbeat, 'fencingToken' | 'incarnation'>,
     context: ConnectivityContext,
@@ -114,27 +114,28 @@
     return this.highestFencingToken;
   }
 
-  /** The lease of the present incarnation has surely expired: nothing of it counts any more. */
+  /** Whether the lease of the present incarnation has surely expired, so that no heartbeat of it counts any more. */
   get leaseExpired(): boolean {
     return this.isLeaseExpired;
   }
 
-  /** Upper bound for when anyone last answered a heartbeat of it: its lease counts from before that. */
+  /** Upper bound of the time at which any controller last renewed the lease by answering a heartbeat. */
   get leaseRenewedBefore(): number {
     return this.renewedBefore;
   }
 
-  /** When the cloud reclaims the machine, by its interruption notice; null without one. */
+  /** When the cloud will reclaim the machine, by its interruption notice; null without a notice. */
   get reclaimAt(): number | null {
     return this.reclaimAtMs;
   }
 
-  /** The worker has started anew: it has no tasks and no images. */
+  /** The worker has begun a new incarnation, without tasks and images. */
   beginIncarnation(incarnation: number, now: number): void {
     this.knownIncarnation = incarnation;
     this.isLeaseExpired = false;
-    // The lease of an incarnation counts from its start at the latest, and it had started when this was sent. Without
-    // this, the end of the old one's lease was taken for the end of the new one's, and its tasks for lost.
+    // The lease of an incarnation counts from its start at the latest, and the incarnation had started when the worker
+    // sent the heartbeat that is being applied. Without this bound, the expiry of the old incarnation's lease would be
+    // taken for the expiry of the new one's, and the tasks of the new incarnation for lost.
     this.noteLeaseRenewal(now);
     this.images.clear();
   }
@@ -147,16 +148,16 @@
     this.reclaimAtMs =
       heartbeat.interruptionNoticeS === null ? null : now + heartbeat.interruptionNoticeS * 1000;
     if (direct) return;
-    // A worker has one heartbeat in flight: the responses to all earlier ones were carried out or given up.
+    // A worker has one heartbeat in flight at a time, so it has carried out or given up the responses to earlier ones.
     for (const attempt of this.attempts.values()) attempt.noteResponseSettled();
   }
 
-  /** Its lease may have been renewed by a heartbeat that was answered up to `before`. */
+  /** A heartbeat that was answered at `before` or earlier may have renewed the lease. */
   noteLeaseRenewal(before: number): void {
     this.renewedBefore = Math.max(this.renewedBefore, before);
   }
 
-  /** The lease has surely expired, so nothing that any leader started is left on it. */
+  /** The lease has surely expired, so no task that any leader started is left on the machine. */
   markLeaseExpired(): void {
     this.isLeaseExpired = true;
     this.isReconciled = true;
@@ -164,69 +165,69 @@
 
   // ---- registration ----
 
-  /** Written to the machine registry: the condition of its first start. */
+  /** Whether the machine registry holds the machine durably, without which no task may start on it. */
   get registered(): boolean {
     return this.registration === 'registered';
   }
 
-  /** It is to be written to the machine registry, and nobody has begun to. */
+  /** Whether the machine's write to the machine registry is still to be queued. */
   get needsRegistration(): boolean {
     return this.registration === 'unregistered';
   }
 
-  /** Its write to the machine registry is queued. */
+  /** The machine's write to the machine registry is queued. */
   markRegistrationQueued(): void {
     this.registration = 'queued';
   }
 
-  /** The machine registry holds it durably. */
+  /** The machine registry holds the machine durably. */
   markRegistered(): void {
     this.registration = 'registered';
   }
 
-  /** Nothing that an earlier leader started can be on it without being known. */
+  /** Whether all tasks that an earlier leader may have started on the machine are known. */
   get reconciled(): boolean {
     return this.isReconciled;
   }
 
-  /** Its worker has shown all that it holds, under our fencing token. */
+  /** The worker has reported all its tasks under our fencing token. */
   markReconciled(): void {
     this.isReconciled = true;
   }
 
-  /** It is being returned to the cloud and takes no new tasks. */
+  /** Whether the machine is being returned to the cloud and takes no new tasks. */
   get terminating(): boolean {
     return this.isTerminating;
   }
 
-  /** Its termination is requested; that is never taken back. */
+  /** The termination of the machine is requested, which is never taken back. */
   markTerminating(): void {
     this.isTerminating = true;
   }
 
   // ---- direct commands ----
 
-  /** A direct command is on its way; there is one at a time. */
+  /** Whether direct commands are in flight; at most one message of them is at a time. */
   get commandInFlight(): boolean {
     return this.isCommandInFlight;
   }
 
-  /** Earliest time of the next direct command. */
+  /** Earliest time of the next message of direct commands. */
   get commandNotBefore(): number {
     return this.earliestCommandAt;
   }
 
-  /** What it is to be told can't wait: no pause is kept before the next direct command. */
+  /** New commands can't wait: ends the pause before the next direct commands. */
   expediteCommand(): void {
     this.earliestCommandAt = 0;
   }
 
-  /** A direct command leaves. */
+  /** Direct commands are sent. */
   beginCommand(): void {
     this.isCommandInFlight = true;
   }
 
-  /** The direct command is settled; the next one may leave at `notBefore`. */
+  /** The direct commands have completed; the next ones may be sent at `notBefore` or later. */
   endCommand(notBefore: number): void {
     this.isCommandInFlight = false;
     this.earliestCommandAt = notBefore;
@@ -234,31 +235,31 @@
 
   // ---- tasks ----
 
-  /** Since when no task has been on it. */
+  /** Since when the machine has had no tasks. */
   get idleSince(): number {
     return this.idleFrom;
   }
 
-  /** The last task has left. */
+  /** The last task on the machine has ended. */
   noteIdle(now: number): void {
     this.idleFrom = now;
   }
 
-  /** Attempts that hold resources. */
+  /** The attempts that are not released, so that they hold resources. */
   liveAttempts(): Attempt[] {
     const found: Attempt[] = [];
     for (const attempt of this.attempts.values()) if (!attempt.released) found.push(attempt);
     return found;
   }
 
-  /** The number of attempts that hold resources. */
+  /** The number of attempts that are not released. */
   get liveAttemptCount(): number {
     let count = 0;
     for (const attempt of this.attempts.values()) if (!attempt.released) count += 1;
     return count;
   }
 
-  /** Its heartbeats are not to be answered, so that its lease expires. */
+  /** Whether the machine's heartbeats must stay unanswered, so that its lease expires. */
   get awaitingLeaseExpiry(): boolean {
     for (const attempt of this.attempts.values()) {
       if (attempt.awaitingLeaseExpiry && !attempt.observed && !attempt.released) return true;
@@ -266,7 +267,7 @@
     return false;
   }
 
-  /** It holds tasks of jobs that aren't open. */
+  /** Whether the machine holds tasks of jobs that aren't open. */
   get hasUnknownTasks(): boolean {
     for (const attempt of this.attempts.values()) if (!attempt.released && attempt.job === null) return true;
     return false;
--- a/src/workers/reachability.ts
+++ b/src/workers/reachability.ts
@@ -1,34 +1,34 @@
-/** Tells network partitions from failures of single machines, by how many machines are missing at the same time. */
+/** Distinguishes network partitions from failures of single machines by the number of machines missing at a time. */
 import { hasBeenInContact, isMissing, type LivenessContext } from './liveness.ts';
 import type { Machine } from './machine.ts';
 
-/** Fewer missing machines say nothing of a partition. */
+/** Fewer missing machines are no sign of a partition. */
 export const MIN_MISSING_MACHINES = 3;
-/** Share of the machines once in contact that are missing when this node itself is cut off. */
+/** If this ratio of the machines that were in contact is missing, this node itself may be cut off. */
 const NEARLY_ALL_RATIO = 0.75;
 
-/** What one check found of the machines of a zone. */
+/** The machines of a zone, as one check found them. */
 export interface ZoneSurvey {
   total: number;
   missing: number;
-  /** At least one of them has been in contact within a heartbeat interval. */
+  /** At least one machine of the zone has been in contact within the last heartbeat interval. */
   inContact: boolean;
 }
 
-/** What one check found of all machines. */
+/** All machines, as one check found them. */
 export interface Survey {
   /** By zone index, in the order of the first machine of each zone. */
   readonly zones: ReadonlyMap<number, ZoneSurvey>;
-  /** Machines that have been in contact since this controller listens. */
+  /** The number of machines that have been in contact since `listeningSince`. */
   readonly contacted: number;
-  /** Those of them that are missing now. */
+  /** The number of contacted machines that are missing now. */
   readonly contactLost: number;
 }
 
 /** How the reachability of a zone changes. */
 export type ZoneTransition = 'becameUnreachable' | 'becameReachable' | 'unchanged';
 
-/** Counts the machines that are missing, by zone and in all. */
+/** Counts the missing machines, by zone and in all. */
 export function surveyMachines(machines: Iterable<Machine>, context: LivenessContext): Survey {
   const zones = new Map<number, ZoneSurvey>();
   let contacted = 0;
@@ -52,9 +52,10 @@
 }
 
 /**
- * Many missing machines of one zone point to a partition. Once they are terminated nobody is left there to tell, so
- * the zone stays unreachable until one of its machines is in contact: the provisioner keeps one on trial. Machines once
- * went on being provisioned there for as long as a partition lasted, to be paid for and never to come up.
+ * Decides how the reachability of a zone changes. Many missing machines of one zone point to a partition. Once they are
+ * terminated, no machine is left there to show whether the partition lasts, so the zone stays unreachable until one of
+ * its machines is in contact: the provisioner rents one machine at a time there to find out. Otherwise machines that
+ * cost money and never come up would be provisioned there as long as the partition lasts.
  */
 export function decideZoneTransition(zone: ZoneSurvey, unreachable: boolean): ZoneTransition {
   const mostAreMissing = zone.missing * 2 > zone.total;
@@ -63,7 +64,7 @@
   return zone.inContact && !mostAreMissing ? 'becameReachable' : 'unchanged';
 }
 
-/** Nearly all machines are missing: perhaps only this node is cut off, and the workers reach others. */
+/** Whether nearly all machines are missing: only this node may be cut off, and the workers reach other controllers. */
 export function hasLostNearlyAll({ contacted, contactLost }: Survey): boolean {
   return contactLost >= MIN_MISSING_MACHINES && contactLost >= contacted * NEARLY_ALL_RATIO;
 }
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,31 +1,35 @@
-/** Reconciles what the leader knows of a machine with its worker's heartbeats, and derives the worker's commands. */
+/** Reconciles the leader's state of a machine with its worker's heartbeats, and derives the commands for the worker. */
 import type { Job } from '../jobs/job.ts';
 import type { Command, Heartbeat, TaskPhase, TaskStatus } from '../wire/worker.ts';
 import { Attempt, attemptKey } from './attempt.ts';
 import type { Machine } from './machine.ts';
 
-/** What a heartbeat means for jobs; events must be applied in the order in which they were returned. */
+/** A change of an attempt. Events must be applied to jobs in the order in which they were returned. */
 export type WorkerEvent =
   /** The worker reports the attempt for the first time. */
   | { kind: 'observed'; attempt: Attempt }
+  /** The task has begun to run. */
   | { kind: 'running'; attempt: Attempt }
-  /** The attempt holds nothing any more. Its exit reason is null if it is gone without having said why. */
+  /** The attempt holds no resources any more. Its exit reason is null if it is gone without a reported reason. */
   | { kind: 'released'; attempt: Attempt; checkpointed: boolean };
 
-/** What reconciliation needs beside the machine and the heartbeat. */
+/** What reconciliation depends on beside the machine and the heartbeat. */
 export interface ReconcileContext {
-  /** Milliseconds on the steady clock. */
+  /** In milliseconds on the steady clock. */
   now: number;
   /** The open job of this id, or null. */
   jobOf(id: string): Job | null;
 }
 
-/** Releases an attempt of which nothing is known but that it is gone. */
+/** Releases an attempt that is gone without a reported exit reason. */
 function releaseLost(attempt: Attempt, events: WorkerEvent[]): void {
   if (attempt.release(null)) events.push({ kind: 'released', attempt, checkpointed: false });
 }
 
-/** Everything on the machine is surely gone: a new incarnation, an expired lease, or a machine that was returned. */
+/**
+ * Releases all attempts of a machine because they are surely gone: the worker has begun a new incarnation, the lease
+ * has expired, or the machine was returned to the cloud.
+ */
 export function releaseAll(machine: Machine): WorkerEvent[] {
   const events: WorkerEvent[] = [];
   for (const attempt of machine.attempts.values()) releaseLost(attempt, events);
@@ -33,7 +37,10 @@
   return events;
 }
 
-/** True if the heartbeat is newer than all before. Late copies must change nothing. */
+/**
+ * Whether the heartbeat is newer than all before it; others are late copies, which must change nothing. After the lease
+ * of an incarnation has expired, only heartbeats of a later incarnation are newer.
+ */
 export function isNewerHeartbeat(machine: Machine, heartbeat: Heartbeat): boolean {
   if (heartbeat.incarnation > machine.incarnation) return true;
   return (
@@ -44,8 +51,8 @@
 }
 
 /**
- * Applies a newer heartbeat. `direct`: it came as the answer to direct commands, so a start that is in flight on
- * another path may still follow; only a heartbeat of the worker's own proves that the start in an earlier response
+ * Applies a newer heartbeat. `direct`: the heartbeat is the answer to a direct request, so a start that is in flight on
+ * another path may still follow. Only a heartbeat that wasn't requested proves that the start in an earlier response
  * was executed or never will be.
  */
 export function applyHeartbeat(
@@ -56,7 +63,7 @@
 ): WorkerEvent[] {
   const events: WorkerEvent[] = [];
   if (heartbeat.incarnation > machine.incarnation) {
-    // The worker has killed and forgotten what it had; starts meant for the old incarnation are refused.
+    // The worker has killed and forgotten all its tasks, and refuses starts that are meant for the old incarnation.
     if (machine.incarnation > 0) events.push(...releaseAll(machine));
     machine.beginIncarnation(heartbeat.incarnation, context.now);
   }
@@ -72,7 +79,7 @@
   return events;
 }
 
-/** Tracks an attempt that an earlier leader started. */
+/** Adds an attempt that an earlier leader started to those of the machine. */
 function adoptAttempt(machine: Machine, key: string, status: TaskStatus, context: ReconcileContext): Attempt {
   const job = context.jobOf(status.jobId);
   const attempt = new Attempt({
@@ -97,7 +104,7 @@
     events.push({ kind: 'released', attempt, checkpointed: status.checkpointed });
 }
 
-/** A task in this phase has its image on the machine. */
+/** Whether a task in this phase shows that its image is on the machine. */
 function hasImage(phase: TaskPhase): boolean {
   return phase === 'running' || phase === 'waiting' || phase === 'saving';
 }
@@ -111,9 +118,10 @@
 ): void {
   for (const [key, attempt] of machine.attempts) {
     if (reported.has(key)) continue;
-    // Known to the worker before and not any more: it has forgotten it.
+    // The worker has reported the attempt before and doesn't any more.
     const forgotten = attempt.observed;
-    // Its start can't be executed any more: responses before this heartbeat were, and no command is in flight.
+    // The task must stop, and its start can't be executed any more: the worker has carried out or given up the
+    // responses before this heartbeat, and no direct start is in flight or in doubt.
     const neverStarts = attempt.stopGraceS !== null && !direct && attempt.directStartsSettled;
     if (!forgotten && !neverStarts) continue;
     machine.attempts.delete(key);
@@ -122,8 +130,9 @@
 }
 
 /**
- * Notes the starts that the response to a heartbeat carries. A direct command can overtake that response: a task that
- * was refused and forgotten meanwhile would be started anew by it, while it runs elsewhere.
+ * Notes the starts that the response to a heartbeat carries. Direct commands can overtake that response: if they make
+ * the worker refuse and forget an attempt, the response starts the task again, although it may run on another machine
+ * by then.
  */
 export function noteStartsInResponse(machine: Machine, commands: readonly Command[]): void {
   for (const command of commands) {
@@ -132,18 +141,21 @@
   }
 }
 
-/** May the worker forget this ended attempt? Not while a start may arrive, nor before its end is durable. */
+/**
+ * Whether the worker may forget this attempt: it has ended, its start can't arrive any more, and if the task is done,
+ * its completion is durable.
+ */
 export function canForget(attempt: Attempt): boolean {
   if (attempt.phase !== 'ended' || !attempt.directStartsSettled || attempt.startInResponse) return false;
   return attempt.exitReason !== 'done' || attempt.job === null || attempt.job.isDurable(attempt.task);
 }
 
-/** The store says that the task may have been started. */
+/** Whether the store durably records that the task may have been started, which must precede its start. */
 export function isStartDurable(attempt: Attempt): boolean {
   return attempt.job !== null && attempt.task < attempt.job.durableStartWatermark;
 }
 
-/** All that the worker should do now. `mayStart`: new tasks too, which takes a valid lease. */
+/** Builds all commands for the worker. `canStart`: whether tasks may be started, which requires a valid lease. */
 export function buildCommands(machine: Machine, canStart: boolean): Command[] {
   const commands: Command[] = [];
   for (const attempt of machine.attempts.values()) {
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -3,11 +3,11 @@
 import { decodeHeartbeat, encodeCommands, type Command, type Heartbeat } from '../wire/worker.ts';
 import type { Machine } from './machine.ts';
 
-/** How a message of direct commands ended. Failures are ordinary here: what follows depends on the kind. */
+/** How a request with direct commands ended. Failures are results, not errors: what follows depends on the kind. */
 export type CommandResult =
-  /** The worker answered with its state. `executed` false: it refused the commands. */
+  /** The worker answered with its state. `executed` is false if it refused the commands. */
   | { readonly kind: 'answered'; readonly heartbeat: Heartbeat; readonly executed: boolean }
-  /** The commands were not sent, or turned away unread: they are not executed. */
+  /** The commands were not sent, or the worker rejected the request unread: they are not executed. */
   | { readonly kind: 'notSent' }
   /** No usable answer arrived: the commands may be executed, now or later. */
   | { readonly kind: 'unanswered' };
@@ -15,17 +15,18 @@
 /** How an inspection of a worker ended. */
 export type InspectResult =
   | { readonly kind: 'answered'; readonly heartbeat: Heartbeat }
-  /** The connection failed, or nothing came back in time. */
+  /** The connection failed, or no answer arrived in time. */
   | { readonly kind: 'unanswered' }
   /** The worker answered with an HTTP status other than 200. */
   | { readonly kind: 'rejected'; readonly status: number }
   /** The answer does not decode as a heartbeat. */
   | { readonly kind: 'malformed'; readonly reason: string };
 
-/** Carries requests to workers: the workers' clients share a number of connections. */
+/** Provides senders of requests to workers. They share a bounded number of connections. */
 export interface WorkerNetwork {
-  /** The sender of requests to the worker at `address` (host and port). */
+  /** Returns the sender of requests to the worker at `address` (host and port). */
   connect(address: string): HttpSender;
+  /** Closes the connections to all workers. */
   close(): void;
 }
 
@@ -39,8 +40,8 @@
   constructor(private readonly network: WorkerNetwork) {}
 
   /**
-   * Sends commands for the machine's present incarnation under the fencing token `token`. `mayStillSend` is asked
-   * right before the request is written.
+   * Sends commands for the machine's present incarnation under this fencing token. `mayStillSend` is called right
+   * before the request is written; if it returns false, nothing is sent.
    */
   async sendCommands(
     machine: Machine,
@@ -59,7 +60,7 @@
     return { kind: 'answered', heartbeat: decoded.value, executed: result.status === HTTP_OK };
   }
 
-  /** Asks a worker for its state, outside of its heartbeats. */
+  /** Asks a worker for its state, without waiting for its next heartbeat. */
   async inspect(machine: Machine): Promise<InspectResult> {
     const sender = this.network.connect(machine.identity.address);
     const result = await sender.send('GET', '/inspect', null, INSPECT_TIMEOUT_MS);
