--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -12,7 +12,7 @@
 });
 
 /** Upper bound of the size of an entry without its strings. */
-const MAX_ENTRY_OVERHEAD_BYTES = 20;
+const ENTRY_OVERHEAD_BYTES = 20;
 
 /** One page: a value of the store with the entries of many machines. */
 interface Page {
@@ -160,7 +160,5 @@
 
 /** Approximate size of a machine's entry in the stored value of its page. */
 function entryBytes(id: MachineIdentity): number {
-  return (
-    id.name.length + id.address.length + id.machineType.length + id.zone.length + MAX_ENTRY_OVERHEAD_BYTES
-  );
+  return id.name.length + id.address.length + id.machineType.length + id.zone.length + ENTRY_OVERHEAD_BYTES;
 }
