--- a/test/workers/attempt-deadlines.test.ts
+++ b/test/workers/attempt-deadlines.test.ts
@@ -23,7 +23,7 @@
 
 test('a start in doubt of a task to be stopped is overdue after a quarter of the time to cancel', () => {
   const { attempt, job } = startInDoubt();
-  assert.equal(isStartInDoubtOverdue(attempt, TIMES, 15_001, false), false, 'it is wanted');
+  assert.equal(isStartInDoubtOverdue(attempt, TIMES, 15_001, false), false, 'no stop is decided');
   attempt.decideStop(0);
   assert.equal(isStartInDoubtOverdue(attempt, TIMES, 15_000, false), false);
   assert.equal(isStartInDoubtOverdue(attempt, TIMES, 15_001, false), true);
@@ -34,19 +34,19 @@
   assert.equal(isStartInDoubtOverdue(attempt, TIMES, 15_002, false), false, 'no longer in doubt');
 });
 
-test('the lease of a cancelled start in doubt is left to expire just in time, once', () => {
+test('the lease of a machine with a cancelled start in doubt is left to expire just in time, once', () => {
   const { attempt, job } = startInDoubt();
-  assert.equal(mustAwaitLeaseExpiry(attempt, TIMES, 99_000), false, 'it is wanted');
+  assert.equal(mustAwaitLeaseExpiry(attempt, TIMES, 99_000), false, 'the job is not cancelled');
   job.pendingOutcome = 'cancelled';
-  assert.equal(mustAwaitLeaseExpiry(attempt, TIMES, 100_000), false, 'known from now on');
-  // 60 s less the lease with its drift and 5 s.
+  assert.equal(mustAwaitLeaseExpiry(attempt, TIMES, 100_000), false, 'unwanted from now on');
+  // The time to cancel of 60 s, less the lease with its drift and a margin of 5 s.
   assert.equal(mustAwaitLeaseExpiry(attempt, TIMES, 124_969), false);
   assert.equal(mustAwaitLeaseExpiry(attempt, TIMES, 124_971), true);
   attempt.awaitLeaseExpiry();
   assert.equal(mustAwaitLeaseExpiry(attempt, TIMES, 124_972), false);
 });
 
-test('before the cloud reclaims a machine its tasks save checkpoints, with time to spare', () => {
+test('before the cloud reclaims a machine, its tasks save checkpoints with time to spare', () => {
   const { machine, assign } = setup();
   const attempt = assign(0);
   const neededMs = (SPEC.checkpointDurationS + MARGIN_S) * 1000;
@@ -55,5 +55,5 @@
   assert.equal(mustCheckpointNow(attempt, MARGIN_S, 120_000 - neededMs), false);
   assert.equal(mustCheckpointNow(attempt, MARGIN_S, 120_001 - neededMs), true);
   attempt.decideStop(30);
-  assert.equal(mustCheckpointNow(attempt, MARGIN_S, 120_001 - neededMs), false, 'it is stopping already');
+  assert.equal(mustCheckpointNow(attempt, MARGIN_S, 120_001 - neededMs), false, 'a stop is already decided');
 });
--- a/test/workers/connectivity.test.ts
+++ b/test/workers/connectivity.test.ts
@@ -15,17 +15,17 @@
   return machine;
 }
 
-/** Lets the machine judge a heartbeat of its own that arrives at `now`. */
+/** Lets the machine assess a heartbeat that was not requested and arrives at `now`. */
 function receive(machine: Machine, now: number, fencingToken = TERM, incarnation = 1): void {
   const context = { direct: false, term: TERM, now, leaseMs: 30_000, heartbeatIntervalMs: 5000 };
   machine.assessConnectivity({ fencingToken, incarnation }, context);
 }
 
-test('heartbeats alone are contact only while nothing says that our messages do not arrive', () => {
+test('heartbeats alone count as contact only while there is no sign that our messages do not arrive', () => {
   const machine = knownMachine();
   receive(machine, 1000);
   assert.equal(machine.connectivity.lastRoundTripAt, 1000);
-  // A command had no answer: from now on only an answer, or a start that arrived, counts.
+  // After a command without an answer, only an answer, or a start that arrived, counts as contact.
   machine.connectivity.noteMissedAcknowledgement();
   receive(machine, 6000);
   assert.equal(machine.connectivity.lastRoundTripAt, 1000);
@@ -36,17 +36,21 @@
   );
 });
 
-test('an incarnation that ends though its heartbeats were answered says that responses do not arrive', () => {
+test('an incarnation that ends though its heartbeats were answered is a sign that responses do not arrive', () => {
   const machine = knownMachine();
   machine.noteLeaseRenewal(20_000);
   receive(machine, 31_000, TERM, 2);
   assert.equal(machine.connectivity.missedAcknowledgements, 1);
   const paused = knownMachine();
   receive(paused, 31_000, TERM, 2);
-  assert.equal(paused.connectivity.missedAcknowledgements, 0, 'nobody answered it for a lease');
+  assert.equal(
+    paused.connectivity.missedAcknowledgements,
+    0,
+    'no heartbeat was answered for the duration of the lease',
+  );
 });
 
-test('a token that stays behind is no contact after a while: responses are lost, or heartbeats are late copies', () => {
+test('heartbeats with an older token soon stop counting as contact: responses are lost or the heartbeats are late', () => {
   const machine = knownMachine(TERM - 1);
   receive(machine, 1000, TERM - 1);
   assert.equal(machine.connectivity.lastRoundTripAt, 1000);
--- a/test/workers/fixtures.ts
+++ b/test/workers/fixtures.ts
@@ -14,7 +14,7 @@
   spot: false,
 };
 
-/** Number of all attempts that `assign` creates and `taskStatus` reports. */
+/** The attempt number of all attempts that `assign` creates and `taskStatus` reports. */
 const ATTEMPT_NUMBER = 7;
 
 function storedJob(): JobRequest {
@@ -23,10 +23,10 @@
   return decoded.value;
 }
 
-/** The job of all tests of this directory. */
+/** The job specification that all tests of this folder use. */
 export const SPEC = storedJob();
 
-/** A machine that has sent nothing yet, known since time 0. */
+/** A machine that was added at time 0 and has sent no messages. */
 export function newMachine(zone = 0): Machine {
   return new Machine({ index: 0, identity: IDENTITY, type: 0, zone, now: 0, leaseRenewedBefore: 0 });
 }
@@ -38,11 +38,11 @@
   tasks: TaskStatus[] = [],
   fencingToken = 1,
 ): Heartbeat {
-  const { name: machine, ...place } = IDENTITY;
-  return { machine, ...place, incarnation, sequence, fencingToken, interruptionNoticeS: null, tasks };
+  const { name: machine, ...properties } = IDENTITY;
+  return { machine, ...properties, incarnation, sequence, fencingToken, interruptionNoticeS: null, tasks };
 }
 
-/** What a worker reports of a task; it runs unless `overrides` says otherwise. */
+/** The status of a task in a heartbeat; it is running unless `overrides` says otherwise. */
 export function taskStatus(task: number, overrides: Partial<TaskStatus> = {}): TaskStatus {
   return {
     jobId: SPEC.id,
@@ -55,7 +55,7 @@
   };
 }
 
-/** A machine and a job all of whose tasks may be started; `assign` creates an attempt of one of them on the machine. */
+/** A machine, and a job whose tasks may all be started; `assign` creates an attempt of a task on the machine. */
 export function setup(): { machine: Machine; job: Job; assign: (task: number) => Attempt } {
   const machine = newMachine();
   const job = new Job(SPEC, 0, 0, 0);
@@ -75,7 +75,7 @@
   return { machine, job, assign };
 }
 
-/** The same heartbeat without tasks, as it is on the wire. */
+/** The body of a worker's message that decodes as `heartbeat(incarnation, sequence)`, a heartbeat without tasks. */
 export function wireHeartbeat(incarnation: number, sequence: number): string {
   return JSON.stringify({
     ...{ hearth: IDENTITY.name, address: IDENTITY.address, oven: IDENTITY.machineType },
--- a/test/workers/image-cache.test.ts
+++ b/test/workers/image-cache.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import { ImageCache } from '../../src/workers/image-cache.ts';
 
-test('fetches follow one another, and a machine that was given one up is no warmer for it', () => {
+test('fetches run one after the other, and an abandoned fetch leaves no image on the machine', () => {
   const images = new ImageCache();
   images.noteFetch('first', 10_000, 1000);
   images.noteFetch('second', 5000, 2000);
@@ -12,7 +12,7 @@
   assert.equal(images.has('second'), false);
   assert.equal(images.fetchingUntil, 11_000);
   images.notePresent('first', 9000);
-  assert.equal(images.getReadyAt('first'), 9000, 'it was there earlier than expected');
+  assert.equal(images.getReadyAt('first'), 9000, 'the image was complete earlier than expected');
   images.clear();
   assert.deepEqual([...images.keys()], []);
 });
--- a/test/workers/liveness.test.ts
+++ b/test/workers/liveness.test.ts
@@ -13,59 +13,59 @@
 
 const HEARTBEAT_INTERVAL_MS = 1000;
 
-function at(now: number, listeningSince = 0): LivenessContext {
+function contextAt(now: number, listeningSince = 0): LivenessContext {
   return { now, listeningSince, heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, unresponsiveAfterMs: 2500 };
 }
 
-test('a lease has expired only when it has on a clock that is slow by the drift bound, too', () => {
+test('a lease has expired only once it has on a clock that is slow by the drift bound, too', () => {
   const machine = newMachine();
   machine.noteLeaseRenewal(10_000);
   const leaseMs = 30_000;
-  // 30 s and a thousandth of them, and half a second for messages.
+  // The lease of 30 s, a thousandth of it for the drift, and 0.5 s for messages.
   assert.equal(hasLeaseExpired(machine, leaseMs, 40_529), false);
   assert.equal(hasLeaseExpired(machine, leaseMs, 40_531), true);
 });
 
 test('silence counts from the last round trip, or from when this controller began to listen', () => {
   const machine = newMachine();
-  assert.equal(computeSilenceMs(machine, at(5000, 3000)), 2000);
+  assert.equal(computeSilenceMs(machine, contextAt(5000, 3000)), 2000);
   machine.connectivity.noteAcknowledgement(4000);
-  assert.equal(computeSilenceMs(machine, at(5000, 3000)), 1000);
-  assert.equal(hasBeenInContact(machine, at(5000, 3000)), true);
-  // After a pause of the process what was before says nothing.
-  assert.equal(computeSilenceMs(machine, at(9000, 9000)), 0);
-  assert.equal(hasBeenInContact(machine, at(9000, 9000)), false);
+  assert.equal(computeSilenceMs(machine, contextAt(5000, 3000)), 1000);
+  assert.equal(hasBeenInContact(machine, contextAt(5000, 3000)), true);
+  // After a pause of the process, an earlier round trip doesn't count.
+  assert.equal(computeSilenceMs(machine, contextAt(9000, 9000)), 0);
+  assert.equal(hasBeenInContact(machine, contextAt(9000, 9000)), false);
 });
 
-test('a machine once in contact is missing after a heartbeat, another only when it answers no probe either', () => {
-  const known = newMachine();
-  known.connectivity.noteAcknowledgement(1);
-  assert.equal(isMissing(known, at(1401)), false);
-  assert.equal(isMissing(known, at(1402)), true);
-  const unknown = newMachine();
-  assert.equal(isMissing(unknown, at(2501)), false);
-  unknown.connectivity.noteFailedProbe();
-  assert.equal(isMissing(unknown, at(2500)), false);
-  assert.equal(isMissing(unknown, at(2501)), true);
+test('a machine that was in contact is missing after a missed heartbeat, another only after a failed probe too', () => {
+  const contacted = newMachine();
+  contacted.connectivity.noteAcknowledgement(1);
+  assert.equal(isMissing(contacted, contextAt(1401)), false);
+  assert.equal(isMissing(contacted, contextAt(1402)), true);
+  const neverContacted = newMachine();
+  assert.equal(isMissing(neverContacted, contextAt(2501)), false);
+  neverContacted.connectivity.noteFailedProbe();
+  assert.equal(isMissing(neverContacted, contextAt(2500)), false);
+  assert.equal(isMissing(neverContacted, contextAt(2501)), true);
 });
 
 test('a machine is probed when it is silent or has left a command unanswered', () => {
   const machine = newMachine();
   machine.connectivity.noteAcknowledgement(0);
-  assert.equal(needsProbe(machine, at(1500)), false);
-  assert.equal(needsProbe(machine, at(1501)), true);
+  assert.equal(needsProbe(machine, contextAt(1500)), false);
+  assert.equal(needsProbe(machine, contextAt(1501)), true);
   machine.connectivity.noteMissedAcknowledgement();
-  assert.equal(needsProbe(machine, at(1)), true);
+  assert.equal(needsProbe(machine, contextAt(1)), true);
 });
 
-test('a machine that is given up either sends nothing or receives nothing', () => {
+test('a machine is given up as unresponsive if it sends nothing, as unacknowledged if it receives nothing', () => {
   const machine = newMachine();
-  assert.equal(detectLivenessFailure(machine, at(2501)), null, 'not probed yet');
+  assert.equal(detectLivenessFailure(machine, contextAt(2501)), null, 'not probed yet');
   machine.connectivity.noteFailedProbe();
-  assert.equal(detectLivenessFailure(machine, at(2500)), null);
-  assert.equal(detectLivenessFailure(machine, at(2501)), 'unresponsive');
+  assert.equal(detectLivenessFailure(machine, contextAt(2500)), null);
+  assert.equal(detectLivenessFailure(machine, contextAt(2501)), 'unresponsive');
   machine.noteHeartbeat(heartbeat(1, 1), false, 2000);
-  assert.equal(detectLivenessFailure(machine, at(2501)), 'unacknowledged');
+  assert.equal(detectLivenessFailure(machine, contextAt(2501)), 'unacknowledged');
   machine.connectivity.noteAcknowledgement(2400);
-  assert.equal(detectLivenessFailure(machine, at(2501)), null);
+  assert.equal(detectLivenessFailure(machine, contextAt(2501)), null);
 });
--- a/test/workers/machine-registry.test.ts
+++ b/test/workers/machine-registry.test.ts
@@ -7,10 +7,10 @@
 import { SEED } from '../helpers.ts';
 
 const PAGE_BYTES = 400;
-/** The registry bounds sizes by its own count, which leaves out some of the JSON punctuation. */
+/** The registry bounds pages by an approximate size, which leaves out some of the JSON punctuation. */
 const SIZE_TOLERANCE = 1.2;
 
-function identity(number: number): MachineIdentity {
+function machineIdentity(number: number): MachineIdentity {
   return {
     name: `n-${String(number).padStart(6, '0')}`,
     address: `10.1.0.${number}:9000`,
@@ -20,8 +20,8 @@
   };
 }
 
-/** A store that executes writes in order, when it is told to. */
-class SlowStore {
+/** A store that queues writes, and executes them in order on request. */
+class SteppedStore {
   /** The machines' names by the key of their page. */
   readonly pages = new Map<string, string[]>();
   private readonly queue: ReadyWrite[] = [];
@@ -35,16 +35,16 @@
   executeNext(): void {
     const write = this.queue.shift();
     if (!write) return;
-    for (const change of write.mutations) {
+    for (const mutation of write.mutations) {
       this.writes += 1;
-      if ('put' in change) {
-        assert.ok(JSON.stringify(change.value).length <= PAGE_BYTES * SIZE_TOLERANCE);
-        const { m } = change.value as { m: [name: string, ...rest: unknown[]][] };
+      if ('put' in mutation) {
+        assert.ok(JSON.stringify(mutation.value).length <= PAGE_BYTES * SIZE_TOLERANCE);
+        const { m: entries } = mutation.value as { m: [name: string, ...rest: unknown[]][] };
         this.pages.set(
-          change.put,
-          m.map(([name]) => name),
+          mutation.put,
+          entries.map(([name]) => name),
         );
-      } else this.pages.delete(change.delete);
+      } else this.pages.delete(mutation.delete);
     }
     write.onCommitted();
   }
@@ -58,7 +58,7 @@
   }
 }
 
-function registryOn(store: SlowStore): MachineRegistry {
+function createRegistry(store: SteppedStore): MachineRegistry {
   return new MachineRegistry({
     pageBytes: PAGE_BYTES,
     enqueueWrite: (write) => {
@@ -70,7 +70,7 @@
   });
 }
 
-test('a machine counts as registered only while a durable page has it, and removed ones leave in the end', () => {
+test('a machine counts as registered only while a durable page holds it, and removed machines leave the store', () => {
   const step = fc.oneof(
     fc.record({ op: fc.constant('register' as const), number: fc.nat(30) }),
     fc.record({ op: fc.constant('remove' as const), number: fc.nat(30) }),
@@ -81,12 +81,12 @@
   );
   fc.assert(
     fc.property(fc.array(step, { maxLength: 80 }), (steps) => {
-      const store = new SlowStore();
-      const registry = registryOn(store);
+      const store = new SteppedStore();
+      const registry = createRegistry(store);
       const present = new Set<string>();
       const durable = new Set<string>();
       for (const { op, number } of steps) {
-        const id = identity(number);
+        const id = machineIdentity(number);
         if (op === 'register' && !present.has(id.name)) {
           present.add(id.name);
           registry.register(id, () => {
@@ -99,7 +99,8 @@
         } else if (op === 'flush' || op === 'flushIdle') registry.flush(op === 'flushIdle');
         else store.executeNext();
         const written = new Set(store.names());
-        for (const name of durable) assert.ok(written.has(name), `${name} counts as registered and isn't`);
+        for (const name of durable)
+          assert.ok(written.has(name), `${name} counts as registered, but no durable page holds it`);
       }
       for (let round = 0; round < 3; round++) {
         registry.flush(true);
@@ -111,11 +112,11 @@
   );
 });
 
-test('many machines cost few writes, and a new leader reads them all back', () => {
-  // One value a machine once used up the store's budget of writes for as long as 224 machines take.
-  const store = new SlowStore();
-  const registry = registryOn(store);
-  for (let number = 0; number < 60; number++) registry.register(identity(number), () => undefined);
+test('many machines need few writes, and a new leader restores them all', () => {
+  // With one value per machine, 224 machines would use up the store's write budget for as long as 224 writes take.
+  const store = new SteppedStore();
+  const registry = createRegistry(store);
+  for (let number = 0; number < 60; number++) registry.register(machineIdentity(number), () => undefined);
   registry.flush(false);
   store.executeAll();
   assert.ok(store.writes <= 12, `${store.writes}`);
@@ -128,8 +129,9 @@
   const [first] = items;
   assert.ok(first);
   const malformed: string[] = [];
-  const restored = registryOn(new SlowStore()).restore([...items, { ...first, value: { m: 7 } }], (key) =>
-    malformed.push(key),
+  const restored = createRegistry(new SteppedStore()).restore(
+    [...items, { ...first, value: { m: 7 } }],
+    (key) => malformed.push(key),
   );
   assert.equal(restored.length, 60);
   assert.equal(malformed.length, 1);
--- a/test/workers/reachability.test.ts
+++ b/test/workers/reachability.test.ts
@@ -12,7 +12,7 @@
   unresponsiveAfterMs: 2500,
 };
 
-/** Machines of a zone, one for each time of a last round trip. */
+/** Machines of a zone, one for each given time of the last round trip. */
 function machinesOf(zone: number, roundTripsAt: readonly number[]): Machine[] {
   return roundTripsAt.map((roundTripAt) => {
     const machine = newMachine(zone);
@@ -28,7 +28,7 @@
     [...survey.zones],
     [
       [1, { total: 3, missing: 2, inContact: true }],
-      // One is late by less than what counts as missing; one has never been in contact, nor probed.
+      // The heartbeat of one machine is late, but not missing yet; another was never in contact, nor probed.
       [0, { total: 3, missing: 1, inContact: false }],
     ],
   );
--- a/test/workers/reconcile.test.ts
+++ b/test/workers/reconcile.test.ts
@@ -12,14 +12,14 @@
 import { SEED } from '../helpers.ts';
 import { heartbeat, setup, SPEC, taskStatus } from './fixtures.ts';
 
-test('an unobserved start stays with its machine until a new incarnation, and is sent again', () => {
+test('a start that was not observed is sent again, until a new incarnation releases the attempt', () => {
   const { machine, job, assign } = setup();
   const context = { now: 1, jobOf: () => job };
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
   const attempt = assign(0);
   assert.deepEqual(applyHeartbeat(machine, heartbeat(1, 2), false, context), []);
   assert.equal(buildCommands(machine, true)[0]?.op, 'start');
-  assert.deepEqual(buildCommands(machine, false), [], 'nothing starts without a valid lease');
+  assert.deepEqual(buildCommands(machine, false), [], 'no task starts without a valid lease');
   const events = applyHeartbeat(machine, heartbeat(2, 3), false, context);
   assert.deepEqual(
     events.map((event) => event.kind),
@@ -28,14 +28,14 @@
   assert.ok(attempt.released);
 });
 
-test('a stopped start that was never observed is released only when it cannot be executed any more', () => {
+test('a stopped attempt that was never observed is released only when its start cannot be executed any more', () => {
   const { machine, job, assign } = setup();
   const context = { now: 1, jobOf: () => job };
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
-  const inDoubt = assign(0);
-  inDoubt.decideStop(0);
-  inDoubt.noteDirectStartSent();
-  inDoubt.noteDirectStartCompleted(true);
+  const attemptInDoubt = assign(0);
+  attemptInDoubt.decideStop(0);
+  attemptInDoubt.noteDirectStartSent();
+  attemptInDoubt.noteDirectStartCompleted(true);
   assert.deepEqual(
     applyHeartbeat(machine, heartbeat(1, 2), false, context),
     [],
@@ -44,7 +44,7 @@
   const attempt = assign(1);
   attempt.decideStop(0);
   attempt.noteDirectStartSent();
-  assert.deepEqual(applyHeartbeat(machine, heartbeat(1, 3), false, context), [], 'a command in flight');
+  assert.deepEqual(applyHeartbeat(machine, heartbeat(1, 3), false, context), [], 'a direct start in flight');
   attempt.noteDirectStartCompleted(false);
   assert.deepEqual(
     applyHeartbeat(machine, heartbeat(1, 4), true, context),
@@ -53,10 +53,10 @@
   );
   const events = applyHeartbeat(machine, heartbeat(1, 5), false, context);
   assert.deepEqual(events, [{ kind: 'released', attempt, checkpointed: false }]);
-  assert.ok(!inDoubt.released, 'what is in doubt stays so');
+  assert.ok(!attemptInDoubt.released, 'a start in doubt stays in doubt');
 });
 
-test('an ended attempt is forgotten only when durable and with no start in doubt', () => {
+test('an ended attempt may be forgotten only when its end is durable and no start is in flight or in doubt', () => {
   const { machine, job, assign } = setup();
   const context = { now: 1, jobOf: () => job };
   const attempt = assign(3);
@@ -73,7 +73,7 @@
 });
 
 test('an attempt is not forgotten while a response with its start may still be on its way', () => {
-  // Forgotten by a direct command that overtakes the response, the start in the response would start it anew.
+  // If a direct command makes the worker forget the attempt and overtakes the response, the response starts it again.
   const { machine, job, assign } = setup();
   const context = { now: 1, jobOf: () => job };
   applyHeartbeat(machine, heartbeat(1, 1), false, context);
@@ -91,7 +91,7 @@
   );
 });
 
-test('whatever the order in which heartbeats arrive, only the newest counts', () => {
+test('a heartbeat is applied only if it is newer than all before, in whatever order heartbeats arrive', () => {
   const step = fc.record({
     incarnation: fc.integer({ min: 1, max: 3 }),
     sequence: fc.integer({ min: 1, max: 30 }),
@@ -116,8 +116,8 @@
   );
 });
 
-test('an incarnation whose lease has expired takes no more heartbeats; the next one does, with its own lease', () => {
-  // The end of an old incarnation's lease was once taken for the end of the new one's.
+test('heartbeats of an incarnation with an expired lease are ignored; the next incarnation has its own lease', () => {
+  // The expiry of the old incarnation's lease must not be taken for the expiry of the new one's.
   const { machine, job } = setup();
   applyHeartbeat(machine, heartbeat(1, 1), false, { now: 1, jobOf: () => job });
   machine.markLeaseExpired();
@@ -128,7 +128,7 @@
   assert.equal(machine.leaseRenewedBefore, 5000);
 });
 
-test('nothing starts before the store says that it may have been started', () => {
+test('a task starts only once the store durably records that it may have been started', () => {
   const { machine, job, assign } = setup();
   job.durableStartWatermark = 1;
   assign(0);
@@ -139,29 +139,33 @@
   );
 });
 
-test('while machines are not reconciled a new leader starts only what nobody can be running', () => {
+test('while machines are not reconciled, a new leader starts only tasks that no machine can be running', () => {
   const { job } = setup();
   assert.equal(job.hasNeverStarted, true);
   job.restore(4, 77);
   assert.equal(job.hasNeverStarted, false);
-  assert.equal(job.waitingSince, 77, 'since when its tasks wait is not known');
+  assert.equal(job.waitingSince, 77, 'the time since which its tasks wait is not known');
   assert.equal(job.startableCount(), SPEC.gang ? 0 : job.spec.tasks - 4);
-  const array = new Job({ ...SPEC, gang: false, oneZone: false, spread: false }, 0, 0, 0);
-  array.restore(4, 0);
-  assert.equal(array.takePending(true), 4);
-  assert.equal(array.startableCount(), array.spec.tasks - 5);
-  assert.equal(array.takePending(), 0, 'once all are reconciled the others follow');
-  // Where the others are decides where these may go: none of them is sure.
+  const nonGangJob = new Job({ ...SPEC, gang: false, oneZone: false, spread: false }, 0, 0, 0);
+  nonGangJob.restore(4, 0);
+  assert.equal(nonGangJob.takePending(true), 4);
+  assert.equal(nonGangJob.startableCount(), nonGangJob.spec.tasks - 5);
+  assert.equal(
+    nonGangJob.takePending(),
+    0,
+    'once all machines are reconciled, the other tasks may start too',
+  );
+  // With a constraint, the placement of one task depends on the others, which may be running on unknown machines.
   for (const constraint of [{ oneZone: true }, { spread: true }, { gang: true }]) {
-    const constrained = new Job(
+    const constrainedJob = new Job(
       { ...SPEC, gang: false, oneZone: false, spread: false, ...constraint },
       0,
       0,
       0,
     );
-    constrained.restore(4, 0);
-    assert.equal(constrained.startableCount(), 0);
-    constrained.restore(0, 0);
-    assert.equal(constrained.startableCount(), constrained.spec.tasks);
+    constrainedJob.restore(4, 0);
+    assert.equal(constrainedJob.startableCount(), 0);
+    constrainedJob.restore(0, 0);
+    assert.equal(constrainedJob.startableCount(), constrainedJob.spec.tasks);
   }
 });
--- a/test/workers/worker-client.test.ts
+++ b/test/workers/worker-client.test.ts
@@ -14,25 +14,25 @@
   return { kind: 'answer', status, body, retryAfterS: null };
 }
 
-const UNSENT: HttpResult = { kind: 'silent', sent: false, reason: 'ECONNREFUSED' };
-const SENT: HttpResult = { kind: 'silent', sent: true, reason: 'no answer in time' };
+const NOT_SENT: HttpResult = { kind: 'silent', sent: false, reason: 'ECONNREFUSED' };
+const SENT_UNANSWERED: HttpResult = { kind: 'silent', sent: true, reason: 'no answer in time' };
 
-test('commands are in doubt when they may have arrived and no usable answer came back', async () => {
+test('commands are in doubt when they may have arrived and no usable answer was received', async () => {
   const send = (result: HttpResult) => clientWith(result).sendCommands(newMachine(), 1, [], () => true);
   const answered = { kind: 'answered', heartbeat: heartbeat(1, 7) };
   assert.deepEqual(await send(answer(200)), { ...answered, executed: true });
   assert.deepEqual(await send(answer(409)), { ...answered, executed: false });
-  assert.deepEqual(await send(UNSENT), { kind: 'notSent' });
+  assert.deepEqual(await send(NOT_SENT), { kind: 'notSent' });
   assert.deepEqual(await send(answer(503)), { kind: 'notSent' });
-  assert.deepEqual(await send(SENT), { kind: 'unanswered' });
+  assert.deepEqual(await send(SENT_UNANSWERED), { kind: 'unanswered' });
   assert.deepEqual(await send(answer(200, '{')), { kind: 'unanswered' });
 });
 
-test('an inspection says why it has no heartbeat', async () => {
+test('an inspection without a heartbeat reports the reason', async () => {
   const inspect = (result: HttpResult) => clientWith(result).inspect(newMachine());
   assert.deepEqual(await inspect(answer(200)), { kind: 'answered', heartbeat: heartbeat(1, 7) });
-  assert.deepEqual(await inspect(SENT), { kind: 'unanswered' });
-  assert.deepEqual(await inspect(UNSENT), { kind: 'unanswered' });
+  assert.deepEqual(await inspect(SENT_UNANSWERED), { kind: 'unanswered' });
+  assert.deepEqual(await inspect(NOT_SENT), { kind: 'unanswered' });
   assert.deepEqual(await inspect(answer(503)), { kind: 'rejected', status: 503 });
   assert.equal((await inspect(answer(200, '{'))).kind, 'malformed');
 });
