--- a/src/workers/attempt-deadlines.ts
+++ b/src/workers/attempt-deadlines.ts
@@ -3,8 +3,8 @@
 import type { Attempt } from './attempt.ts';
 
 /**
- * Time that the end of lease renewals may take beside the lease itself: it covers a heartbeat that is being answered
- * and the interval between two checks of the monitor.
+ * Time allowed, beside the duration of the lease, from the decision to end its renewal until it has expired: at that
+ * moment a heartbeat may be in the course of being answered, and the monitor checks at intervals.
  */
 const LEASE_EXPIRY_MARGIN_MS = 5000;
 /** A start in doubt must be resolved within this ratio of the time to cancel. */
@@ -37,8 +37,8 @@
 /**
  * Whether the lease of the machine must be left to expire from now on. A start in doubt of a cancelled task may be
  * executed as long as the worker's incarnation lasts. If the cloud hasn't terminated the machine by now, only the
- * expiry of its lease ensures that the task is gone within the time to cancel. Each call for such an attempt notes on
- * it that its start is unwanted.
+ * expiry of its lease ensures that the task is gone within the time to cancel. Records on such an attempt when its
+ * start was first found to be unwanted.
  */
 export function mustAwaitLeaseExpiry(attempt: Attempt, times: CancellationTimes, now: number): boolean {
   if (!isCancelled(attempt) || attempt.observed || !attempt.startInDoubt || attempt.awaitingLeaseExpiry)
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -99,7 +99,7 @@
     return this.finalExitReason;
   }
 
-  /** Ends the live attempt. A later call changes nothing and returns false. */
+  /** Ends the live attempt; `exitReason` is null if it is not known. A later call changes nothing and returns false. */
   release(exitReason: ExitReason | null): boolean {
     if (this.isReleased) return false;
     this.isReleased = true;
--- a/src/workers/connectivity.ts
+++ b/src/workers/connectivity.ts
@@ -20,7 +20,10 @@
   readonly leaseRenewedBefore: number;
 }
 
-/** Heartbeat intervals for which the heartbeats of a worker still count as contact though they show an older token. */
+/**
+ * Heartbeat intervals for which a worker's heartbeats count as contact though they show an older token than ours.
+ * Within this time, a response should have shown our token to the worker.
+ */
 const MAX_TOKEN_BEHIND_INTERVALS = 2;
 
 /**
--- a/src/workers/failure-attribution.ts
+++ b/src/workers/failure-attribution.ts
@@ -4,30 +4,31 @@
  * A job that was submitted with a mistake fails on every machine. On a faulty machine the tasks of many jobs fail, and
  * succeed on other machines. The rules:
  *
- * - A job is *failing* once it has failed on `MIN_FAILING_MACHINES` different machines and none of its tasks has ever
- *   succeeded. The failures of a failing job are no evidence against a machine.
+ * - A job is *failing* once it has failed on `MIN_MACHINES_FOR_FAILING` different machines and none of its tasks has
+ *   ever succeeded. The failures of a failing job are no evidence against a machine.
  * - A failure is *proof* against a machine if a task of the same job has succeeded on another machine, before or after
- *   it. A machine with proof from `MIN_FAULTY_JOBS` jobs is *faulty*: it is terminated.
+ *   it. A machine with proof from `MIN_JOBS_FOR_FAULTY` jobs is *faulty*: it is terminated.
  * - A failure is a *suspicion* while the job has failed on no other machine. A machine with proof or suspicion from
- *   `MIN_QUARANTINE_JOBS` jobs in all is *quarantined*: it takes no new tasks until `QUARANTINE_MS` after its last
+ *   `MIN_JOBS_FOR_QUARANTINE` jobs in all is *quarantined*: it takes no new tasks until `QUARANTINE_MS` after its last
  *   failure.
  * - A job's retries wait for `computeRetryDelayMs`, which grows with each failure since the job's last success.
  *   Failures of attempts that were in progress at the same time count as one.
  *
- * The history is kept in the leader's memory. A new leader starts without it, which costs a failing job a few attempts.
+ * The history is kept in the leader's memory. Apart from `hasDurableSuccess`, a new leader starts without it, which
+ * costs a failing job a few attempts.
  */
 
-/** Different machines on which a job without any success must fail to count as failing. */
-export const MIN_FAILING_MACHINES = 3;
-/** Jobs with proof against a machine that make it faulty. */
-const MIN_FAULTY_JOBS = 2;
-/** Jobs with proof or suspicion against a machine that quarantine it. */
-const MIN_QUARANTINE_JOBS = 3;
+/** A job without any success is failing once it has failed on this many different machines. */
+export const MIN_MACHINES_FOR_FAILING = 3;
+/** A machine is faulty once the failures of this many jobs are proof against it. */
+const MIN_JOBS_FOR_FAULTY = 2;
+/** A machine is quarantined once the failures of this many jobs are proof or suspicion against it. */
+const MIN_JOBS_FOR_QUARANTINE = 3;
 /** How long after its last failure a quarantined machine takes no new tasks. */
 const QUARANTINE_MS = 60_000;
 /** Delay of the second retry; the first retry is made at once, on another machine. */
 const RETRY_BASE_DELAY_MS = 2000;
-/** Greatest delay of a retry after the failure before it. */
+/** Greatest delay between a failure and the retry. */
 export const MAX_RETRY_DELAY_MS = 60_000;
 /** Greatest number of doublings of the delay that are computed; the greatest delay is reached after fewer. */
 const MAX_RETRY_DOUBLINGS = 16;
@@ -37,8 +38,8 @@
   /** Machines on which a task of the job has ended with `error`. */
   readonly failedOn: Set<number>;
   /**
-   * The store holds the completion of a task of the job. That is all that a new leader knows of successes under earlier
-   * leaders: it doesn't know the machines.
+   * The store records that a task of the job is done. It doesn't record the machine, so this is all that a new leader
+   * knows of successes under earlier leaders.
    */
   hasDurableSuccess: boolean;
   /** The first machine on which a task of the job was done, or null. */
@@ -111,7 +112,7 @@
 /** Whether the job's failures are attributed to the job itself, as it fails on every machine. */
 export function isFailing(job: JobFailures): boolean {
   const succeeded = job.hasDurableSuccess || job.succeededOn !== null;
-  return !succeeded && job.failedOn.size >= MIN_FAILING_MACHINES;
+  return !succeeded && job.failedOn.size >= MIN_MACHINES_FOR_FAILING;
 }
 
 /** Computes how long the job's next attempt waits after its last failure, in milliseconds. */
@@ -137,8 +138,8 @@
     if (hasSucceededElsewhere(job, machineIndex)) proven += 1;
     else if (job.failedOn.size === 1) suspicious += 1;
   }
-  if (proven >= MIN_FAULTY_JOBS) return 'faulty';
+  if (proven >= MIN_JOBS_FOR_FAULTY) return 'faulty';
   const quarantined =
-    proven + suspicious >= MIN_QUARANTINE_JOBS && now - machine.lastFailureAt < QUARANTINE_MS;
+    proven + suspicious >= MIN_JOBS_FOR_QUARANTINE && now - machine.lastFailureAt < QUARANTINE_MS;
   return quarantined ? 'quarantined' : 'healthy';
 }
--- a/src/workers/liveness.ts
+++ b/src/workers/liveness.ts
@@ -41,7 +41,7 @@
 
 /**
  * Whether the machine misses heartbeats. A worker that a new leader has not been in contact with yet may still send its
- * heartbeats to the last leader, so its machine counts as missing only after a longer silence and a failed probe.
+ * heartbeats to the previous leader, so its machine counts as missing only after a longer silence and a failed probe.
  */
 export function isMissing(machine: Machine, context: LivenessContext): boolean {
   const silence = computeSilenceMs(machine, context);
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -165,7 +165,7 @@
 
   // ---- registration ----
 
-  /** Whether the machine registry holds the machine durably, without which no task may start on it. */
+  /** Whether the machine registry holds the machine durably; no task may start on the machine before. */
   get registered(): boolean {
     return this.registration === 'registered';
   }
@@ -207,7 +207,7 @@
 
   // ---- direct commands ----
 
-  /** Whether direct commands are in flight; at most one message of them is at a time. */
+  /** Whether a message of direct commands is in flight; there is at most one at a time. */
   get commandInFlight(): boolean {
     return this.isCommandInFlight;
   }
@@ -245,14 +245,14 @@
     this.idleFrom = now;
   }
 
-  /** The attempts that are not released, so that they hold resources. */
+  /** The attempts that hold resources: those that are not released. */
   liveAttempts(): Attempt[] {
     const found: Attempt[] = [];
     for (const attempt of this.attempts.values()) if (!attempt.released) found.push(attempt);
     return found;
   }
 
-  /** The number of attempts that are not released. */
+  /** The number of attempts that hold resources. */
   get liveAttemptCount(): number {
     let count = 0;
     for (const attempt of this.attempts.values()) if (!attempt.released) count += 1;
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -79,7 +79,7 @@
   return events;
 }
 
-/** Adds an attempt that an earlier leader started to those of the machine. */
+/** Adds to the machine an attempt that an earlier leader started. */
 function adoptAttempt(machine: Machine, key: string, status: TaskStatus, context: ReconcileContext): Attempt {
   const job = context.jobOf(status.jobId);
   const attempt = new Attempt({
@@ -118,7 +118,7 @@
 ): void {
   for (const [key, attempt] of machine.attempts) {
     if (reported.has(key)) continue;
-    // The worker has reported the attempt before and doesn't any more.
+    // The worker has reported the attempt before and doesn't any more: it has forgotten the attempt.
     const forgotten = attempt.observed;
     // The task must stop, and its start can't be executed any more: the worker has carried out or given up the
     // responses before this heartbeat, and no direct start is in flight or in doubt.
--- a/test/workers/connectivity.test.ts
+++ b/test/workers/connectivity.test.ts
@@ -50,7 +50,7 @@
   );
 });
 
-test('heartbeats with an older token soon stop counting as contact: responses are lost or the heartbeats are late', () => {
+test('heartbeats with an older token soon stop counting: responses are lost, or the heartbeats are late copies', () => {
   const machine = knownMachine(TERM - 1);
   receive(machine, 1000, TERM - 1);
   assert.equal(machine.connectivity.lastRoundTripAt, 1000);
--- a/test/workers/failure-attribution.test.ts
+++ b/test/workers/failure-attribution.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { required } from '../../src/base/required.ts';
 import {
-  MIN_FAILING_MACHINES,
+  MIN_MACHINES_FOR_FAILING,
   isFailing,
   assessMachineHealth,
   createJobFailures,
@@ -168,7 +168,7 @@
         assert.ok(secondLast !== undefined && last !== undefined);
         assert.ok(last - secondLast >= MAX_RETRY_DELAY_MS, 'attempts are far apart');
         assert.ok(last > DURATION_MS - 2 * MAX_RETRY_DELAY_MS, 'attempts go on');
-        assert.ok(failedAt.length < 4 + 4 * MIN_FAILING_MACHINES + 20);
+        assert.ok(failedAt.length < 4 + 4 * MIN_MACHINES_FOR_FAILING + 20);
       }
       for (const machine of machines) {
         if (!plan.faulty.includes(machine.index)) {
