--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,44 +1,44 @@
 /** What the leader knows of one machine: its worker's connectivity, incarnation and lease, its tasks and images. */
 import type { Heartbeat } from '../wire/worker.ts';
 import type { Attempt } from './attempt.ts';
-import { Connectivity, type ContactContext } from './connectivity.ts';
-import { newMachineFailures } from './failure-attribution.ts';
+import { Connectivity, type ConnectivityContext } from './connectivity.ts';
+import { createMachineFailures } from './failure-attribution.ts';
 import { ImageCache } from './image-cache.ts';
 
-/** What a machine is, as its worker reports it and the machine registry keeps it. */
+/** The fixed properties of a machine, as its worker reports them and the machine registry stores them. */
 export interface MachineIdentity {
   name: string;
-  /** Host and port of its worker. */
+  /** Host and port of the machine's worker. */
   address: string;
   machineType: string;
   zone: string;
   spot: boolean;
 }
 
-/** How a machine enters the leader's state. */
-export interface MachineOrigin {
+/** What the leader knows of a machine when it adds the machine to its state. */
+export interface MachineInit {
   /** Dense index among all machines of this leadership. */
   index: number;
-  id: MachineIdentity;
-  /** Index of its type in the catalog. */
+  identity: MachineIdentity;
+  /** Index of the machine type in the catalog. */
   type: number;
-  /** Index of its zone. */
+  /** Index of the zone. */
   zone: number;
-  /** Milliseconds on the steady clock, as are all times of a machine. */
+  /** In milliseconds on the steady clock, as are all times of a machine. */
   now: number;
-  /** Upper bound for when anyone may have answered a heartbeat of it. */
+  /** Upper bound of the time at which any controller last answered a heartbeat of the machine. */
   leaseRenewedBefore: number;
 }
 
-/** Whether the machine registry holds a machine; `queued`: its write has been requested and isn't durable yet. */
+/** Whether the machine registry holds a machine; `queued`: its write is requested and not durable yet. */
 type RegistrationState = 'unregistered' | 'queued' | 'registered';
 
-/** One machine, as far as its worker's messages and the leader's own decisions tell. Fields are grouped by concern. */
+/** One machine, as known from its worker's messages and the leader's own decisions. Members are grouped by concern. */
 export class Machine {
   // ---- identity ----
 
   readonly index: number;
-  readonly id: MachineIdentity;
+  readonly identity: MachineIdentity;
   readonly type: number;
   readonly zone: number;
 
@@ -50,9 +50,9 @@
 
   private knownIncarnation = 0;
   private knownSequence = 0;
-  private highestToken = 0;
-  private expired = false;
-  private reclaimAt: number | null = null;
+  private highestFencingToken = 0;
+  private isLeaseExpired = false;
+  private reclaimAtMs: number | null = null;
   private renewedBefore: number;
 
   // ---- registration ----
@@ -63,35 +63,38 @@
 
   // ---- tasks ----
 
-  /** Attempts that may be on it or that its worker still remembers, by `attemptKey`. */
+  /** Attempts that may be on the machine or that its worker hasn't forgotten yet, by `attemptKey`. */
   readonly attempts = new Map<string, Attempt>();
-  readonly failures = newMachineFailures();
+  readonly failures = createMachineFailures();
   private idleFrom: number;
-  private commandPending = false;
-  private nextCommandAt = 0;
+  private isCommandInFlight = false;
+  private earliestCommandAt = 0;
 
   // ---- images ----
 
   readonly images = new ImageCache();
 
-  constructor(origin: MachineOrigin) {
-    this.index = origin.index;
-    this.id = origin.id;
-    this.type = origin.type;
-    this.zone = origin.zone;
-    this.idleFrom = origin.now;
-    this.renewedBefore = origin.leaseRenewedBefore;
+  constructor(init: MachineInit) {
+    this.index = init.index;
+    this.identity = init.identity;
+    this.type = init.type;
+    this.zone = init.zone;
+    this.idleFrom = init.now;
+    this.renewedBefore = init.leaseRenewedBefore;
   }
 
   get name(): string {
-    return this.id.name;
+    return this.identity.name;
   }
 
   // ---- connectivity ----
 
-  /** Judges by a heartbeat whether messages pass in both directions; to be called before the heartbeat is applied. */
-  noteContact(heartbeat: Pick<Heartbeat, 'fencingToken' | 'incarnation'>, context: ContactContext): void {
-    this.connectivity.noteContact(this, heartbeat, context);
+  /** Assesses by a heartbeat whether messages pass in both directions; to be called before the heartbeat is applied. */
+  assessConnectivity(
+    heartbeat: Pick<Heartbeat, 'fencingToken' | 'incarnation'>,
+    context: ConnectivityContext,
+  ): void {
+    this.connectivity.assessHeartbeat(this, heartbeat, context);
   }
 
   // ---- incarnation and lease ----
@@ -108,30 +111,31 @@
 
   /** The highest fencing token that the worker has shown. */
   get fencingToken(): number {
-    return this.highestToken;
+    return this.highestFencingToken;
   }
 
-  /** The lease of the present incarnation has surely expired: nothing of it counts any more. */
+  /** Whether the lease of the present incarnation has surely expired, so that no heartbeat of it counts any more. */
   get leaseExpired(): boolean {
-    return this.expired;
+    return this.isLeaseExpired;
   }
 
-  /** Upper bound for when anyone last answered a heartbeat of it: its lease counts from before that. */
+  /** Upper bound of the time at which any controller last renewed the lease by answering a heartbeat. */
   get leaseRenewedBefore(): number {
     return this.renewedBefore;
   }
 
-  /** When the cloud reclaims the machine, by its interruption notice; null without one. */
-  get reclaimedAt(): number | null {
-    return this.reclaimAt;
+  /** When the cloud will reclaim the machine, by its interruption notice; null without a notice. */
+  get reclaimAt(): number | null {
+    return this.reclaimAtMs;
   }
 
-  /** The worker has started anew: it has no tasks and no images. */
+  /** The worker has begun a new incarnation, without tasks and images. */
   beginIncarnation(incarnation: number, now: number): void {
     this.knownIncarnation = incarnation;
-    this.expired = false;
-    // The lease of an incarnation counts from its start at the latest, and it had started when this was sent. Without
-    // this, the end of the old one's lease was taken for the end of the new one's, and its tasks for lost.
+    this.isLeaseExpired = false;
+    // The lease of an incarnation counts from its start at the latest, and the incarnation had started when the worker
+    // sent the heartbeat that is being applied. Without this bound, the expiry of the old incarnation's lease would be
+    // taken for the expiry of the new one's, and the tasks of the new incarnation for lost.
     this.noteLeaseRenewal(now);
     this.images.clear();
   }
@@ -139,123 +143,123 @@
   /** A newer heartbeat arrived; `direct`: as the answer to a direct request. */
   noteHeartbeat(heartbeat: Heartbeat, direct: boolean, now: number): void {
     this.knownSequence = heartbeat.sequence;
-    this.highestToken = Math.max(this.highestToken, heartbeat.fencingToken);
+    this.highestFencingToken = Math.max(this.highestFencingToken, heartbeat.fencingToken);
     this.connectivity.noteMessage(direct, now);
-    this.reclaimAt =
+    this.reclaimAtMs =
       heartbeat.interruptionNoticeS === null ? null : now + heartbeat.interruptionNoticeS * 1000;
     if (direct) return;
-    // A worker has one heartbeat in flight: the responses to all earlier ones were carried out or given up.
+    // A worker has one heartbeat in flight at a time, so it has carried out or given up the responses to earlier ones.
     for (const attempt of this.attempts.values()) attempt.noteResponseSettled();
   }
 
-  /** Its lease may have been renewed by a heartbeat that was answered up to `before`. */
+  /** A heartbeat that was answered at `before` or earlier may have renewed the lease. */
   noteLeaseRenewal(before: number): void {
     this.renewedBefore = Math.max(this.renewedBefore, before);
   }
 
-  /** The lease has surely expired, so nothing that any leader started is left on it. */
+  /** The lease has surely expired, so no task that any leader started is left on the machine. */
   markLeaseExpired(): void {
-    this.expired = true;
+    this.isLeaseExpired = true;
     this.isReconciled = true;
   }
 
   // ---- registration ----
 
-  /** Written to the machine registry: the condition of its first start. */
+  /** Whether the machine registry holds the machine durably; no task may start on the machine before. */
   get registered(): boolean {
     return this.registration === 'registered';
   }
 
-  /** It is to be written to the machine registry, and nobody has begun to. */
+  /** Whether the machine's write to the machine registry is still to be queued. */
   get needsRegistration(): boolean {
     return this.registration === 'unregistered';
   }
 
-  /** Its write to the machine registry is queued. */
+  /** The machine's write to the machine registry is queued. */
   markRegistrationQueued(): void {
     this.registration = 'queued';
   }
 
-  /** The machine registry holds it durably. */
+  /** The machine registry holds the machine durably. */
   markRegistered(): void {
     this.registration = 'registered';
   }
 
-  /** Nothing that an earlier leader started can be on it without being known. */
+  /** Whether all tasks that an earlier leader may have started on the machine are known. */
   get reconciled(): boolean {
     return this.isReconciled;
   }
 
-  /** Its worker has shown all that it holds, under our fencing token. */
+  /** The worker has reported all its tasks under our fencing token. */
   markReconciled(): void {
     this.isReconciled = true;
   }
 
-  /** It is being returned to the cloud and takes no new tasks. */
+  /** Whether the machine is being returned to the cloud and takes no new tasks. */
   get terminating(): boolean {
     return this.isTerminating;
   }
 
-  /** Its termination is requested; that is never taken back. */
+  /** The termination of the machine is requested, which is never taken back. */
   markTerminating(): void {
     this.isTerminating = true;
   }
 
   // ---- direct commands ----
 
-  /** A direct command is on its way; there is one at a time. */
+  /** Whether a message of direct commands is in flight; there is at most one at a time. */
   get commandInFlight(): boolean {
-    return this.commandPending;
+    return this.isCommandInFlight;
   }
 
-  /** Earliest time of the next direct command. */
+  /** Earliest time of the next message of direct commands. */
   get commandNotBefore(): number {
-    return this.nextCommandAt;
+    return this.earliestCommandAt;
   }
 
-  /** What it is to be told can't wait: no pause is kept before the next direct command. */
+  /** New commands can't wait: ends the pause before the next direct commands. */
   expediteCommand(): void {
-    this.nextCommandAt = 0;
+    this.earliestCommandAt = 0;
   }
 
-  /** A direct command leaves. */
+  /** Direct commands are sent. */
   beginCommand(): void {
-    this.commandPending = true;
+    this.isCommandInFlight = true;
   }
 
-  /** The direct command is settled; the next one may leave at `notBefore`. */
+  /** The direct commands have completed; the next ones may be sent at `notBefore` or later. */
   endCommand(notBefore: number): void {
-    this.commandPending = false;
-    this.nextCommandAt = notBefore;
+    this.isCommandInFlight = false;
+    this.earliestCommandAt = notBefore;
   }
 
   // ---- tasks ----
 
-  /** Since when no task has been on it. */
+  /** Since when the machine has had no tasks. */
   get idleSince(): number {
     return this.idleFrom;
   }
 
-  /** The last task has left. */
+  /** The last task on the machine has ended. */
   noteIdle(now: number): void {
     this.idleFrom = now;
   }
 
-  /** Attempts that hold resources. */
-  live(): Attempt[] {
+  /** The attempts that hold resources: those that are not released. */
+  liveAttempts(): Attempt[] {
     const found: Attempt[] = [];
     for (const attempt of this.attempts.values()) if (!attempt.released) found.push(attempt);
     return found;
   }
 
   /** The number of attempts that hold resources. */
-  get liveCount(): number {
+  get liveAttemptCount(): number {
     let count = 0;
     for (const attempt of this.attempts.values()) if (!attempt.released) count += 1;
     return count;
   }
 
-  /** Its heartbeats are not to be answered, so that its lease expires. */
+  /** Whether the machine's heartbeats must stay unanswered, so that its lease expires. */
   get awaitingLeaseExpiry(): boolean {
     for (const attempt of this.attempts.values()) {
       if (attempt.awaitingLeaseExpiry && !attempt.observed && !attempt.released) return true;
@@ -263,7 +267,7 @@
     return false;
   }
 
-  /** It holds tasks of jobs that aren't open. */
+  /** Whether the machine holds tasks of jobs that aren't open. */
   get hasUnknownTasks(): boolean {
     for (const attempt of this.attempts.values()) if (!attempt.released && attempt.job === null) return true;
     return false;
