--- a/src/sim/cloud.ts
+++ b/src/sim/cloud.ts
@@ -112,10 +112,10 @@
   private addMachine(type: MachineType, zone: string, spot: boolean, bootMs: number): string {
     const name = `n-${String(this.machineCount++).padStart(6, '0')}`;
     const identity = { name, type, zone, spot };
-    const { nowMs: at } = this.queue;
+    const { nowMs } = this.queue;
     const machine: RentedMachine = {
       identity,
-      rentedAt: at,
+      rentedAt: nowMs,
       stage: 'starting',
       delistedAt: Infinity,
       upAt: Infinity,
@@ -131,7 +131,7 @@
     return name;
   }
 
-  private bootMs(type: MachineType): number {
+  private drawBootMs(type: MachineType): number {
     const isQuick = this.queue.nowMs < this.quickBoots.untilMs && this.random.chance(this.quickBoots.share);
     if (isQuick) return this.random.between(QUICK_BOOT_MS.min, QUICK_BOOT_MS.max);
     if (this.random.chance(this.options.neverUp)) return Infinity;
@@ -159,7 +159,7 @@
       }
       machines = [];
       for (let i = 0; i < Math.min(body.count, freeCapacity); i++) {
-        machines.push(this.addMachine(type, body.yard, body.borrowed, this.bootMs(type)));
+        machines.push(this.addMachine(type, body.yard, body.borrowed, this.drawBootMs(type)));
       }
       this.machinesByRequestId.set(body.booking, machines);
     }
--- a/src/sim/emulator.ts
+++ b/src/sim/emulator.ts
@@ -310,10 +310,10 @@
         this.network.lateCommands = { untilMs, share: fault.share };
         break;
       case 'node_cut':
-        this.network.interrupt(interruptNode(this.selectNode(fault.node), fault.from, untilMs));
+        this.network.interrupt(createNodeInterruption(this.selectNode(fault.node), fault.from, untilMs));
         break;
       case 'zone_cut':
-        this.network.interrupt(interruptZone(fault.zone, untilMs));
+        this.network.interrupt(createZoneInterruption(fault.zone, untilMs));
         break;
       case 'quick_boots':
         this.cloud.quickBoots = { untilMs, share: 1 };
@@ -374,7 +374,7 @@
         this.network.interrupt({
           untilMs,
           effect: 'refuse',
-          affects: (from, _to, phase) => isTarget(from) && phase === 'request',
+          affects: (from, _to, direction) => isTarget(from) && direction === 'request',
         });
     }
   }
@@ -408,7 +408,7 @@
   cloud: 'cloud',
 };
 
-function interruptNode(node: Host, from: readonly string[], untilMs: number): NetworkInterruption {
+function createNodeInterruption(node: Host, from: readonly string[], untilMs: number): NetworkInterruption {
   return {
     untilMs,
     effect: 'hold',
@@ -419,6 +419,6 @@
   };
 }
 
-function interruptZone(zone: string, untilMs: number): NetworkInterruption {
+function createZoneInterruption(zone: string, untilMs: number): NetworkInterruption {
   return { untilMs, effect: 'hold', affects: (a, b) => (a.zone === zone) !== (b.zone === zone) };
 }
--- a/src/sim/faults.ts
+++ b/src/sim/faults.ts
@@ -8,7 +8,7 @@
 export type Fault = { atS: number; forS: number } & FaultKind;
 
 type FaultKind =
-  /** The process ends and starts again after `forS`. */
+  /** The process ends and starts again after `forS` seconds. */
   | { kind: 'crash'; node: NodeChoice }
   | { kind: 'crash_all' }
   /** The process stalls while its clock runs on. */
--- a/src/sim/worker.ts
+++ b/src/sim/worker.ts
@@ -430,11 +430,11 @@
   }
 
   /** Returns the tasks of the same attempt of a gang that have not ended. */
-  private findGangTasks(of: Task): Task[] {
+  private findGangTasks(member: Task): Task[] {
     const found: Task[] = [];
     for (const worker of this.context.workers.values()) {
       for (const task of worker.tasks.values()) {
-        if (task.job.uid === of.job.uid && task.attempt === of.attempt && task.phase !== 'ended') {
+        if (task.job.uid === member.job.uid && task.attempt === member.attempt && task.phase !== 'ended') {
           found.push(task);
         }
       }
