--- a/test/bench/compare.ts
+++ b/test/bench/compare.ts
@@ -1,8 +1,9 @@
 /**
- * `npm run bench:compare -- CHECKOUT_A CHECKOUT_B [--pairs N]`: times the benchmarks of two checkouts side by side and
- * prints both sides' medians in microseconds, their ratio and its spread. A pair is one new process of each checkout;
- * after a warm-up they take turns block by block (A, B, A, B, ...), so that both see the same load of the machine. Each
- * checkout runs its own copy of the benchmarks, bundled as the release is. Exits with 2 if a checkout can't be timed.
+ * `npm run bench:compare -- CHECKOUT_A CHECKOUT_B [--pairs N]`: runs the benchmarks of two checkouts in alternation and
+ * prints the medians of both in microseconds, their ratio and its range. A pair is one new process of each checkout.
+ * After a warm-up the two processes run blocks in turn (A, B, A, B, ...), so that both are measured under the same load
+ * of the machine. Each checkout runs its own version of the benchmarks, bundled with the options of the release build.
+ * Exits with 2 if a checkout can't be measured.
  */
 import { fork, type ChildProcess } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
@@ -13,18 +14,18 @@
 import { median, type BenchmarkRequest, type BlockTime } from './measure.ts';
 
 const DEFAULT_PAIRS = 7;
-/** No pair begins after so long, so that all is over within a minute and a half. */
-const LAST_BEGIN_MS = 74_000;
+/** Latest start of a pair after the start of the comparison, so that it ends within 90 s. */
+const MAX_PAIR_START_MS = 74_000;
 const ANSWER_TIMEOUT_MS = 10_000;
 
-/** For each benchmark, by its name: how long each side warms up, and how often the two take turns. */
+/** For each benchmark: how long each process warms up, and how many blocks it then runs. */
 const BENCHMARKS: readonly { name: string; warmUpMs: number; turns: number }[] = [
   { name: 'heartbeat, nothing new', warmUpMs: 400, turns: 25 },
   { name: 'heartbeat, one change', warmUpMs: 400, turns: 15 },
   { name: 'scheduling round', warmUpMs: 800, turns: 15 },
 ];
 
-/** What one pair of processes found of a benchmark: a figure of each side, and the ratio of the blocks side by side. */
+/** Medians of a benchmark over the turns of one pair, and the median of the ratio right to left of each turn. */
 interface PairFigures {
   left: number;
   right: number;
@@ -33,21 +34,23 @@
 
 type Figure = 'cpuUs' | 'wallUs';
 
+/** One block of each process, run directly after each other. */
 interface Turn {
   left: BlockTime;
   right: BlockTime;
 }
 
-/** A checkout could not be timed. */
+/** A checkout could not be measured; the message has the reason. */
 class BenchmarkError extends Error {
   readonly code = 'BENCHMARK_FAILED';
 
   constructor(checkout: string, reason: string, options?: ErrorOptions) {
-    super(`${checkout} can't be timed: ${reason}`, options);
+    super(`${checkout} can't be measured: ${reason}`, options);
     this.name = 'BenchmarkError';
   }
 }
 
+/** Bundles the benchmarks of a checkout into one file. */
 function bundle(checkout: string, outfile: string): void {
   try {
     buildSync({
@@ -68,43 +71,44 @@
   }
 }
 
-/** A process of one checkout. */
-class Side {
+/** A child process that runs the benchmarks of one checkout. */
+class BenchmarkProcess {
   private readonly child: ChildProcess;
 
   constructor(
     private readonly checkout: string,
-    bundled: string,
+    bundlePath: string,
   ) {
-    this.child = fork(bundled, [], { execArgv: [] });
+    this.child = fork(bundlePath, [], { execArgv: [] });
   }
 
+  /** Sends a request and waits for its answer; rejects if the process exits or doesn't answer in time. */
   request(request: BenchmarkRequest): Promise<BlockTime> {
     return new Promise((resolve, reject) => {
-      const settle = (finish: () => void): void => {
+      const settleOnce = (finish: () => void): void => {
         clearTimeout(timer);
-        this.child.off('message', answered);
-        this.child.off('exit', exited);
+        this.child.off('message', onMessage);
+        this.child.off('exit', onExit);
         finish();
       };
       const fail = (reason: string): void => {
-        settle(() => {
+        settleOnce(() => {
           reject(new BenchmarkError(this.checkout, reason));
         });
       };
-      const answered = (message: unknown): void => {
-        settle(() => {
+      const onMessage = (message: unknown): void => {
+        settleOnce(() => {
           resolve(message as BlockTime);
         });
       };
-      const exited = (status: number | null): void => {
-        fail(`its process ended with ${status ?? 'a signal'}`);
+      const onExit = (status: number | null): void => {
+        fail(`its process exited with ${status ?? 'a signal'}`);
       };
       const timer = setTimeout(() => {
         fail('no answer');
       }, ANSWER_TIMEOUT_MS);
-      this.child.on('message', answered);
-      this.child.on('exit', exited);
+      this.child.on('message', onMessage);
+      this.child.on('exit', onExit);
       this.child.send(request);
     });
   }
@@ -114,26 +118,26 @@
   }
 }
 
-/** Both sides' blocks of every benchmark, in turns. */
-async function runPair(left: Side, right: Side): Promise<Map<string, Turn[]>> {
-  const found = new Map<string, Turn[]>();
-  for (const { name, warmUpMs, turns: wanted } of BENCHMARKS) {
+/** Runs every benchmark in a pair of processes; returns the turns by benchmark name. */
+async function runPair(left: BenchmarkProcess, right: BenchmarkProcess): Promise<Map<string, Turn[]>> {
+  const turnsByBenchmark = new Map<string, Turn[]>();
+  for (const { name, warmUpMs, turns: turnCount } of BENCHMARKS) {
     const warmUp: BenchmarkRequest = { kind: 'warmUp', benchmark: name, durationMs: warmUpMs };
     await left.request(warmUp);
     await right.request(warmUp);
     const turns: Turn[] = [];
-    while (turns.length < wanted) {
+    while (turns.length < turnCount) {
       turns.push({
         left: await left.request({ kind: 'block' }),
         right: await right.request({ kind: 'block' }),
       });
     }
-    found.set(name, turns);
+    turnsByBenchmark.set(name, turns);
   }
-  return found;
+  return turnsByBenchmark;
 }
 
-function figuresOf(turns: readonly Turn[], figure: Figure): PairFigures {
+function computeFigures(turns: readonly Turn[], figure: Figure): PairFigures {
   return {
     left: median(turns.map((turn) => turn.left[figure])),
     right: median(turns.map((turn) => turn.right[figure])),
@@ -141,20 +145,20 @@
   };
 }
 
-const microseconds = (value: number): string => (value >= 100 ? value.toFixed(0) : value.toFixed(2));
-const plain = (value: number): string => value.toFixed(3);
-/** The median, with the least and the greatest value. */
-const summary = (values: readonly number[], show: (value: number) => string): string =>
+const formatMicroseconds = (value: number): string => (value >= 100 ? value.toFixed(0) : value.toFixed(2));
+const formatRatio = (value: number): string => value.toFixed(3);
+/** The median with the minimum and the maximum. */
+const formatSummary = (values: readonly number[], show: (value: number) => string): string =>
   `${show(median(values))} (${show(Math.min(...values))}..${show(Math.max(...values))})`;
 
-function describe(pairs: readonly PairFigures[]): string {
+function formatFigures(pairs: readonly PairFigures[]): string {
   const left = pairs.map((pair) => pair.left);
   const right = pairs.map((pair) => pair.right);
   const ratios = pairs.map((pair) => pair.ratio);
-  return `A ${summary(left, microseconds)} us, B ${summary(right, microseconds)} us, B/A ${summary(ratios, plain)}`;
+  return `A ${formatSummary(left, formatMicroseconds)} us, B ${formatSummary(right, formatMicroseconds)} us, B/A ${formatSummary(ratios, formatRatio)}`;
 }
 
-function report(pairs: readonly Map<string, Turn[]>[]): void {
+function printReport(pairs: readonly Map<string, Turn[]>[]): void {
   for (const { name, turns } of BENCHMARKS) {
     process.stdout.write(
       `${name}: medians of ${pairs.length} pairs with ${turns} turns each (range of the pairs)\n`,
@@ -163,13 +167,13 @@
       ['cpuUs', 'processor time'],
       ['wallUs', 'time passed   '],
     ] as const) {
-      const figures = pairs.map((pair) => figuresOf(pair.get(name) ?? [], figure));
-      process.stdout.write(`  ${label} ${describe(figures)}\n`);
+      const figures = pairs.map((pair) => computeFigures(pair.get(name) ?? [], figure));
+      process.stdout.write(`  ${label} ${formatFigures(figures)}\n`);
     }
   }
 }
 
-async function compare(checkouts: readonly [string, string], wantedPairs: number): Promise<void> {
+async function compareCheckouts(checkouts: readonly [string, string], wantedPairs: number): Promise<void> {
   const startedAt = performance.now();
   const directory = mkdtempSync(path.join(tmpdir(), 'bench-'));
   try {
@@ -178,18 +182,23 @@
     bundle(left, bundles[0]);
     bundle(right, bundles[1]);
     const pairs: Map<string, Turn[]>[] = [];
-    while (pairs.length < wantedPairs && performance.now() - startedAt < LAST_BEGIN_MS) {
-      const sides = [new Side(left, bundles[0]), new Side(right, bundles[1])] as const;
+    while (pairs.length < wantedPairs && performance.now() - startedAt < MAX_PAIR_START_MS) {
+      const sides = [
+        new BenchmarkProcess(left, bundles[0]),
+        new BenchmarkProcess(right, bundles[1]),
+      ] as const;
       try {
         pairs.push(await runPair(...sides));
       } finally {
         for (const side of sides) side.stop();
       }
     }
-    const tookS = (performance.now() - startedAt) / 1000;
-    const shortfall = pairs.length < wantedPairs ? ` of ${wantedPairs} wanted (the time was up)` : '';
-    process.stdout.write(`A ${left}\nB ${right}\n${pairs.length} pairs${shortfall}, ${tookS.toFixed(0)} s\n`);
-    report(pairs);
+    const elapsedS = (performance.now() - startedAt) / 1000;
+    const shortfall = pairs.length < wantedPairs ? ` of ${wantedPairs} wanted (time limit reached)` : '';
+    process.stdout.write(
+      `A ${left}\nB ${right}\n${pairs.length} pairs${shortfall}, ${elapsedS.toFixed(0)} s\n`,
+    );
+    printReport(pairs);
   } finally {
     rmSync(directory, { recursive: true });
   }
@@ -206,7 +215,7 @@
   process.exitCode = 2;
 } else {
   try {
-    await compare([left, right], wantedPairs);
+    await compareCheckouts([left, right], wantedPairs);
   } catch (error) {
     if (!(error instanceof BenchmarkError)) throw error;
     process.stderr.write(`${error.message}\n`);
--- a/test/bench/heartbeat.ts
+++ b/test/bench/heartbeat.ts
@@ -1,3 +1,4 @@
+/** Benchmarks of a leader that handles the heartbeats of a large fleet. */
 import { defaultOptions } from '../../src/config/options.ts';
 import { HeartbeatHandler } from '../../src/controller/heartbeat-handler.ts';
 import { SETTINGS } from '../config/sample.ts';
@@ -10,7 +11,7 @@
 const TASKS_PER_MACHINE = 4;
 const TASKS_PER_JOB = 100;
 const GRACE_MS = 6000;
-/** Enough that the leader serves all workers itself. */
+/** So many that the leader serves all workers itself, without relaying by followers. */
 const CORES = 100;
 const EXPECTED_ANSWER = JSON.stringify({ baton: TERM, orders: [] });
 
@@ -18,8 +19,8 @@
 const zoneOf = (machine: number): string => (machine % 2 === 0 ? 'a' : 'b');
 const jobId = (job: number): string => `req-${String(job).padStart(6, '0')}`;
 
-/** A worker's report with its tasks, all running or, in the `saving` form, with the first one saving. */
-function reportText(machine: number, sequence: number, saving: boolean): string {
+/** A worker's heartbeat with its tasks: all are running or, if `saving`, the first one is saving. */
+function heartbeatBody(machine: number, sequence: number, saving: boolean): string {
   const loaves = Array.from({ length: TASKS_PER_MACHINE }, (_, index) => {
     const task = machine * TASKS_PER_MACHINE + index;
     return {
@@ -44,8 +45,8 @@
   });
 }
 
-/** A leader to which all workers report, from the text of a report to the text of its answer. */
-class ReportingFleet {
+/** A leader and the heartbeats of its workers; handling includes decoding the heartbeat and encoding its response. */
+class HeartbeatFleet {
   private readonly harness = new LeaderHarness();
   private readonly handler: HeartbeatHandler;
   private sequence = 0;
@@ -59,7 +60,7 @@
     const settings = { ...SETTINGS.settings, limits: { ...SETTINGS.settings.limits, cores: CORES } };
     this.handler = new HeartbeatHandler({
       node: 'hearth-0',
-      settings: settings,
+      settings,
       options: defaultOptions(),
       log: silent,
       now: () => this.harness.clock.now(),
@@ -73,40 +74,40 @@
     });
   }
 
-  /** Every worker's next report; the returned work takes them all in. */
-  nextReports(saving: boolean): () => void {
+  /** Creates the next heartbeat of every worker; the returned function handles them all. */
+  nextHeartbeats(saving: boolean): () => void {
     this.sequence += 1;
     this.harness.clock.at += SETTINGS.settings.workers.report_s * 1000;
-    const texts = Array.from({ length: MACHINES }, (_, machine) =>
-      reportText(machine, this.sequence, saving),
+    const bodies = Array.from({ length: MACHINES }, (_, machine) =>
+      heartbeatBody(machine, this.sequence, saving),
     );
     return () => {
-      for (const text of texts) this.handler.onHeartbeat(text, expectPlainAnswer);
+      for (const text of bodies) this.handler.onHeartbeat(text, assertNoCommands);
     };
   }
 }
 
-/** The leader keeps every task and has no commands: otherwise something else than meant is being measured. */
-function expectPlainAnswer(answer: { status: number; body: string }): void {
+/** Fails unless the response has no commands: otherwise the benchmark would include work that it isn't meant to measure. */
+function assertNoCommands(answer: { status: number; body: string }): void {
   if (answer.status === 200 && answer.body === EXPECTED_ANSWER) return;
   throw new Error(`unexpected answer ${answer.status} ${answer.body}`);
 }
 
-/** Taking in one report that says the same as the one before. */
-export function repeatedReport(): Benchmark {
-  const fleet = new ReportingFleet();
-  return { operations: MACHINES, prepare: () => fleet.nextReports(false) };
+/** Handles heartbeats that report the same as the previous ones; an operation is one heartbeat. */
+export function repeatedHeartbeat(): Benchmark {
+  const fleet = new HeartbeatFleet();
+  return { operations: MACHINES, prepare: () => fleet.nextHeartbeats(false) };
 }
 
-/** Taking in one report in which the phase of one task has changed. */
-export function changedReport(): Benchmark {
-  const fleet = new ReportingFleet();
+/** Handles heartbeats in which the phase of one task has changed; an operation is one heartbeat. */
+export function changedHeartbeat(): Benchmark {
+  const fleet = new HeartbeatFleet();
   let saving = false;
   return {
     operations: MACHINES,
     prepare: () => {
       saving = !saving;
-      return fleet.nextReports(saving);
+      return fleet.nextHeartbeats(saving);
     },
   };
 }
--- a/test/bench/measure.ts
+++ b/test/bench/measure.ts
@@ -1,31 +1,32 @@
-/** Times work in blocks. A process of `run.ts` does so when `compare.ts` asks it to. */
+/** Measures blocks of work. `compare.ts` requests the blocks, a process of `run.ts` measures them. */
 
-/** Work that is timed in blocks of equal size. */
+/** Work that is measured in blocks of equal size. */
 export interface Benchmark {
-  /** Operations in a block: figures are told per operation. */
+  /** Operations in a block; times are reported per operation. */
   operations: number;
-  /** Makes the input of one block, untimed, and returns the block's work. */
+  /** Creates the input of one block, which isn't measured, and returns the work of the block. */
   prepare(): () => void;
 }
 
-/** What one block took, in microseconds an operation. */
+/** Times of one block, in microseconds per operation. */
 export interface BlockTime {
-  /** Processor time of the process: moves less with the load of other processes. */
+  /** CPU time of the process, which depends less on the load of other processes. */
   cpuUs: number;
-  /** Time that passed. */
+  /** Elapsed time. */
   wallUs: number;
 }
 
 /**
- * What `compare.ts` asks of a process; each request is answered with a `BlockTime`, that of the last block. The process
- * may be of another checkout, so the fields of the two types must stay as they are.
+ * A request from `compare.ts` to a process; the answer is the `BlockTime` of the last block. The process may run another
+ * version of this file, so the fields of both types must not change.
  */
 export type BenchmarkRequest =
-  /** Makes the benchmark anew and runs blocks for so long. */
+  /** Creates the benchmark anew and runs blocks for `durationMs`. */
   { kind: 'warmUp'; benchmark: string; durationMs: number } | { kind: 'block' };
 
 const US_PER_MS = 1000;
 
+/** Measures one block. */
 export function timeBlock(benchmark: Benchmark): BlockTime {
   const work = benchmark.prepare();
   const cpuBefore = process.cpuUsage();
@@ -39,6 +40,7 @@
   };
 }
 
+/** The median; throws a `RangeError` if there are no values. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   const middle = Math.floor(sorted.length / 2);
--- a/test/bench/round.ts
+++ b/test/bench/round.ts
@@ -1,3 +1,4 @@
+/** Benchmark of a scheduling round with a large fleet. */
 import { defaultOptions } from '../../src/config/options.ts';
 import { runRound } from '../../src/scheduling/round.ts';
 import type {
@@ -14,31 +15,31 @@
 const ZONES = 3;
 const TEAMS = 4;
 const IMAGES = 12;
-/** Inputs that differ a little, as those of successive rounds do. */
+/** Number of inputs of a block; they differ slightly, like those of successive rounds. */
 const VARIANTS = 2;
 
-/** Machine types: for processors, with accelerators, and large. */
-const TYPES: readonly { size: Resources; price: number; bootS: number; fetchGbPerS: number }[] = [
+/** Machine types: small, with GPUs, and large without GPUs. */
+const MACHINE_TYPES: readonly { size: Resources; price: number; bootS: number; fetchGbPerS: number }[] = [
   { size: { cpus: 16, gpus: 0, memory: 64 }, price: 0.8, bootS: 40, fetchGbPerS: 0.4 },
   { size: { cpus: 96, gpus: 8, memory: 768 }, price: 24, bootS: 90, fetchGbPerS: 1 },
   { size: { cpus: 64, gpus: 0, memory: 256 }, price: 3, bootS: 60, fetchGbPerS: 0.6 },
 ];
-const typeAt = (index: number): (typeof TYPES)[number] => {
-  const type = TYPES[index % TYPES.length];
+const machineTypeAt = (index: number): (typeof MACHINE_TYPES)[number] => {
+  const type = MACHINE_TYPES[index % MACHINE_TYPES.length];
   if (!type) throw new RangeError('there is no machine type');
   return type;
 };
 
-/** Every machine has some tasks; about a third of the room is free, and more is to become free. */
-function presentMachines(variant: number): MachineSnapshot[] {
+/** The fleet: most machines run tasks, about a third of the capacity is free, and more becomes free later. */
+function machineSnapshots(variant: number): MachineSnapshot[] {
   return Array.from({ length: MACHINES }, (_, index) => {
-    const { size, price, fetchGbPerS } = typeAt(index);
+    const { size, price, fetchGbPerS } = machineTypeAt(index);
     const load = (index * 7 + variant * 3) % 5;
     const task: Resources = { cpus: size.cpus / 6, gpus: size.gpus / 8, memory: size.memory / 8 };
     const spot = index % 4 === 0;
     return machine({
       machine: index,
-      type: index % TYPES.length,
+      type: index % MACHINE_TYPES.length,
       zone: index % ZONES,
       spot,
       free: {
@@ -63,8 +64,8 @@
   });
 }
 
-/** Gangs and arrays of four teams; most can be placed, some wait long already. */
-function waitingGroups(variant: number): TaskGroup[] {
+/** Pending gangs and arrays of four teams; most can be placed, and some have been waiting for long. */
+function taskGroups(variant: number): TaskGroup[] {
   return Array.from({ length: GROUPS }, (_, job) => {
     const gang = job % 4 === 0;
     const accelerated = job % 3 === 0;
@@ -95,9 +96,10 @@
   });
 }
 
-function rentableMachines(): ProvisioningOption[] {
+/** All machine types, on demand and spot, in every zone. */
+function provisioningOptions(): ProvisioningOption[] {
   const options: ProvisioningOption[] = [];
-  TYPES.forEach(({ size, price, bootS, fetchGbPerS }, type) => {
+  MACHINE_TYPES.forEach(({ size, price, bootS, fetchGbPerS }, type) => {
     for (let zone = 0; zone < ZONES; zone++) {
       for (const spot of [false, true]) {
         options.push(
@@ -119,17 +121,17 @@
   return options;
 }
 
-/** One round over all machines, with the default options and without a limit of time. */
+/** Runs rounds over all machines with the default options and without a time limit; an operation is one round. */
 export function schedulingRound(): Benchmark {
   const { scheduling } = defaultOptions();
-  const rentable = rentableMachines();
+  const options = provisioningOptions();
   return {
     operations: VARIANTS,
     prepare: () => {
       const inputs = Array.from({ length: VARIANTS }, (_, variant) => ({
         variant,
-        groups: waitingGroups(variant),
-        machines: presentMachines(variant),
+        groups: taskGroups(variant),
+        machines: machineSnapshots(variant),
         teams: Array.from({ length: TEAMS }, (_unused, team) => ({ cpus: 2000 + 500 * team, gpus: 300 })),
       }));
       return () => {
@@ -137,9 +139,9 @@
           const { placements } = runRound(
             groups,
             machines,
-            rentable,
+            options,
             teams,
-            (type) => TYPES[type]?.size ?? null,
+            (type) => MACHINE_TYPES[type]?.size ?? null,
             {
               reserveAfterMs: scheduling.reserve_after_s * 1000,
               roundNumber: variant,
--- a/test/bench/run.ts
+++ b/test/bench/run.ts
@@ -1,34 +1,34 @@
-/** One side of a comparison: a process that times a block of a benchmark whenever `compare.ts` asks for it. */
-import { changedReport, repeatedReport } from './heartbeat.ts';
+/** A process of a comparison: measures a block of a benchmark at each request of `compare.ts`. */
+import { changedHeartbeat, repeatedHeartbeat } from './heartbeat.ts';
 import { timeBlock, type Benchmark, type BenchmarkRequest, type BlockTime } from './measure.ts';
 import { schedulingRound } from './round.ts';
 
-/** The names are those of `compare.ts`, which may be of another checkout: they must stay as they are. */
+/** Benchmarks by the names that `compare.ts` requests. It may be another version, so the names must not change. */
 const BENCHMARKS: Readonly<Record<string, () => Benchmark>> = {
-  'heartbeat, nothing new': repeatedReport,
-  'heartbeat, one change': changedReport,
+  'heartbeat, nothing new': repeatedHeartbeat,
+  'heartbeat, one change': changedHeartbeat,
   'scheduling round': schedulingRound,
 };
 
-let current: Benchmark | null = null;
+let currentBenchmark: Benchmark | null = null;
 
 function warmUp(name: string, durationMs: number): BlockTime {
-  const make = BENCHMARKS[name];
-  if (!make) throw new RangeError(`there is no benchmark "${name}"`);
-  current = make();
-  const until = performance.now() + durationMs;
+  const createBenchmark = BENCHMARKS[name];
+  if (!createBenchmark) throw new RangeError(`there is no benchmark "${name}"`);
+  currentBenchmark = createBenchmark();
+  const endAt = performance.now() + durationMs;
   for (;;) {
-    const time = timeBlock(current);
-    if (performance.now() >= until) return time;
+    const time = timeBlock(currentBenchmark);
+    if (performance.now() >= endAt) return time;
   }
 }
 
-function answer(request: BenchmarkRequest): BlockTime {
+function handleRequest(request: BenchmarkRequest): BlockTime {
   if (request.kind === 'warmUp') return warmUp(request.benchmark, request.durationMs);
-  if (!current) throw new Error('a block before its warm-up');
-  return timeBlock(current);
+  if (!currentBenchmark) throw new Error('a block was requested before a warm-up');
+  return timeBlock(currentBenchmark);
 }
 
 process.on('message', (request: BenchmarkRequest) => {
-  process.send?.(answer(request));
+  process.send?.(handleRequest(request));
 });
--- a/test/controller/service.test.ts
+++ b/test/controller/service.test.ts
@@ -6,13 +6,13 @@
 import { CloudStandIn } from '../../standins/cloud.ts';
 import { StateStandIn } from '../../standins/state.ts';
 import { SETTINGS } from '../config/sample.ts';
-import { defectRecorder } from '../defects.ts';
+import { createDefectRecorder } from '../defects.ts';
 import { JOB } from '../wire/sample.ts';
 
 /** One controller on real sockets, with ports that the operating system chooses, and stand-ins for the services. */
 const state = new StateStandIn();
 const cloud = new CloudStandIn([], new Map());
-const { logger, defects } = defectRecorder();
+const { logger, defects } = createDefectRecorder();
 let service: Service;
 let base = '';
 
--- a/test/digest/days.ts
+++ b/test/digest/days.ts
@@ -1,60 +1,61 @@
+/** The fixed list of days whose messages are hashed, to detect changes of behaviour. */
 import fc from 'fast-check';
 import { SEED } from '../helpers.ts';
-import { AMBIENT, type DaySketch } from '../sim/days.ts';
+import { BACKGROUND_FAULTS, type DaySpec } from '../sim/days.ts';
 import { generatedDay, generatedTakeovers } from '../sim/generated.ts';
-import { MEETINGS } from '../sim/meetings.ts';
+import { FAULT_COMBINATIONS } from '../sim/meetings.ts';
 
-/** A day of the fixed list whose traffic is hashed. */
+/** A day of the list. Its name identifies it in `digests.txt`. */
 export interface DigestDay {
   name: string;
-  sketch: DaySketch;
+  spec: DaySpec;
 }
 
 const GENERATED_DAY_S = 170;
 const GENERATED_DAYS = 12;
 const GENERATED_TAKEOVERS = 12;
-const MEETING_SEED = 6151;
-/** A leader with this option serves at most one worker alone, so followers relay what reaches them. */
+const FAULT_COMBINATION_SEED = 6151;
+/** With this option a leader serves at most one worker itself, so followers relay the heartbeats that they receive. */
 const RELAYING_REPORTS_PER_CORE_S = 0.01;
 const FIVE_CONTROLLERS = { nodes: 5 };
 
-type Variant = (sketch: DaySketch) => DaySketch;
+type Variant = (spec: DaySpec) => DaySpec;
 
-/** The days of one list in turn with three controllers, three that relay, five, and five that relay. */
+/** Applied in turn to the days of a list: three or five controllers, without or with relaying by followers. */
 const VARIANTS: readonly { suffix: string; apply: Variant }[] = [
-  { suffix: '3', apply: (sketch) => sketch },
-  { suffix: '3-relaying', apply: (sketch) => ({ ...sketch, reportsPerCoreS: RELAYING_REPORTS_PER_CORE_S }) },
-  { suffix: '5', apply: (sketch) => ({ ...sketch, settings: { ...sketch.settings, ...FIVE_CONTROLLERS } }) },
+  { suffix: '3', apply: (spec) => spec },
+  { suffix: '3-relaying', apply: (spec) => ({ ...spec, reportsPerCoreS: RELAYING_REPORTS_PER_CORE_S }) },
+  { suffix: '5', apply: (spec) => ({ ...spec, settings: { ...spec.settings, ...FIVE_CONTROLLERS } }) },
   {
     suffix: '5-relaying',
-    apply: (sketch) => ({
-      ...sketch,
-      settings: { ...sketch.settings, ...FIVE_CONTROLLERS },
+    apply: (spec) => ({
+      ...spec,
+      settings: { ...spec.settings, ...FIVE_CONTROLLERS },
       reportsPerCoreS: RELAYING_REPORTS_PER_CORE_S,
     }),
   },
 ];
 
-function inVariants(prefix: string, sketches: readonly DaySketch[]): DigestDay[] {
-  return sketches.map((sketch, index) => {
+function applyVariants(prefix: string, specs: readonly DaySpec[]): DigestDay[] {
+  return specs.map((spec, index) => {
     const variant = VARIANTS[index % VARIANTS.length];
     if (!variant) throw new RangeError('there is no variant');
-    return { name: `${prefix}-${index}-${variant.suffix}`, sketch: variant.apply(sketch) };
+    return { name: `${prefix}-${index}-${variant.suffix}`, spec: variant.apply(spec) };
   });
 }
 
-function sample(days: fc.Arbitrary<DaySketch>, seed: number, count: number): DaySketch[] {
-  return fc.sample(days, { seed, numRuns: count }).map((sketch) => ({ ...sketch, always: AMBIENT }));
+function sampleDays(days: fc.Arbitrary<DaySpec>, seed: number, count: number): DaySpec[] {
+  return fc.sample(days, { seed, numRuns: count }).map((spec) => ({ ...spec, always: BACKGROUND_FAULTS }));
 }
 
-/** The list: generated days of all troubles, generated takeovers, and every named meeting of troubles. */
+/** The list: generated days with all kinds of faults, generated takeovers, and every fault combination. */
 export function digestDays(): DigestDay[] {
   return [
-    ...inVariants('day', sample(generatedDay(GENERATED_DAY_S), SEED, GENERATED_DAYS)),
-    ...inVariants('takeovers', sample(generatedTakeovers, SEED + 1, GENERATED_TAKEOVERS)),
-    ...inVariants(
+    ...applyVariants('day', sampleDays(generatedDay(GENERATED_DAY_S), SEED, GENERATED_DAYS)),
+    ...applyVariants('takeovers', sampleDays(generatedTakeovers, SEED + 1, GENERATED_TAKEOVERS)),
+    ...applyVariants(
       'meeting',
-      MEETINGS.map(({ day }) => ({ ...day, seed: MEETING_SEED })),
+      FAULT_COMBINATIONS.map(({ day }) => ({ ...day, seed: FAULT_COMBINATION_SEED })),
     ),
   ];
 }
--- a/test/digest/digest.test.ts
+++ b/test/digest/digest.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import { digestDays } from './days.ts';
-import { digestOf, playMessages } from './traffic-digest.ts';
+import { computeDigest, streamMessages } from './traffic-digest.ts';
 
 const MIN_DAYS = 48;
 
@@ -31,11 +31,11 @@
   'odd_requests',
 ];
 
-test('the list has every kind of fault, three and five controllers, with and without relaying', () => {
+test('the digest days cover every kind of fault, three and five controllers, with and without relaying', () => {
   const days = digestDays();
   assert.ok(days.length >= MIN_DAYS, `${days.length} days`);
   assert.equal(new Set(days.map(({ name }) => name)).size, days.length, 'names are unique');
-  const kinds = new Set(days.flatMap(({ sketch }) => sketch.faults.map((fault) => fault.kind)));
+  const kinds = new Set(days.flatMap(({ spec }) => spec.faults.map((fault) => fault.kind)));
   assert.deepEqual([...kinds].sort(), [...FAULT_KINDS].sort());
   for (const suffix of ['-3', '-3-relaying', '-5', '-5-relaying']) {
     assert.ok(
@@ -45,14 +45,14 @@
   }
 });
 
-test('a day played twice has the same messages, and another one as soon as one setting differs', async () => {
+test('simulating a day twice gives the same digest, and changing one option gives another', async () => {
   const [day] = digestDays();
   assert.ok(day);
-  const { sketch } = day;
-  const first = await digestOf(sketch);
+  const { spec } = day;
+  const first = await computeDigest(spec);
   assert.ok(first.messages > 1000, `${first.messages}`);
-  assert.deepEqual(await digestOf(sketch), first);
-  const changed = await digestOf({ ...sketch, reportsPerCoreS: 1 });
+  assert.deepEqual(await computeDigest(spec), first);
+  const changed = await computeDigest({ ...spec, reportsPerCoreS: 1 });
   assert.notEqual(changed.sha256, first.sha256);
 });
 
@@ -60,7 +60,7 @@
   const [day] = digestDays();
   assert.ok(day);
   const frames: string[] = [];
-  await playMessages(day.sketch, (line) => {
+  await streamMessages(day.spec, (line) => {
     if (line.includes(' MESH ')) frames.push(line);
   });
   assert.ok(frames.length > 10, `${frames.length}`);
--- a/test/digest/traffic-digest.ts
+++ b/test/digest/traffic-digest.ts
@@ -1,16 +1,17 @@
+/** Hashes all messages of a simulated day. */
 import { createHash } from 'node:crypto';
 import { encodeFrame } from '../../src/peers/frame-codec.ts';
 import type { PeerReply, PeerRequest } from '../../src/peers/messages.ts';
 import { Emulator } from '../../src/sim/emulator.ts';
 import type { SentMessage } from '../../src/sim/network.ts';
-import { defectRecorder } from '../defects.ts';
-import { scenario, type DaySketch } from '../sim/days.ts';
+import { createDefectRecorder } from '../defects.ts';
+import { buildScenario, type DaySpec } from '../sim/days.ts';
 
-/** The method under which the emulator carries what controllers send each other. */
+/** The method of the messages between controllers in the emulated network. */
 const PEER_METHOD = 'MESH';
 
-/** What is hashed of a message: frames between controllers as they are encoded, all others as text. */
-function bytesOf(message: SentMessage): string {
+/** The hashed content of a message: the encoded frame in hex between controllers, otherwise the body as it is. */
+function encodeContent(message: SentMessage): string {
   if (message.method !== PEER_METHOD) return message.body;
   const content: unknown = JSON.parse(message.body);
   const frame =
@@ -20,33 +21,34 @@
   return encodeFrame(frame).toString('hex');
 }
 
-/** One line a message: simulated time in ms, sender, receiver, method, path, status and bytes. */
-export function messageLine(message: SentMessage): string {
+/** One line per message: simulated time in ms, sender, receiver, method, path, status and content. */
+export function formatMessage(message: SentMessage): string {
   const { atMs, from, to, method, path, status } = message;
-  return [atMs, from.name, to.name, method, path, status ?? '-', bytesOf(message)].join(' ');
+  return [atMs, from.name, to.name, method, path, status ?? '-', encodeContent(message)].join(' ');
 }
 
-/** Plays a day and passes on each message as a line. */
-export async function playMessages(sketch: DaySketch, onLine: (line: string) => void): Promise<void> {
+/** Simulates a day and calls `onLine` with each message as a line. Rejects if a controller logs a defect. */
+export async function streamMessages(spec: DaySpec, onLine: (line: string) => void): Promise<void> {
   const observe = (message: SentMessage): void => {
-    onLine(messageLine(message));
+    onLine(formatMessage(message));
   };
-  const { logger, defects } = defectRecorder();
-  await new Emulator(scenario(sketch), logger, undefined, observe).run();
+  const { logger, defects } = createDefectRecorder();
+  await new Emulator(buildScenario(spec), logger, undefined, observe).run();
   if (defects.length > 0) throw new Error(`a controller logged a defect: ${defects.join('\n')}`);
 }
 
+/** The digest of all messages of a day. */
 export interface TrafficDigest {
   messages: number;
   /** SHA-256 over all message lines in the order in which they were sent. */
   sha256: string;
 }
 
-/** Plays a day and hashes every message of it. */
-export async function digestOf(sketch: DaySketch): Promise<TrafficDigest> {
+/** Simulates a day and hashes its messages. */
+export async function computeDigest(spec: DaySpec): Promise<TrafficDigest> {
   const hash = createHash('sha256');
   let messages = 0;
-  await playMessages(sketch, (line) => {
+  await streamMessages(spec, (line) => {
     messages += 1;
     hash.update(line);
     hash.update('\n');
--- a/test/golden/frames.test.ts
+++ b/test/golden/frames.test.ts
@@ -143,7 +143,7 @@
   ],
 ];
 
-const read = (hex: string): PeerFrame[] => new FrameReader().push(Buffer.from(hex, 'hex'));
+const readFrames = (hex: string): PeerFrame[] => new FrameReader().push(Buffer.from(hex, 'hex'));
 
 test('each kind of frame has its bytes', () => {
   for (const [name, frame, hex] of FRAMES) {
@@ -153,7 +153,7 @@
 
 test('the bytes of each kind of frame are read, and written again, as they were', () => {
   for (const [name, frame, hex] of FRAMES) {
-    const frames = read(hex);
+    const frames = readFrames(hex);
     assert.deepEqual(frames, [frame], name);
     assert.equal(frames.map((found) => encodeFrame(found).toString('hex')).join(), hex, name);
   }
@@ -179,7 +179,7 @@
   });
   const hex = '000000123400020c0000000000000000020000000000';
   assert.equal(encodeFrame(frame).toString('hex'), hex);
-  assert.equal(JSON.stringify(read(hex)), JSON.stringify([frame]).replace('true', 'false'));
+  assert.equal(JSON.stringify(readFrames(hex)), JSON.stringify([frame]).replace('true', 'false'));
 });
 
 test('the longest frame', () => {
@@ -198,17 +198,17 @@
   for (const [name, hex] of Object.entries(bad)) {
     let thrown = false;
     try {
-      read(hex);
+      readFrames(hex);
     } catch {
       thrown = true;
     }
     assert.ok(thrown, name);
   }
-  assert.deepEqual(read('000000'), []);
-  assert.deepEqual(read('0000000a0202'), []);
+  assert.deepEqual(readFrames('000000'), []);
+  assert.deepEqual(readFrames('0000000a0202'), []);
 });
 
 test('fields that a kind of request has no use for are left out when it is read', () => {
-  const frames = read('0000000d0a020a02780000000000000000');
+  const frames = readFrames('0000000d0a020a02780000000000000000');
   assert.equal(JSON.stringify(frames.map((frame) => frame.request)), JSON.stringify([{ kind: 'ping' }]));
 });
--- a/test/golden/messages.test.ts
+++ b/test/golden/messages.test.ts
@@ -32,12 +32,12 @@
 } from '../../src/wire/worker.ts';
 
 /** What a decoder makes of a text, without the names of its fields: they are the service's own affair. */
-const values = (decoded: { ok: boolean; value?: unknown }): string =>
-  decoded.ok ? JSON.stringify(flat(decoded.value)) : 'malformed';
+const decodedValues = (decoded: { ok: boolean; value?: unknown }): string =>
+  decoded.ok ? JSON.stringify(withoutFieldNames(decoded.value)) : 'malformed';
 
-function flat(value: unknown): unknown {
-  if (Array.isArray(value)) return value.map(flat);
-  return typeof value === 'object' && value !== null ? Object.values(value).map(flat) : value;
+function withoutFieldNames(value: unknown): unknown {
+  if (Array.isArray(value)) return value.map(withoutFieldNames);
+  return typeof value === 'object' && value !== null ? Object.values(value).map(withoutFieldNames) : value;
 }
 
 // ---- the state service ----
@@ -93,20 +93,24 @@
 
 test('answers of the state service', () => {
   const read = [
-    values(decodeItem('{"k":"leader","data":{"n":1},"stamp":120,"permit":77}')),
-    values(decodeItem('{"k":"term","data":null,"stamp":120}')),
-    values(decodeItem('{"k":"term","data":1,"stamp":-1}')),
-    values(decodeItem('{"k":"term"}')),
-    values(decodeItems('{"rows":[{"k":"o/1","data":1,"stamp":2,"permit":null}],"hasNext":true,"ledger":9}')),
-    values(decodeItems('{"rows":[],"hasNext":false}')),
-    values(decodeRevision('{"ledger":131}')),
-    values(decodeRevision('{"ledger":1.5}')),
-    values(decodeConflict('{"failed":["leader","fence"]}')),
-    values(decodeConflict('{"failed":"leader"}')),
-    values(decodeGrant('{"permit":77}')),
-    values(decodeGrant('{"permit":"77"}')),
-    values(decodeEvents('{"ledger":9,"log":[{"set":"o/1","data":[1],"stamp":8},{"drop":"o/2","stamp":9}]}')),
-    values(decodeEvents('{"ledger":9,"log":[{"stamp":8}]}')),
+    decodedValues(decodeItem('{"k":"leader","data":{"n":1},"stamp":120,"permit":77}')),
+    decodedValues(decodeItem('{"k":"term","data":null,"stamp":120}')),
+    decodedValues(decodeItem('{"k":"term","data":1,"stamp":-1}')),
+    decodedValues(decodeItem('{"k":"term"}')),
+    decodedValues(
+      decodeItems('{"rows":[{"k":"o/1","data":1,"stamp":2,"permit":null}],"hasNext":true,"ledger":9}'),
+    ),
+    decodedValues(decodeItems('{"rows":[],"hasNext":false}')),
+    decodedValues(decodeRevision('{"ledger":131}')),
+    decodedValues(decodeRevision('{"ledger":1.5}')),
+    decodedValues(decodeConflict('{"failed":["leader","fence"]}')),
+    decodedValues(decodeConflict('{"failed":"leader"}')),
+    decodedValues(decodeGrant('{"permit":77}')),
+    decodedValues(decodeGrant('{"permit":"77"}')),
+    decodedValues(
+      decodeEvents('{"ledger":9,"log":[{"set":"o/1","data":[1],"stamp":8},{"drop":"o/2","stamp":9}]}'),
+    ),
+    decodedValues(decodeEvents('{"ledger":9,"log":[{"stamp":8}]}')),
     String(isNoLease('{"error":"no such lease"}')),
     String(isNoLease('{"error":"other"}')),
   ];
@@ -170,7 +174,7 @@
 
 test('reports of workers', () => {
   assert.equal(
-    values(decodeHeartbeat(REPORT)),
+    decodedValues(decodeHeartbeat(REPORT)),
     '["n-000231","10.1.0.232:9000","g8","a",true,1,88,41,12.5,[["req-000412",3,2,"fetching",null,false],["req-000412",4,1,"waiting",null,false],["req-000412",5,1,"running",null,true],["req-000412",6,1,"saving",null,false]]]',
   );
   const bad = [
@@ -183,27 +187,27 @@
     '[]',
     '{',
   ];
-  for (const text of bad) assert.equal(values(decodeHeartbeat(text)), 'malformed', text);
+  for (const text of bad) assert.equal(decodedValues(decodeHeartbeat(text)), 'malformed', text);
 });
 
 test('causes for which tasks end, as far as they are told apart', () => {
   const wireCauses = ['done', 'stopped', 'peers', 'incomplete', 'error', 'full', 'busy', 'no_such'];
-  const read = wireCauses.map((cause) => values(decodeHeartbeat(ended(`"${cause}"`))));
+  const read = wireCauses.map((cause) => decodedValues(decodeHeartbeat(ended(`"${cause}"`))));
   assert.equal(new Set(read).size, wireCauses.length);
   // A cause that isn't known, or is missing, is an error of the task.
-  const error = values(decodeHeartbeat(ended('"error"')));
-  assert.equal(values(decodeHeartbeat(ended('"novelty"'))), error);
-  assert.equal(values(decodeHeartbeat(ended('null'))), error);
+  const error = decodedValues(decodeHeartbeat(ended('"error"')));
+  assert.equal(decodedValues(decodeHeartbeat(ended('"novelty"'))), error);
+  assert.equal(decodedValues(decodeHeartbeat(ended('null'))), error);
 });
 
 // ---- users and the cloud ----
 
 test('the state of a job as users are told it', () => {
-  const told = (['pending', 'running', 'done', 'cancelled'] as const).map((stage) =>
+  const statuses = (['pending', 'running', 'done', 'cancelled'] as const).map((stage) =>
     encodeStatus('req-000412', { stage, done: 3, running: 1 }),
   );
   assert.equal(
-    told.join('\n'),
+    statuses.join('\n'),
     [
       '{"uid":"req-000412","stage":"pending","done":3,"running":1}',
       '{"uid":"req-000412","stage":"running","done":3,"running":1}',
@@ -239,20 +243,20 @@
 test('answers of the cloud', () => {
   const machine = '"uid":"n-1","oven":"g8","yard":"a","borrowed":false';
   const read = [
-    values(decodeRented('{"hearths":["n-1"]}')),
-    values(decodeRented('{"hearths":[1]}')),
-    values(
+    decodedValues(decodeRented('{"hearths":["n-1"]}')),
+    decodedValues(decodeRented('{"hearths":[1]}')),
+    decodedValues(
       decodeMachineList(
         `{"hearths":[{${machine},"address":"10.1.0.1:9000","stage":"starting","ageS":3},{${machine},"stage":"running"},{${machine},"stage":"failed"},{${machine},"stage":"novelty"}],"hasNext":true}`,
       ),
     ),
-    values(decodeMachineList('{"hearths":[{}],"hasNext":false}')),
-    values(
+    decodedValues(decodeMachineList('{"hearths":[{}],"hasNext":false}')),
+    decodedValues(
       decodeCatalog(
         '{"ovens":[{"name":"g8","cores":96,"accelerators":8,"memGb":768,"localGb":400,"pullGbPerS":0.5,"rate":24.5,"spotPrice":9.75,"startupS":90,"yards":["a","b"]},{"name":"c16","cores":16,"memGb":64,"rate":0.8,"yards":[]}]}',
       ),
     ),
-    values(decodeCatalog('{"ovens":[{"name":"g8"}]}')),
+    decodedValues(decodeCatalog('{"ovens":[{"name":"g8"}]}')),
     String(isNoCapacity('{"error":"no capacity"}')),
     String(isNoCapacity('{"error":"other"}')),
   ];
--- a/test/golden/state-service.ts
+++ b/test/golden/state-service.ts
@@ -9,12 +9,12 @@
 export class ScriptedStateService implements HttpSender {
   readonly requests: string[] = [];
 
-  constructor(private readonly answer: (request: string) => ScriptedAnswer) {}
+  constructor(private readonly script: (request: string) => ScriptedAnswer) {}
 
   send(method: string, path: string, body: string | null): Promise<HttpResult> {
     const request = body === null ? `${method} ${path}` : `${method} ${path} ${body}`;
     this.requests.push(request);
-    const [status, text] = this.answer(request);
+    const [status, text] = this.script(request);
     return Promise.resolve({ kind: 'answer', status, body: text, retryAfterS: null });
   }
 
@@ -23,11 +23,11 @@
   }
 
   /** Requests that change something, in order. */
-  changing(): string[] {
+  mutatingRequests(): string[] {
     return this.requests.filter((request) => !request.startsWith('GET '));
   }
 
-  client(now: () => number): KeyValueStore {
+  createStore(now: () => number): KeyValueStore {
     return new KeyValueStore(() => this, { rps: 10_000, nodes: 1 }, now, silent);
   }
 }
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -34,10 +34,20 @@
 import { ScriptedStateService } from './state-service.ts';
 
 /** Changes as they go to the state service. */
-const wire = (changes: readonly Mutation[]): string => encodeTransaction([], changes);
+const encodeMutations = (changes: readonly Mutation[]): string => encodeTransaction([], changes);
 const item = (key: string, text: string): Item => ({ key, value: JSON.parse(text), version: 1, lease: null });
 /** Values that are no record of any kind. */
-const NO_RECORDS = ['null', 'true', '7', '"x"', '[]', '{}', '{"b":null}', '{"s":"gone"}', '{"at":"now"}'];
+const INVALID_RECORDS = [
+  'null',
+  'true',
+  '7',
+  '"x"',
+  '[]',
+  '{}',
+  '{"b":null}',
+  '{"s":"gone"}',
+  '{"at":"now"}',
+];
 
 test('the layout of keys', () => {
   const keys = [
@@ -81,26 +91,26 @@
     '{"at":1800000000123,"job":{"uid":"req-000412","batch":"train","crew":"vision","shape":"ensemble","rank":"standard","loaves":16,"cores":8,"accelerators":1,"memGb":64,"ovens":["g8","g4","c16"],"yard":null,"samePlace":true,"apart":false,"borrowed":true,"recipe":"img-07","imageGb":6.2,"bakeS":240,"proofS":30,"coolS":4,"dueS":900}}',
 };
 
-const openRecordOf = (submission: string): string => {
+const openRecordText = (submission: string): string => {
   const job = decodeJob(submission);
   assert.ok(job.ok);
   return JSON.stringify(encodeOpenRecord(job.value, 1_800_000_000_123));
 };
 
 test('the open record of an ensemble', () => {
-  assert.equal(openRecordOf(GANG), OPEN_RECORDS.gang);
+  assert.equal(openRecordText(GANG), OPEN_RECORDS.gang);
 });
 
 test('the open record of an array whose fields came in another order', () => {
-  assert.equal(openRecordOf(ARRAY), OPEN_RECORDS.array);
+  assert.equal(openRecordText(ARRAY), OPEN_RECORDS.array);
 });
 
 test('the open record of a daemon: fields that were not sent stay away, unknown ones are dropped', () => {
-  assert.equal(openRecordOf(DAEMON), OPEN_RECORDS.daemon);
+  assert.equal(openRecordText(DAEMON), OPEN_RECORDS.daemon);
 });
 
 test('the open record of a job with several machine types', () => {
-  assert.equal(openRecordOf(STANDARD), OPEN_RECORDS.standard);
+  assert.equal(openRecordText(STANDARD), OPEN_RECORDS.standard);
 });
 
 test('open records are read, and written again, as they were', () => {
@@ -127,7 +137,7 @@
 });
 
 test('what is not an open record is answered with null', () => {
-  for (const text of NO_RECORDS) assert.equal(decodeOpenRecord(JSON.parse(text)), null, text);
+  for (const text of INVALID_RECORDS) assert.equal(decodeOpenRecord(JSON.parse(text)), null, text);
   const { gang } = OPEN_RECORDS;
   const damaged = [
     gang.replace('"at":1800000000123', '"at":null'),
@@ -175,7 +185,7 @@
     '{"s":"gone","n":1}',
     '{"s":"done","n":"1"}',
   ];
-  for (const text of [...NO_RECORDS, ...damaged])
+  for (const text of [...INVALID_RECORDS, ...damaged])
     assert.equal(decodeTerminalRecord(JSON.parse(text)), null, text);
 });
 
@@ -195,7 +205,7 @@
   archive.add('req-000003', encodeTerminalRecord('done', 1));
   archive.tick();
   assert.equal(
-    pushed.map((job) => wire(job.mutations)).join('\n'),
+    pushed.map((job) => encodeMutations(job.mutations)).join('\n'),
     '{"if":[],"then":[{"drop":"o/req-000001"},{"set":"f/req-000001","data":{"s":"done","n":16}},{"drop":"o/req-000002"},{"set":"f/req-000002","data":{"s":"cancelled","n":3}}]}',
   );
 });
@@ -222,50 +232,53 @@
     '{"b":[null]}',
     '{"b":{"req-000001":1}}',
   ];
-  for (const text of [...NO_RECORDS, ...damaged])
+  for (const text of [...INVALID_RECORDS, ...damaged])
     assert.equal(decodeStartWatermarks(JSON.parse(text)), null, text);
 });
 
 /** Start notes whose writes are taken in order when told to, each as the line of JSON that is sent. */
-function startNotes(pageBytes: number): { notes: StartWatermarks; sent: () => string } {
+function createStartWatermarks(pageBytes: number): {
+  watermarks: StartWatermarks;
+  commitQueued: () => string;
+} {
   const queue: DeferredWrite[] = [];
-  const notes = new StartWatermarks({
+  const watermarks = new StartWatermarks({
     pageBytes,
     enqueueWrite: (job) => queue.push(job),
     enqueue: (command) => {
       command();
     },
   });
-  const sent = (): string =>
+  const commitQueued = (): string =>
     queue
       .splice(0)
       .map((job) => {
-        const line = wire([job.build()]);
+        const line = encodeMutations([job.build()]);
         job.onCommitted();
         return line;
       })
       .join('\n');
-  return { notes, sent };
+  return { watermarks, commitQueued };
 }
 
 test('the pages that start notes are written to, as jobs begin and end', () => {
-  const { notes, sent } = startNotes(80);
-  const told: string[] = [];
-  const note = (id: string, begun: number): void => {
-    notes.raise(id, begun, () => told.push(`${id} ${begun}`));
+  const { watermarks, commitQueued } = createStartWatermarks(80);
+  const durable: string[] = [];
+  const raise = (id: string, watermark: number): void => {
+    watermarks.raise(id, watermark, () => durable.push(`${id} ${watermark}`));
   };
-  note('req-000001', 16);
-  note('req-000002', 4);
-  note('req-000003', 1);
-  note('req-000001', 8);
-  const lines = [sent()];
-  note('req-000001', 32);
-  lines.push(sent());
-  notes.drop('req-000002');
-  lines.push(sent());
-  note('req-000004', 2);
-  note('req-000005', 3);
-  lines.push(sent());
+  raise('req-000001', 16);
+  raise('req-000002', 4);
+  raise('req-000003', 1);
+  raise('req-000001', 8);
+  const lines = [commitQueued()];
+  raise('req-000001', 32);
+  lines.push(commitQueued());
+  watermarks.drop('req-000002');
+  lines.push(commitQueued());
+  raise('req-000004', 2);
+  raise('req-000005', 3);
+  lines.push(commitQueued());
   assert.equal(
     lines.join('\n--\n'),
     [
@@ -281,15 +294,15 @@
     ].join('\n'),
   );
   assert.equal(
-    told.join(', '),
+    durable.join(', '),
     'req-000001 16, req-000002 4, req-000001 8, req-000003 1, req-000001 32, req-000004 2, req-000005 3',
   );
 });
 
 test('start notes of an earlier leader: pages are read, and a damaged one is told of and never written again', () => {
-  const { notes, sent } = startNotes(80);
+  const { watermarks, commitQueued } = createStartWatermarks(80);
   const malformed: string[] = [];
-  const found = notes.restore(
+  const found = watermarks.restore(
     [
       item('b/0', '{"b":"damaged"}'),
       item('b/1', '{"b":[["req-000001",16],["req-000009",2]]}'),
@@ -304,9 +317,9 @@
   assert.equal(found.hasUnreadablePage, true);
   assert.equal(malformed.join(' '), 'b/0 b/x b/-1');
   for (const id of ['req-000001', 'req-000004', 'req-000005', 'req-000006', 'req-000007'])
-    notes.raise(id, 48, () => undefined);
+    watermarks.raise(id, 48, () => undefined);
   assert.equal(
-    sent(),
+    commitQueued(),
     [
       '{"if":[],"then":[{"set":"b/2","data":{"b":[["req-000001",48],["req-000004",48]]}}]}',
       '{"if":[],"then":[{"set":"b/1","data":{"b":[["req-000001",16],["req-000005",48]]}}]}',
@@ -357,7 +370,7 @@
 });
 
 test('what is not a completion chunk is answered with null; damaged base64 is read as far as it goes', () => {
-  for (const text of [...NO_RECORDS, '{"b":7}', '{"b":[1]}']) {
+  for (const text of [...INVALID_RECORDS, '{"b":7}', '{"b":[1]}']) {
     assert.equal(decodeChunk(JSON.parse(text)), null, text);
   }
   const damaged = decodeChunk({ b: 'BY!A' });
@@ -377,45 +390,45 @@
 });
 
 /** A machine registry whose writes are durable when told to, each as the line of JSON that is sent. */
-function registry(pageBytes: number): { machines: MachineRegistry; sent: () => string } {
+function createRegistry(pageBytes: number): { machines: MachineRegistry; commitQueued: () => string } {
   const queue: string[] = [];
-  const confirm: (() => void)[] = [];
+  const onCommittedCallbacks: (() => void)[] = [];
   const machines = new MachineRegistry({
     pageBytes,
     enqueueWrite: (job, urgent) => {
-      queue.push(`${urgent ? 'urgent' : 'calm'} ${wire(job.mutations)}`);
-      confirm.push(job.onCommitted);
+      queue.push(`${urgent ? 'urgent' : 'calm'} ${encodeMutations(job.mutations)}`);
+      onCommittedCallbacks.push(job.onCommitted);
     },
     enqueue: (command) => {
       command();
     },
   });
-  const sent = (): string => {
-    for (const done of confirm.splice(0)) done();
+  const commitQueued = (): string => {
+    for (const onCommitted of onCommittedCallbacks.splice(0)) onCommitted();
     return queue.splice(0).join('\n');
   };
-  return { machines, sent };
+  return { machines, commitQueued };
 }
 
 test('the pages of the machine registry, as machines come and go', () => {
-  const { machines, sent } = registry(120);
+  const { machines, commitQueued } = createRegistry(120);
   const lines: string[] = [];
   const flush = (calm: boolean): void => {
     machines.flush(calm);
-    lines.push(`-- ${sent()}`);
+    lines.push(`-- ${commitQueued()}`);
   };
-  const told: number[] = [];
-  const enroll = (number: number): void => {
-    machines.register(machine(number), () => told.push(number));
+  const durable: number[] = [];
+  const register = (number: number): void => {
+    machines.register(machine(number), () => durable.push(number));
   };
-  enroll(1);
+  register(1);
   flush(false);
-  for (const number of [2, 3, 4, 5, 6]) enroll(number);
+  for (const number of [2, 3, 4, 5, 6]) register(number);
   flush(false);
   machines.remove('n-000003');
   flush(false);
   flush(true);
-  enroll(7);
+  register(7);
   machines.remove('n-000001');
   machines.remove('n-000002');
   machines.remove('n-000009');
@@ -439,13 +452,13 @@
       'calm {"if":[],"then":[{"drop":"m/2"}]}',
     ].join('\n'),
   );
-  assert.equal(told.join(' '), '1 2 3 4 5 6 7');
+  assert.equal(durable.join(' '), '1 2 3 4 5 6 7');
 });
 
 test('the registry of an earlier leader is read, and written again, as it was', () => {
   const page =
     '{"m":[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]}';
-  const { machines, sent } = registry(4000);
+  const { machines, commitQueued } = createRegistry(4000);
   const malformed: string[] = [];
   const found = machines.restore([item('m/0', page)], (key) => malformed.push(key));
   assert.equal(
@@ -456,18 +469,18 @@
   machines.register(machine(1), () => undefined);
   machines.flush(false);
   assert.equal(
-    sent(),
+    commitQueued(),
     'urgent {"if":[],"then":[{"set":"m/0","data":{"m":[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]}}]}',
   );
 });
 
 test('a page of the registry that is not one is told of and leaves out its machines only', () => {
-  const { machines } = registry(4000);
+  const { machines } = createRegistry(4000);
   const malformed: string[] = [];
   const entry = '["n-000001","10.1.0.1:9000","g8","a",false]';
   const found = machines.restore(
     [
-      ...NO_RECORDS.map((text, index) => item(`m/${index}`, text)),
+      ...INVALID_RECORDS.map((text, index) => item(`m/${index}`, text)),
       item('m/20', '{"m":7}'),
       item('m/21', '{"m":[["n-000001","10.1.0.1:9000","g8","a"]]}'),
       item('m/22', '{"m":[["n-000001","10.1.0.1:9000","g8","a",0]]}'),
@@ -510,7 +523,7 @@
     text.replace('"price":24.5,', ''),
     text.replace('"zones":[]', '"zones":[1]'),
   ];
-  for (const bad of [...NO_RECORDS, ...damaged]) {
+  for (const bad of [...INVALID_RECORDS, ...damaged]) {
     assert.notEqual(bad, text);
     assert.equal(decodeStoredCatalog(JSON.parse(bad)), null, bad);
   }
@@ -518,20 +531,20 @@
 
 // ---- leadership, on the level of the requests that the state service gets ----
 
-interface Standing {
+interface ElectionHarness {
   election: Election;
   service: ScriptedStateService;
   pauses: number[];
   /** Lets the election go on until it has won, or for so many pauses. */
   run: (pauses: number) => Promise<void>;
-  won: () => string;
+  acquiredLeadership: () => string;
 }
 
 /** An election on a scripted service: pauses are over at once, and move the clock. */
-function standing(records: Record<string, string>): Standing {
+function createElection(records: Record<string, string>): ElectionHarness {
   const clock = new FakeClock();
   const pauses: number[] = [];
-  let left = 0;
+  let pausesLeft = 0;
   const won: string[] = [];
   const service = new ScriptedStateService((request) => {
     if (request.startsWith('GET /store/')) {
@@ -549,7 +562,7 @@
   const election = new Election({
     node: 'hearth-2',
     nonce: 'nonce-1',
-    store: service.client(() => clock.now()),
+    store: service.createStore(() => clock.now()),
     clock,
     random: () => 0.5,
     options: { ttlMs: leadership.lease_ms, renewMs: leadership.renew_ms },
@@ -558,8 +571,8 @@
     pause: (ms) => {
       pauses.push(ms);
       clock.at += ms;
-      left -= 1;
-      return left < 0 ? new Promise(() => undefined) : new Promise((resolve) => setImmediate(resolve));
+      pausesLeft -= 1;
+      return pausesLeft < 0 ? new Promise(() => undefined) : new Promise((resolve) => setImmediate(resolve));
     },
     requestPeerLeases: null,
     onFault: (error) => {
@@ -571,23 +584,23 @@
     service,
     pauses,
     run: async (count) => {
-      left = count;
+      pausesLeft = count;
       election.start();
-      while (left >= 0 && won.length === 0) await new Promise((resolve) => setImmediate(resolve));
+      while (pausesLeft >= 0 && won.length === 0) await new Promise((resolve) => setImmediate(resolve));
     },
-    won: () => won.join(' '),
+    acquiredLeadership: () => won.join(' '),
   };
 }
 
 test('the first leader and term records, and the renewal and end of the lease', async () => {
-  const { election, service, run, won } = standing({});
+  const { election, service, run, acquiredLeadership } = createElection({});
   await run(200);
-  assert.equal(won(), '1 131 77');
+  assert.equal(acquiredLeadership(), '1 131 77');
   await new Promise((resolve) => setImmediate(resolve));
   await new Promise((resolve) => setImmediate(resolve));
   election.stepDown('ends');
   assert.equal(
-    [...new Set(service.changing())].join('\n'),
+    [...new Set(service.mutatingRequests())].join('\n'),
     [
       'POST /grants {"ttlMs":3000}',
       'POST /multi {"if":[{"k":"leader","stamp":0},{"k":"term","stamp":0}],"then":[{"set":"leader","data":{"node":"hearth-2","term":1,"nonce":"nonce-1"},"permit":77},{"set":"term","data":{"n":1}}]}',
@@ -598,13 +611,13 @@
 });
 
 test('the leader and term records of a later term', async () => {
-  const { service, run, won, election } = standing({
+  const { service, run, acquiredLeadership, election } = createElection({
     term: '{"k":"term","data":{"n":41},"stamp":120,"permit":null}',
   });
   await run(500);
   election.stop();
-  assert.equal(won(), '42 131 77');
-  const transaction = service.changing().find((request) => request.startsWith('POST /multi'));
+  assert.equal(acquiredLeadership(), '42 131 77');
+  const transaction = service.mutatingRequests().find((request) => request.startsWith('POST /multi'));
   assert.equal(
     transaction,
     'POST /multi {"if":[{"k":"leader","stamp":0},{"k":"term","stamp":120}],"then":[{"set":"leader","data":{"node":"hearth-2","term":42,"nonce":"nonce-1"},"permit":77},{"set":"term","data":{"n":42}}]}',
@@ -612,7 +625,7 @@
 });
 
 test('a leader record of this node from before: its lease is ended', async () => {
-  const { service, run } = standing({
+  const { service, run } = createElection({
     leader: '{"k":"leader","data":{"node":"hearth-2","term":41,"nonce":"nonce-0"},"stamp":121,"permit":76}',
   });
   await run(1);
@@ -623,7 +636,7 @@
 });
 
 test('a leader record of another node is followed', async () => {
-  const { service, run, election } = standing({
+  const { service, run, election } = createElection({
     leader: '{"k":"leader","data":{"node":"hearth-1","term":41,"nonce":"nonce-9"},"stamp":121,"permit":76}',
   });
   await run(1);
@@ -636,26 +649,28 @@
 
 test('beside a malformed leader record nobody stands', async () => {
   for (const data of [
-    ...NO_RECORDS,
+    ...INVALID_RECORDS,
     '{"node":"hearth-1","term":1.5,"nonce":"n"}',
     '{"node":"hearth-1","term":1}',
   ]) {
-    const { service, run, pauses, election } = standing({
+    const { service, run, pauses, election } = createElection({
       leader: `{"k":"leader","data":${data},"stamp":121,"permit":76}`,
     });
     await run(20);
-    assert.deepEqual(service.changing(), [], data);
+    assert.deepEqual(service.mutatingRequests(), [], data);
     assert.equal(election.leaderName(), null);
     assert.deepEqual([...new Set(pauses)], [500]);
   }
 });
 
 test('beside a malformed term record nobody stands', async () => {
-  for (const data of [...NO_RECORDS, '{"n":1.5}', '{"n":"1"}']) {
-    const { service, run, won } = standing({ term: `{"k":"term","data":${data},"stamp":120,"permit":null}` });
+  for (const data of [...INVALID_RECORDS, '{"n":1.5}', '{"n":"1"}']) {
+    const { service, run, acquiredLeadership } = createElection({
+      term: `{"k":"term","data":${data},"stamp":120,"permit":null}`,
+    });
     await run(300);
-    assert.deepEqual(service.changing(), [], data);
-    assert.equal(won(), '');
+    assert.deepEqual(service.mutatingRequests(), [], data);
+    assert.equal(acquiredLeadership(), '');
   }
 });
 
@@ -666,7 +681,7 @@
     200,
     `{"ledger":${200 + service.requests.length}}`,
   ]);
-  const client = service.client(now);
+  const client = service.createStore(now);
   const writer = new LeaderWriter({
     onError: failTest,
     host: {
@@ -722,7 +737,10 @@
 // ---- users' requests, on the same level ----
 
 /** The users' side of a controller without a leader, on a service that holds these records. */
-function users(records: Record<string, string>): { requests: UserRequests; service: ScriptedStateService } {
+function createUserRequests(records: Record<string, string>): {
+  requests: UserRequests;
+  service: ScriptedStateService;
+} {
   const clock = new FakeClock();
   const service = new ScriptedStateService((request) => {
     if (!request.startsWith('GET ')) return [200, '{"ledger":131}'];
@@ -731,7 +749,7 @@
     if (record === undefined) return [404, '{"ledger":130}'];
     return [200, `{"k":"${key}","data":${record},"stamp":125,"permit":null}`];
   });
-  const client = service.client(() => clock.now());
+  const client = service.createStore(() => clock.now());
   const types = decodeCatalog(CLOUD_CATALOG);
   assert.ok(types.ok);
   const catalog = new Catalog(types.value);
@@ -757,36 +775,33 @@
   return { requests, service };
 }
 
-interface Told {
+interface UserAnswer {
   status: number;
   body: string;
 }
-const show = (answer: Told): string => `${answer.status} ${answer.body}`;
-const submitted = ({ requests }: { requests: UserRequests }, body: string): Promise<string> =>
+const formatAnswer = (answer: UserAnswer): string => `${answer.status} ${answer.body}`;
+const submit = ({ requests }: { requests: UserRequests }, body: string): Promise<string> =>
   new Promise((resolve) => {
     requests.submit(body, (answer) => {
-      resolve(show(answer));
+      resolve(formatAnswer(answer));
     });
   });
-const polled = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
+const poll = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
   new Promise((resolve) => {
     requests.poll(id, (answer) => {
-      resolve(show(answer));
+      resolve(formatAnswer(answer));
     });
   });
-const cancelled = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
+const cancel = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
   new Promise((resolve) => {
     requests.cancel(id, (answer) => {
-      resolve(show(answer));
+      resolve(formatAnswer(answer));
     });
   });
 
 test('a submission writes the open record where no record of the job is', async () => {
-  const side = users({});
-  assert.equal(
-    await submitted(side, GANG),
-    '201 {"uid":"req-000412","stage":"pending","done":0,"running":0}',
-  );
+  const side = createUserRequests({});
+  assert.equal(await submit(side, GANG), '201 {"uid":"req-000412","stage":"pending","done":0,"running":0}');
   assert.equal(
     side.service.requests.join('\n'),
     'POST /multi {"if":[{"k":"o/req-000412","stamp":0},{"k":"f/req-000412","stamp":0}],"then":[{"set":"o/req-000412","data":{"at":1800000000000,"job":{"uid":"req-000412","batch":"train","crew":"vision","shape":"ensemble","rank":"urgent","loaves":16,"cores":8,"accelerators":1,"memGb":64,"ovens":["g8"],"yard":null,"samePlace":true,"apart":false,"borrowed":true,"recipe":"img-07","imageGb":6.2,"bakeS":240,"proofS":30,"coolS":4,"dueS":900}}}]}',
@@ -794,9 +809,9 @@
 });
 
 test('a cancellation without a leader writes the final record in the place of the open one', async () => {
-  const side = users({ 'o/req-000412': OPEN_RECORDS.gang });
+  const side = createUserRequests({ 'o/req-000412': OPEN_RECORDS.gang });
   assert.equal(
-    await cancelled(side, 'req-000412'),
+    await cancel(side, 'req-000412'),
     '200 {"uid":"req-000412","stage":"aborted","done":0,"running":0}',
   );
   assert.equal(
@@ -810,14 +825,14 @@
 
 test('what is told of a job by its records', async () => {
   const states = [
-    await polled(users({ 'o/req-000412': OPEN_RECORDS.gang }), 'req-000412'),
-    await polled(users({ 'o/req-000412': '{"s":"done","n":16}' }), 'req-000412'),
-    await polled(users({ 'f/req-000412': '{"s":"cancelled","n":3}' }), 'req-000412'),
-    await polled(users({}), 'req-000412'),
+    await poll(createUserRequests({ 'o/req-000412': OPEN_RECORDS.gang }), 'req-000412'),
+    await poll(createUserRequests({ 'o/req-000412': '{"s":"done","n":16}' }), 'req-000412'),
+    await poll(createUserRequests({ 'f/req-000412': '{"s":"cancelled","n":3}' }), 'req-000412'),
+    await poll(createUserRequests({}), 'req-000412'),
     // Unreadable in the first place: some job it is. Unreadable in the archive: nothing can be said.
-    await polled(users({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
-    await polled(users({ 'f/req-000412': '{"at":7}' }), 'req-000412'),
-    await cancelled(users({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
+    await poll(createUserRequests({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
+    await poll(createUserRequests({ 'f/req-000412': '{"at":7}' }), 'req-000412'),
+    await cancel(createUserRequests({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
   ];
   assert.equal(
     states.join('\n'),
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -1,3 +1,4 @@
+/** Values and fakes that the tests of several folders share. */
 import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../src/scheduling/snapshot.ts';
 import type { MachineTypeInfo } from '../src/wire/cloud.ts';
 import type { Clock } from '../src/base/clock.ts';
@@ -6,12 +7,12 @@
 export const SEED = 20261201;
 export const silent = pino({ level: 'silent' });
 
-/** Handles errors that only a defect can bring about: as an unhandled rejection it fails the test. */
+/** Handler of errors that only a defect can cause: rethrows the error, which fails the test as an unhandled one. */
 export function failTest(error: unknown): never {
   throw error;
 }
 
-/** A machine type. */
+/** A machine type with accelerators that is offered in two zones. */
 export const BIG: MachineTypeInfo = {
   name: 'big',
   cpus: 8,
@@ -25,6 +26,7 @@
   zones: ['a', 'b'],
 };
 
+/** A clock that a test sets through `at`. */
 export class FakeClock implements Clock {
   at = 0;
   now(): number {
@@ -35,6 +37,7 @@
   }
 }
 
+/** A group of one small pending task that may run anywhere. */
 export function group(over: Partial<TaskGroup> = {}): TaskGroup {
   return {
     job: 0,
@@ -70,6 +73,7 @@
   };
 }
 
+/** An idle machine that has booted. */
 export function machine(over: Partial<MachineSnapshot> = {}): MachineSnapshot {
   return {
     machine: 0,
@@ -90,6 +94,7 @@
   };
 }
 
+/** An option to provision on-demand machines. */
 export function option(over: Partial<ProvisioningOption> = {}): ProvisioningOption {
   return {
     option: 0,
--- a/test/model/sim.ts
+++ b/test/model/sim.ts
@@ -1,50 +1,50 @@
-/** Simulated time for tests: a queue of events and a generator of random numbers. */
+/** Simulated time for tests: an event queue and a random number generator. */
 import { required } from '../../src/base/required.ts';
 
-interface SimEvent {
+interface ScheduledEvent {
   at: number;
   /** Events of the same moment run in the order in which they were scheduled. */
   sequence: number;
   run: () => void;
 }
 
-/** Events in simulated time, in milliseconds, run one by one; promises settle between them. */
+/** Runs scheduled events one by one in simulated time; pending promises settle between two events. */
 export class Sim {
-  /** The present moment. */
+  /** The current simulated time in milliseconds. */
   at = 0;
-  private scheduled = 0;
-  /** The next event last. */
-  private readonly events: SimEvent[] = [];
-  private state: number;
+  private scheduledCount = 0;
+  /** In reverse order: the next event is the last element. */
+  private readonly events: ScheduledEvent[] = [];
+  private randomState: number;
 
   constructor(seed: number) {
-    this.state = seed >>> 0 || 1;
+    this.randomState = seed >>> 0 || 1;
   }
 
-  /** From 0 to below 1, by xorshift32: only the order of events depends on it, and that must be the same in all runs. */
+  /** A number in [0, 1), by xorshift32. It decides only the order of events, which must be the same in every run. */
   random(): number {
-    let bits = this.state;
+    let bits = this.randomState;
     bits ^= bits << 13;
     bits ^= bits >>> 17;
     bits ^= bits << 5;
-    this.state = bits >>> 0;
-    return this.state / 2 ** 32;
+    this.randomState = bits >>> 0;
+    return this.randomState / 2 ** 32;
   }
 
-  /** A random number from `low` to below `high`. */
+  /** A random number in [`low`, `high`). */
   between(low: number, high: number): number {
     return low + this.random() * (high - low);
   }
 
-  /** True with that probability. */
+  /** True with the given probability. */
   chance(probability: number): boolean {
     return this.random() < probability;
   }
 
-  /** Schedules an event. */
+  /** Schedules an event after a delay. */
   after(ms: number, run: () => void): void {
-    const event = { at: this.at + Math.max(0, ms), sequence: this.scheduled, run };
-    this.scheduled += 1;
+    const event = { at: this.at + Math.max(0, ms), sequence: this.scheduledCount, run };
+    this.scheduledCount += 1;
     let low = 0;
     let high = this.events.length;
     while (low < high) {
@@ -55,27 +55,27 @@
     this.events.splice(low, 0, event);
   }
 
-  /** Resolves after that time. */
+  /** Resolves after a delay. */
   pause(ms: number): Promise<void> {
     return new Promise((resolve) => {
       this.after(ms, resolve);
     });
   }
 
-  /** Runs all events up to a moment, which is the present one afterwards. */
-  async run(until: number): Promise<void> {
+  /** Runs all events up to and including `untilMs`, and sets the current time to it. */
+  async run(untilMs: number): Promise<void> {
     for (;;) {
       const next = this.events.at(-1);
-      if (!next || next.at > until) break;
+      if (!next || next.at > untilMs) break;
       this.events.pop();
       this.at = next.at;
       next.run();
       await new Promise((resolve) => setImmediate(resolve));
     }
-    this.at = until;
+    this.at = untilMs;
   }
 }
 
-function isLater(first: SimEvent, second: SimEvent): boolean {
+function isLater(first: ScheduledEvent, second: ScheduledEvent): boolean {
   return first.at > second.at || (first.at === second.at && first.sequence > second.sequence);
 }
--- a/test/model/state.ts
+++ b/test/model/state.ts
@@ -1,20 +1,20 @@
-/** A model of the key-value store for tests: strong consistency, watches, and a leader key that is attached to a lease. */
+/** A model of the state service for tests: strong consistency, watches, and a leader key that is attached to a lease. */
 import type { CompareAndSwapResult } from '../../src/store/key-value-store.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import type { Mutation, Condition, Item, WatchEvent } from '../../src/wire/state.ts';
 import type { Sim } from './sim.ts';
 
-/** A leadership that was acquired at the model. */
+/** A leadership that was acquired in the model. */
 export interface AcquiredLeadership {
   term: number;
   version: number;
   lease: number;
 }
 
-/** The store as it is at each moment of simulated time; whoever uses it adds the delays and faults of a network. */
+/** The contents of the store at the current simulated time. Network delays and faults are added by the caller. */
 export class StateModel {
   readonly data = new Map<string, { value: unknown; version: number }>();
-  /** Are told the changes of jobs' records as they are made. */
+  /** Called with the changes to open job records when they are applied. */
   readonly watchers = new Set<(events: WatchEvent[]) => void>();
   private revision = 1;
   private leaseExpiresAt = -Infinity;
@@ -22,9 +22,9 @@
 
   constructor(private readonly sim: Sim) {}
 
-  /** Takes the leader key, with a lease of so many ms; null while another holds it. */
+  /** Acquires the leader key with a lease of `ttlMs`; null while the key exists. */
   acquire(ttlMs: number): AcquiredLeadership | null {
-    this.expire();
+    this.expireLease();
     if (this.data.has(KEYS.leader)) return null;
     this.revision += 1;
     const term = ((this.data.get(KEYS.term)?.value as number | undefined) ?? 0) + 1;
@@ -35,9 +35,9 @@
     return { term, version: this.revision, lease: this.leaseId };
   }
 
-  /** Carries a transaction out at once, if its conditions hold. */
+  /** Applies a transaction at once if its conditions hold. */
   apply(conditions: readonly Condition[], mutations: readonly Mutation[]): CompareAndSwapResult {
-    this.expire();
+    this.expireLease();
     const failed = conditions
       .filter(({ key, version }) => (this.data.get(key)?.version ?? 0) !== version)
       .map(({ key }) => key);
@@ -49,7 +49,7 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  /** The items whose keys begin with a prefix. */
+  /** The items whose keys start with a prefix. */
   list(prefix: string): Item[] {
     return [...this.data]
       .filter(([key]) => key.startsWith(prefix))
@@ -66,7 +66,7 @@
     return { key: mutation.delete, deleted: true, value: null, version };
   }
 
-  private expire(): void {
+  private expireLease(): void {
     if (this.sim.at <= this.leaseExpiresAt || this.leaseExpiresAt === -Infinity) return;
     this.leaseExpiresAt = -Infinity;
     this.data.delete(KEYS.leader);
--- a/test/sim/checker.test.ts
+++ b/test/sim/checker.test.ts
@@ -8,15 +8,15 @@
 const BODY: JobBody = { ...(JOB as JobBody), shape: 'array', loaves: 2, ovens: null, samePlace: false };
 const UID = BODY.uid;
 
-/** Events a second apart, from their bodies; a number moves time on by so many seconds. */
+/** Events one second apart, from their bodies; a number adds a pause of so many seconds. */
 function events(...steps: (EventBody | number)[]): SimEvent[] {
   let at = 0;
-  const found: SimEvent[] = [];
+  const result: SimEvent[] = [];
   for (const step of steps) {
     if (typeof step === 'number') at += step * 1000;
-    else found.push({ ...step, at: (at += 1000) });
+    else result.push({ ...step, at: (at += 1000) });
   }
-  return found;
+  return result;
 }
 
 let request = 0;
@@ -36,14 +36,14 @@
   job,
   node: 'n',
 });
-/** The answer to the request before. */
-const told = (stage: 'pending' | 'running' | 'done' | 'aborted' | null, status = 200): EventBody => ({
+/** The answer to the latest request. */
+const answered = (stage: 'pending' | 'running' | 'done' | 'aborted' | null, status = 200): EventBody => ({
   kind: 'answered',
   request,
   status,
   stage,
 });
-const up = (machine: string, over: object = {}): EventBody => ({
+const machineUp = (machine: string, over: object = {}): EventBody => ({
   kind: 'machine_up',
   machine,
   type: 'g8',
@@ -54,138 +54,172 @@
   memGb: 768,
   ...over,
 });
-const placed = (machine: string, task = 0, attempt = 1) => ({ machine, job: UID, task, attempt });
-const launched = (machine: string, sentAt: number, task = 0): EventBody => ({
+const placement = (machine: string, task = 0, attempt = 1) => ({ machine, job: UID, task, attempt });
+const taskLaunched = (machine: string, sentAt: number, task = 0): EventBody => ({
   kind: 'task_launched',
   sentAt,
-  ...placed(machine, task),
+  ...placement(machine, task),
 });
-const on = (machine: string, task = 0, attempt = 1): EventBody => ({
+const taskOn = (machine: string, task = 0, attempt = 1): EventBody => ({
   kind: 'task_on',
-  ...placed(machine, task, attempt),
+  ...placement(machine, task, attempt),
 });
-const off = (machine: string, cause: 'done' | 'stopped' | null, task = 0): EventBody => ({
+const taskOff = (machine: string, cause: 'done' | 'stopped' | null, task = 0): EventBody => ({
   kind: 'task_off',
   cause,
-  ...placed(machine, task),
+  ...placement(machine, task),
 });
 
-function rules(log: SimEvent[], over: { calmS?: number; endS?: number } = {}): Rule[] {
-  const endMs = (over.endS ?? (log.at(-1)?.at ?? 0) / 1000 + 1) * 1000;
+function brokenRules(log: SimEvent[], limits: { calmS?: number; endS?: number } = {}): Rule[] {
+  const endMs = (limits.endS ?? (log.at(-1)?.at ?? 0) / 1000 + 1) * 1000;
   const violations = check(log, {
     teams: [{ name: 'vision', cpus_max: 0, gpus_max: 1 }],
     cancelMs: 40_000,
-    calmAtMs: (over.calmS ?? 1e6) * 1000,
+    calmAtMs: (limits.calmS ?? 1e6) * 1000,
     endMs,
   });
   return [...new Set(violations.map((v) => v.rule))];
 }
 
-const accepted = (): EventBody[] => [submit(), told('pending', 201)];
-/** Requests are numbered as they are made, so each answer follows its own. */
+const acceptedJob = (): EventBody[] => [submit(), answered('pending', 201)];
+/** Each `log` is a function because requests are numbered as they are created, and `answered` takes the latest number. */
 const cases: { name: string; rule: Rule | null; log: () => SimEvent[]; calmS?: number; endS?: number }[] = [
   {
-    name: 'a day without fault',
+    name: 'a day without violations',
     rule: null,
-    log: () => events(submit(), told('pending', 201), up('m'), launched('m', 0), on('m'), off('m', 'done')),
+    log: () =>
+      events(
+        submit(),
+        answered('pending', 201),
+        machineUp('m'),
+        taskLaunched('m', 0),
+        taskOn('m'),
+        taskOff('m', 'done'),
+      ),
   },
   {
-    name: 'a task on two machines',
+    name: 'a task runs on two machines',
     rule: 'ran_twice',
-    log: () => events(...accepted(), up('m'), up('k'), on('m'), off('m', null, 1), on('k', 0, 2)),
+    log: () =>
+      events(
+        ...acceptedJob(),
+        machineUp('m'),
+        machineUp('k'),
+        taskOn('m'),
+        taskOff('m', null, 1),
+        taskOn('k', 0, 2),
+      ),
   },
   {
-    name: 'more tasks than the team may have',
+    name: "running tasks exceed the team's quota",
     rule: 'quota',
-    log: () => events(...accepted(), up('m'), on('m', 0), on('m', 1)),
+    log: () => events(...acceptedJob(), machineUp('m'), taskOn('m', 0), taskOn('m', 1)),
   },
   {
-    name: 'a spot machine for a job that may not use one',
+    name: 'a job that forbids spot machines runs on one',
     rule: 'wrong_place',
-    log: () => events(submit({ borrowed: false }), told('pending'), up('m', { spot: true }), on('m')),
+    log: () =>
+      events(submit({ borrowed: false }), answered('pending'), machineUp('m', { spot: true }), taskOn('m')),
   },
   {
-    name: 'a task that goes on after the confirmed cancellation',
+    name: 'a task keeps running after its cancellation is confirmed',
     rule: 'ran_cancelled',
     log: () =>
-      events(...accepted(), up('m'), on('m'), ask('cancel'), told('aborted'), 45, off('m', 'stopped')),
+      events(
+        ...acceptedJob(),
+        machineUp('m'),
+        taskOn('m'),
+        ask('cancel'),
+        answered('aborted'),
+        45,
+        taskOff('m', 'stopped'),
+      ),
   },
   {
-    name: 'a start sent after the confirmed cancellation',
+    name: 'a task is started after its cancellation is confirmed',
     rule: 'ran_cancelled',
-    log: () => events(...accepted(), up('m'), ask('cancel'), told('aborted'), launched('m', 20_000)),
+    log: () =>
+      events(...acceptedJob(), machineUp('m'), ask('cancel'), answered('aborted'), taskLaunched('m', 20_000)),
   },
   {
-    name: 'an accepted job answered 404',
+    name: 'an accepted job is answered with 404',
     rule: 'forgotten',
-    log: () => events(...accepted(), ask(), told(null, 404)),
+    log: () => events(...acceptedJob(), ask(), answered(null, 404)),
   },
   {
-    name: 'no question answered for 75 s',
+    name: 'no poll is answered for 75 s',
     rule: 'forgotten',
-    log: () => events(...accepted(), ask()),
+    log: () => events(...acceptedJob(), ask()),
     calmS: 5,
     endS: 90,
   },
-  { name: 'a state of a job nobody submitted', rule: 'invented', log: () => events(ask(), told('pending')) },
   {
-    name: 'done before its tasks are',
+    name: 'a stage is reported for a job that was not submitted',
+    rule: 'invented',
+    log: () => events(ask(), answered('pending')),
+  },
+  {
+    name: 'a job is reported as done before its tasks are',
     rule: 'not_done',
-    log: () => events(...accepted(), ask(), told('done')),
+    log: () => events(...acceptedJob(), ask(), answered('done')),
   },
   {
-    name: 'cancelled, then running for who asked later',
+    name: 'a cancelled job is reported as running by a later poll',
     rule: 'went_back',
-    log: () => events(...accepted(), ask('cancel'), told('aborted'), ask(), told('running')),
+    log: () => events(...acceptedJob(), ask('cancel'), answered('aborted'), ask(), answered('running')),
   },
   {
-    name: 'cancelled though nobody asked for it',
+    name: 'a job is reported as cancelled without a request to cancel it',
     rule: 'went_back',
-    log: () => events(...accepted(), ask(), told('aborted')),
+    log: () => events(...acceptedJob(), ask(), answered('aborted')),
   },
   {
     name: 'a submission without a field is accepted',
     rule: 'wrongly_accepted',
-    log: () => events(submit({}, 400), told('pending', 201)),
+    log: () => events(submit({}, 400), answered('pending', 201)),
   },
   {
-    name: 'a good submission is refused for good',
+    name: 'a valid submission is refused permanently',
     rule: 'wrongly_refused',
-    log: () => events(submit(), told(null, 422)),
+    log: () => events(submit(), answered(null, 422)),
   },
   {
-    name: 'a job waits while a machine has room',
+    name: 'a job waits while a machine has free capacity',
     rule: 'left_waiting',
     log: () =>
-      events(...accepted(), up('m'), ...Array.from({ length: 12 }, () => [9, ask(), told('pending')]).flat()),
+      events(
+        ...acceptedJob(),
+        machineUp('m'),
+        ...Array.from({ length: 12 }, () => [9, ask(), answered('pending')]).flat(),
+      ),
     calmS: 5,
   },
-  { name: 'no task was started', rule: 'nothing_ran', log: () => events(...accepted()) },
+  { name: 'no task is started', rule: 'nothing_ran', log: () => events(...acceptedJob()) },
 ];
 
 for (const { name, rule, log, calmS, endS } of cases) {
-  test(`the checker judges: ${name}`, () => {
+  test(`checker: ${name}`, () => {
     request = 0;
     const limits = { ...(calmS === undefined ? {} : { calmS }), ...(endS === undefined ? {} : { endS }) };
-    const found = rules(log(), limits);
+    const found = brokenRules(log(), limits);
     if (rule === null) assert.deepEqual(found, []);
     else assert.ok(found.includes(rule), `${found.join(', ')} instead of ${rule}`);
   });
 }
 
-test('an answer to a request begun before a newer answer may be older', () => {
+test('the answer to a request that began before a newer answer may report an older stage', () => {
   request = 0;
-  const log = events(submit(), told('pending', 201), ask(), ask('cancel'), told('aborted'));
-  const early = log.find((e) => e.kind === 'asked' && e.about === 'poll') as { request: number };
-  const late: SimEvent = {
+  const log = events(submit(), answered('pending', 201), ask(), ask('cancel'), answered('aborted'));
+  const earlyRequest = log.find((e) => e.kind === 'asked' && e.about === 'poll') as { request: number };
+  const lateAnswer: SimEvent = {
     kind: 'answered',
-    request: early.request,
+    request: earlyRequest.request,
     status: 200,
     stage: 'running',
     at: 9000,
   };
   assert.deepEqual(
-    rules([...log, late]).filter((r) => r !== 'nothing_ran'),
+    brokenRules([...log, lateAnswer]).filter((r) => r !== 'nothing_ran'),
     [],
   );
 });
--- a/test/sim/days.ts
+++ b/test/sim/days.ts
@@ -1,3 +1,4 @@
+/** Builds simulated days from short specifications, simulates them and checks the rules of the protocol. */
 import { required } from '../../src/base/required.ts';
 import assert from 'node:assert/strict';
 import type { Logger } from '../../src/base/log.ts';
@@ -9,11 +10,11 @@
 import type { JobBody, MachineType } from '../../src/sim/protocol.ts';
 import type { PlannedJob } from '../../src/sim/users.ts';
 import { SETTINGS } from '../config/sample.ts';
-import { defectRecorder } from '../defects.ts';
+import { createDefectRecorder } from '../defects.ts';
 import { JOB } from '../wire/sample.ts';
 
-/** The machine types of all tests: a large one with accelerators and a small one. */
-export const TYPES: MachineType[] = [
+/** The machine types of all simulated days: a large one with accelerators and a small one. */
+export const MACHINE_TYPES: MachineType[] = [
   {
     name: 'big',
     cores: 8,
@@ -40,8 +41,8 @@
   },
 ];
 
-/** Kinds of jobs, by number. */
-const SHAPES: Partial<JobBody>[] = [
+/** Fields in which the kinds of jobs differ; `JobSpec.kind` is an index into this list. */
+const JOB_KINDS: Partial<JobBody>[] = [
   { shape: 'array', apart: false, samePlace: false },
   { shape: 'ensemble', apart: false, samePlace: true },
   { shape: 'array', apart: true, samePlace: false },
@@ -50,62 +51,74 @@
   { shape: 'array', yard: 'b', borrowed: false, rank: 'urgent', samePlace: false, apart: false },
 ];
 
-/** A job by its kind. */
-export interface JobSketch {
+/** A job of a simulated day. */
+export interface JobSpec {
+  /** When it is submitted, in seconds of the day. */
   atS: number;
-  shape: number;
+  /** Index into `JOB_KINDS`, modulo its length. */
+  kind: number;
   tasks: number;
   runS: number;
-  /** So long after its submission its user cancels it; 0: never. */
+  /** Seconds from its submission until its user cancels it; 0: never. */
   cancelS: number;
-  /** Processors that each task takes; one if not given. */
+  /** CPUs that each task requests; default 1. */
   cores?: number;
-  /** Submitted with a mistake: it fails on every machine. */
+  /** Its tasks fail on every machine, as with a mistake of the user. */
   mistaken?: boolean;
 }
 
-export function job(index: number, sketch: JobSketch): PlannedJob {
+/** The submission and cancellation of a job; its id is derived from its index. */
+export function planJob(index: number, spec: JobSpec): PlannedJob {
   const body: JobBody = {
     ...(JOB as JobBody),
     uid: `req-${String(index).padStart(6, '0')}`,
-    loaves: sketch.tasks,
-    cores: sketch.cores ?? 1,
+    loaves: spec.tasks,
+    cores: spec.cores ?? 1,
     accelerators: 0,
     memGb: 2,
     imageGb: 1,
     ovens: null,
     yard: null,
-    bakeS: sketch.runS,
+    bakeS: spec.runS,
     proofS: index % 2 === 0 ? 5 : 0,
     coolS: 1,
     dueS: null,
-    ...required(SHAPES[sketch.shape % SHAPES.length], 'shape'),
+    ...required(JOB_KINDS[spec.kind % JOB_KINDS.length], 'job kind'),
   };
-  const cancelAtS = sketch.cancelS > 0 ? { cancelAtS: sketch.atS + sketch.cancelS } : {};
-  return { atS: sketch.atS, body, mistaken: sketch.mistaken ?? false, ...cancelAtS };
+  const cancelAtS = spec.cancelS > 0 ? { cancelAtS: spec.atS + spec.cancelS } : {};
+  return { atS: spec.atS, body, mistaken: spec.mistaken ?? false, ...cancelAtS };
 }
 
-export interface DaySketch {
+/** What differs between simulated days; `buildScenario` adds the rest. */
+export interface DaySpec {
   seed: number;
   endS: number;
   faults: Fault[];
-  jobs: JobSketch[];
+  jobs: JobSpec[];
   capacity?: number;
-  /** Machines of each zone that run from the beginning; two if not given. */
+  /** Machines in each of the zones a and b that run from the start; default 2. */
   machinesPerZone?: number;
-  /** Positions of machines that fail whatever they run. */
+  /** Indices of the initial machines that fail every task. */
   faulty?: number[];
   always?: Partial<Scenario['always']>;
   teams?: (typeof SETTINGS)['settings']['teams'];
-  /** Settings of the platform that differ from those of all days. */
+  /** Platform settings that override the defaults of the simulated days. */
   settings?: Partial<Scenario['settings']>;
-  /** Reports a second that a leader on a whole core answers alone; the default is far more than any day has. */
+  /**
+   * Option `workers.reports_per_core_s`: heartbeats per second and core that a leader serves itself, without relaying by
+   * followers. The default exceeds the heartbeats of every simulated day.
+   */
   reportsPerCoreS?: number;
 }
 
-const QUIET: Scenario['always'] = { lateWrites: 0, lostAnswers: 0, refusedRentals: 0, neverUp: 0 };
-/** Troubles of every day. */
-export const AMBIENT: Scenario['always'] = {
+const NO_BACKGROUND_FAULTS: Scenario['always'] = {
+  lateWrites: 0,
+  lostAnswers: 0,
+  refusedRentals: 0,
+  neverUp: 0,
+};
+/** Fault probabilities that apply throughout a day, beside its scheduled faults. */
+export const BACKGROUND_FAULTS: Scenario['always'] = {
   lateWrites: 0.02,
   lostAnswers: 0.02,
   refusedRentals: 0.1,
@@ -118,83 +131,89 @@
   return options;
 }
 
-export function scenario(sketch: DaySketch): Scenario {
+/** The complete scenario of a day, for the emulator. */
+export function buildScenario(spec: DaySpec): Scenario {
   const settings = {
     ...SETTINGS.settings,
     nodes: 3,
-    ...(sketch.teams ? { teams: sketch.teams } : {}),
+    ...(spec.teams ? { teams: spec.teams } : {}),
     zones: ['a', 'b', 'c'],
-    // Enough of a core for the shortest lease of leaders.
+    // Enough CPU for the shortest leadership lease.
     limits: { cores: 0.2, memory_mb: 200, sockets: 1000 },
-    ...sketch.settings,
+    ...spec.settings,
   };
   return {
-    seed: sketch.seed,
-    endS: sketch.endS,
-    faults: sketch.faults,
-    jobs: sketch.jobs.map((j, i) => job(i, j)),
+    seed: spec.seed,
+    endS: spec.endS,
+    faults: spec.faults,
+    jobs: spec.jobs.map((j, i) => planJob(i, j)),
     settings,
-    types: TYPES,
+    types: MACHINE_TYPES,
     machines: ['a', 'b']
       .flatMap((zone) =>
-        Array.from({ length: sketch.machinesPerZone ?? 2 }, (_, i) => ({
+        Array.from({ length: spec.machinesPerZone ?? 2 }, (_, i) => ({
           type: i % 2 ? 'small' : 'big',
           zone,
           spot: false,
         })),
       )
-      .map((machine, at) => ({ ...machine, faulty: sketch.faulty?.includes(at) ?? false })),
-    capacity: sketch.capacity ?? 14,
-    always: { ...QUIET, ...sketch.always },
-    ...(sketch.reportsPerCoreS === undefined ? {} : { options: optionsWith(sketch.reportsPerCoreS) }),
+      .map((machine, at) => ({ ...machine, faulty: spec.faulty?.includes(at) ?? false })),
+    capacity: spec.capacity ?? 14,
+    always: { ...NO_BACKGROUND_FAULTS, ...spec.always },
+    ...(spec.reportsPerCoreS === undefined ? {} : { options: optionsWith(spec.reportsPerCoreS) }),
   };
 }
 
-export interface Played extends Day {
+/** The events of a simulated day, the rule violations and some counts. */
+export interface SimulatedDay extends Day {
   violations: Violation[];
-  started: number;
-  leaders: number;
-  /** The last state that each job's user was told. */
-  told: Map<string, string>;
-  /** When the first task of each job was on its machine, in seconds. */
+  /** How many task attempts were started on machines. */
+  taskStartCount: number;
+  /** How many times a controller became leader. */
+  leaderCount: number;
+  /** The last stage that was returned to the user of each job, by job id. */
+  lastStageByJob: Map<string, string>;
+  /** When the first task of each job was started, in seconds of the day, by job id. */
   firstStartS: Map<string, number>;
 }
 
-/** Plays a day and judges it. Fails if a controller logs a defect of its own. */
-export async function play(sketch: DaySketch, tamper?: Tamper, logger?: Logger): Promise<Played> {
-  const planned = scenario(sketch);
-  const recorder = defectRecorder();
-  const day = await new Emulator(planned, logger ?? recorder.logger, tamper).run();
+/** Simulates a day and checks its events. Rejects if a controller logs a defect of its own. */
+export async function simulateDay(spec: DaySpec, tamper?: Tamper, logger?: Logger): Promise<SimulatedDay> {
+  const scenario = buildScenario(spec);
+  const recorder = createDefectRecorder();
+  const day = await new Emulator(scenario, logger ?? recorder.logger, tamper).run();
   assert.deepEqual(recorder.defects, []);
-  const { settings } = planned;
+  const { settings } = scenario;
   const violations = check(day.events, {
     teams: settings.teams,
     cancelMs: settings.workers.cancel_s * 1000,
     calmAtMs: day.calmAtMs,
     endMs: day.endMs,
   });
-  const told = new Map<string, string>();
+  const lastStageByJob = new Map<string, string>();
   const firstStartS = new Map<string, number>();
-  const asked = new Map<number, string>();
-  let started = 0;
-  let leaders = 0;
+  const jobByRequest = new Map<number, string>();
+  let taskStartCount = 0;
+  let leaderCount = 0;
   for (const event of day.events) {
-    if (event.kind === 'asked') asked.set(event.request, event.job);
+    if (event.kind === 'asked') jobByRequest.set(event.request, event.job);
     else if (event.kind === 'answered' && event.stage)
-      told.set(required(asked.get(event.request), 'request of the answer'), event.stage);
-    else if (event.kind === 'leader') leaders += 1;
+      lastStageByJob.set(required(jobByRequest.get(event.request), 'request of the answer'), event.stage);
+    else if (event.kind === 'leader') leaderCount += 1;
     else if (event.kind === 'task_on') {
-      started += 1;
+      taskStartCount += 1;
       if (!firstStartS.has(event.job)) firstStartS.set(event.job, event.at / 1000);
     }
   }
-  return { ...day, violations, started, leaders, told, firstStartS };
+  return { ...day, violations, taskStartCount, leaderCount, lastStageByJob, firstStartS };
 }
 
-/** What broke first, with the events that led there; empty if nothing did. */
-export function describe(day: Played, most = 3): string {
+/** The first violations, and the events that led to the first one; empty if there are none. */
+export function describeViolations(day: SimulatedDay, maxShown = 3): string {
   const first = day.violations[0];
   if (!first) return '';
-  const shown = day.violations.slice(0, most).map((v) => `${v.rule} at ${v.atMs.toFixed(0)} ms: ${v.text}`);
+  const shown = day.violations
+    .slice(0, maxShown)
+    .map((v) => `${v.rule} at ${v.atMs.toFixed(0)} ms: ${v.text}`);
   return [...shown, ...trail(day.events, first)].join('\n');
 }
--- a/test/sim/defects.test.ts
+++ b/test/sim/defects.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import type { HeartbeatHandler } from '../../src/controller/heartbeat-handler.ts';
-import { play } from './days.ts';
+import { simulateDay } from './days.ts';
 
-test('a day fails if a controller logs a defect of its own', async () => {
+test('simulating a day fails if a controller logs a defect of its own', async () => {
   const day = { seed: 6151, endS: 30, faults: [], jobs: [] };
-  await play(day);
+  await simulateDay(day);
   const withDefect = {
     controller: (controller: object): void => {
       const { heartbeats } = controller as { heartbeats: HeartbeatHandler };
@@ -14,5 +14,5 @@
       };
     },
   };
-  await assert.rejects(play(day, withDefect), /defect of the test/);
+  await assert.rejects(simulateDay(day, withDefect), /defect of the test/);
 });
--- a/test/sim/generated.ts
+++ b/test/sim/generated.ts
@@ -1,13 +1,14 @@
+/** Generators of random days with faults, for property tests. */
 import fc from 'fast-check';
 import type { Fault, MachineChoice, NodeChoice } from '../../src/sim/faults.ts';
-import type { DaySketch } from './days.ts';
+import type { DaySpec } from './days.ts';
 
-const node: fc.Arbitrary<NodeChoice> = fc.oneof(
+const nodeChoice: fc.Arbitrary<NodeChoice> = fc.oneof(
   { weight: 3, arbitrary: fc.constant('leader' as const) },
   { weight: 1, arbitrary: fc.constant('follower' as const) },
   { weight: 1, arbitrary: fc.nat(2) },
 );
-const machines: fc.Arbitrary<MachineChoice> = fc.record({
+const machineChoice: fc.Arbitrary<MachineChoice> = fc.record({
   from: fc.nat(12),
   count: fc.integer({ min: 1, max: 3 }),
 });
@@ -22,24 +23,24 @@
   ['state'],
 );
 
-const kinds = [
-  fc.record({ kind: fc.constant('crash' as const), node }),
+const faultKinds = [
+  fc.record({ kind: fc.constant('crash' as const), node: nodeChoice }),
   fc.record({ kind: fc.constant('crash_all' as const) }),
-  fc.record({ kind: fc.constant('stall' as const), node }),
-  fc.record({ kind: fc.constant('state_refuses' as const), node }),
+  fc.record({ kind: fc.constant('stall' as const), node: nodeChoice }),
+  fc.record({ kind: fc.constant('state_refuses' as const), node: nodeChoice }),
   fc.record({ kind: fc.constant('state_outage' as const) }),
   fc.record({ kind: fc.constant('state_slow' as const) }),
   fc.record({ kind: fc.constant('late_writes' as const), share, atOnce: flag }),
   fc.record({ kind: fc.constant('late_reports' as const), share, forNext: flag }),
   fc.record({ kind: fc.constant('late_commands' as const), share }),
-  fc.record({ kind: fc.constant('node_cut' as const), node, from: cutFrom }),
+  fc.record({ kind: fc.constant('node_cut' as const), node: nodeChoice, from: cutFrom }),
   fc.record({ kind: fc.constant('zone_cut' as const), zone: fc.constantFrom('a', 'b') }),
-  fc.record({ kind: fc.constant('machine_cut' as const), machines }),
-  fc.record({ kind: fc.constant('machine_hang' as const), machines }),
-  fc.record({ kind: fc.constant('machine_die' as const), machines }),
-  fc.record({ kind: fc.constant('machine_notice' as const), machines }),
-  fc.record({ kind: fc.constant('machine_deaf' as const), machines }),
-  fc.record({ kind: fc.constant('machine_mute' as const), machines }),
+  fc.record({ kind: fc.constant('machine_cut' as const), machines: machineChoice }),
+  fc.record({ kind: fc.constant('machine_hang' as const), machines: machineChoice }),
+  fc.record({ kind: fc.constant('machine_die' as const), machines: machineChoice }),
+  fc.record({ kind: fc.constant('machine_notice' as const), machines: machineChoice }),
+  fc.record({ kind: fc.constant('machine_deaf' as const), machines: machineChoice }),
+  fc.record({ kind: fc.constant('machine_mute' as const), machines: machineChoice }),
   fc.record({ kind: fc.constant('quick_boots' as const) }),
   fc.record({ kind: fc.constant('cloud_trouble' as const) }),
   fc.record({ kind: fc.constant('close_looks' as const) }),
@@ -52,24 +53,24 @@
   fc.record({ kind: fc.constant('odd_requests' as const) }),
 ];
 
-/** Troubles of leadership, of the state service and of cancellations, close together. */
-const leadershipKinds = [
-  fc.record({ kind: fc.constant('crash' as const), node }),
+/** Faults that affect leadership, the state service and cancellations. */
+const leadershipFaultKinds = [
+  fc.record({ kind: fc.constant('crash' as const), node: nodeChoice }),
   fc.record({ kind: fc.constant('stall' as const), node: fc.constant('leader' as const) }),
-  fc.record({ kind: fc.constant('state_refuses' as const), node }),
+  fc.record({ kind: fc.constant('state_refuses' as const), node: nodeChoice }),
   fc.record({ kind: fc.constant('state_outage' as const) }),
   fc.record({ kind: fc.constant('state_slow' as const) }),
   fc.record({ kind: fc.constant('late_writes' as const), share, atOnce: flag }),
-  fc.record({ kind: fc.constant('node_cut' as const), node, from: cutFrom }),
+  fc.record({ kind: fc.constant('node_cut' as const), node: nodeChoice, from: cutFrom }),
   fc.record({ kind: fc.constant('cancel_now' as const), count: fc.nat(4), hangS: fc.constantFrom(0, 15) }),
 ];
 
 const fault: fc.Arbitrary<Fault> = fc
-  .tuple(fc.oneof(...kinds), fc.integer({ min: 12, max: 100 }), fc.integer({ min: 1, max: 45 }))
+  .tuple(fc.oneof(...faultKinds), fc.integer({ min: 12, max: 100 }), fc.integer({ min: 1, max: 45 }))
   .map(([kind, atS, forS]) => ({ ...kind, atS, forS }));
 
-/** Days that mix all troubles. */
-export const generatedDay = (endS: number): fc.Arbitrary<DaySketch> =>
+/** Days with faults of all kinds. */
+export const generatedDay = (endS: number): fc.Arbitrary<DaySpec> =>
   fc.record({
     seed: fc.integer({ min: 1, max: 2 ** 31 - 1 }),
     endS: fc.constant(endS),
@@ -77,7 +78,7 @@
     jobs: fc.array(
       fc.record({
         atS: fc.integer({ min: 1, max: 90 }),
-        shape: fc.nat(5),
+        kind: fc.nat(5),
         tasks: fc.integer({ min: 1, max: 5 }),
         runS: fc.integer({ min: 3, max: 40 }),
         cancelS: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 40 })),
@@ -88,14 +89,14 @@
 
 const leadershipFault: fc.Arbitrary<Fault> = fc
   .tuple(
-    fc.oneof(...leadershipKinds),
+    fc.oneof(...leadershipFaultKinds),
     fc.integer({ min: 150, max: 500 }),
     fc.oneof(fc.integer({ min: 1, max: 100 }), fc.integer({ min: 100, max: 500 })),
   )
   .map(([kind, tenthsAt, tenthsFor]) => ({ ...kind, atS: tenthsAt / 10, forS: tenthsFor / 10 }));
 
-/** Days in which leadership changes and answers get lost while users call jobs off and ask every controller. */
-export const generatedTakeovers: fc.Arbitrary<DaySketch> = fc.record({
+/** Days in which leadership changes and answers are lost while users cancel jobs and poll every controller. */
+export const generatedTakeovers: fc.Arbitrary<DaySpec> = fc.record({
   seed: fc.integer({ min: 1, max: 2 ** 31 - 1 }),
   endS: fc.constant(150),
   faults: fc
@@ -104,7 +105,7 @@
   jobs: fc.array(
     fc.record({
       atS: fc.integer({ min: 1, max: 40 }),
-      shape: fc.nat(5),
+      kind: fc.nat(5),
       tasks: fc.integer({ min: 1, max: 3 }),
       runS: fc.integer({ min: 3, max: 60 }),
       cancelS: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 40 })),
--- a/test/sim/guards.ts
+++ b/test/sim/guards.ts
@@ -1,3 +1,4 @@
+/** Disables safeguards of the controllers, to show that the checker detects the violations that they prevent. */
 import type { HttpResult } from '../../src/http/client.ts';
 import { TerminalWrites } from '../../src/jobs/terminal-writes.ts';
 import type { Election } from '../../src/leadership/election.ts';
@@ -5,22 +6,25 @@
 import { parse, type TransactionBody } from '../../src/sim/protocol.ts';
 import { KEYS } from '../../src/store/keys.ts';
 
-/** Guards of the service that a test can take away, to show that the checker notices. */
-export interface Missing {
-  /** A new leader doesn't know the machines of the one before. */
-  roster?: boolean;
-  /** What was begun is not noted; such writes succeed without the state service. */
-  begun?: boolean;
-  /** A controller takes its lease for sure as long as it thinks that it leads. */
-  lease?: boolean;
+/** The safeguards to disable. */
+export interface DisabledSafeguards {
+  /** A new leader doesn't read the machine registry of the previous leader. */
+  machineRegistry?: boolean;
+  /**
+   * Start watermarks aren't stored: their writes succeed without reaching the state service, and a new leader reads
+   * none. All other writes of a leader count as successful even if they are not confirmed.
+   */
+  startWatermarks?: boolean;
+  /** A controller considers its lease valid for as long as it considers itself the leader. */
+  leaseCheck?: boolean;
 }
 
 /**
- * Plays days without the note of jobs whose end may be written: while its write goes unconfirmed, a job is told
- * from memory.
+ * Runs simulations without tracking which terminal records may have been written: while the write of a terminal record
+ * is unconfirmed, polls of the job are answered from the leader's memory.
  */
-export async function withoutEndNotes<T>(run: () => Promise<T>): Promise<T> {
-  // eslint-disable-next-line @typescript-eslint/unbound-method -- it is only put back, never called
+export async function runWithoutTerminalWriteTracking<T>(run: () => Promise<T>): Promise<T> {
+  // eslint-disable-next-line @typescript-eslint/unbound-method -- only restored afterwards, never called unbound
   const { mayBeWritten } = TerminalWrites.prototype;
   TerminalWrites.prototype.mayBeWritten = () => false;
   try {
@@ -30,53 +34,53 @@
   }
 }
 
-const emptyList = JSON.stringify({ rows: [], hasNext: false, ledger: 1 });
+const EMPTY_LIST = JSON.stringify({ rows: [], hasNext: false, ledger: 1 });
 
-/** A transaction of notes of what is begun alone, beside the fence that moves with every write. */
-function notesOnly(text: string): boolean {
+/** Whether a transaction writes only start watermarks, apart from the fence that every transaction of a leader writes. */
+function writesOnlyStartWatermarks(text: string): boolean {
   const changes = (parse(text) as TransactionBody | null)?.then ?? [];
-  const notes = changes.filter((c) => 'set' in c && c.set.startsWith(KEYS.startWatermarksPrefix));
-  return notes.length > 0 && notes.length >= changes.length - 1;
+  const watermarkWrites = changes.filter((c) => 'set' in c && c.set.startsWith(KEYS.startWatermarksPrefix));
+  return watermarkWrites.length > 0 && watermarkWrites.length >= changes.length - 1;
 }
 
-/** A leader's write that isn't confirmed counts as done all the same; notes of what is begun are not written. */
-async function takeForDone(
+/** Reports every transaction of a leader as successful, also without confirmation; start watermarks aren't sent at all. */
+async function sendAssumingSuccess(
   text: string,
   send: (body: string | null) => Promise<HttpResult>,
 ): Promise<HttpResult> {
   const fence = (parse(text) as TransactionBody | null)?.if?.find((c) => c.k === KEYS.fence)?.stamp;
   if (fence === undefined) return send(text);
-  const done: HttpResult = {
+  const success: HttpResult = {
     kind: 'answer',
     status: 200,
     body: JSON.stringify({ ledger: fence }),
     retryAfterS: null,
   };
-  if (notesOnly(text)) return done;
+  if (writesOnlyStartWatermarks(text)) return success;
   const result = await send(text);
-  return result.kind === 'answer' && result.status === 200 ? result : done;
+  return result.kind === 'answer' && result.status === 200 ? result : success;
 }
 
-/** Takes guards away. */
-export function without(missing: Missing): Tamper {
+/** Disables safeguards in every controller of a simulated day. */
+export function disableSafeguards(disabled: DisabledSafeguards): Tamper {
   return {
     state: async (request, send) => {
       const { method, path, body } = request;
-      const lists = (prefix: string): boolean =>
+      const isListOf = (prefix: string): boolean =>
         path.startsWith(`/store?starts=${encodeURIComponent(prefix)}`);
       const hidden =
-        (missing.roster === true && lists(KEYS.machineRegistryPrefix)) ||
-        (missing.begun === true && lists(KEYS.startWatermarksPrefix));
+        (disabled.machineRegistry === true && isListOf(KEYS.machineRegistryPrefix)) ||
+        (disabled.startWatermarks === true && isListOf(KEYS.startWatermarksPrefix));
       if (method === 'GET' && hidden) {
-        return { kind: 'answer', status: 200, body: emptyList, retryAfterS: null };
+        return { kind: 'answer', status: 200, body: EMPTY_LIST, retryAfterS: null };
       }
       if (path !== '/multi' || body === null) return send(body);
-      if (missing.begun === true) return takeForDone(body, send);
+      if (disabled.startWatermarks === true) return sendAssumingSuccess(body, send);
       return send(body);
     },
     controller: (controller) => {
       const { election } = controller as unknown as { election: Election };
-      if (missing.lease === true) election.hasValidLease = () => election.currentLeadership() !== null;
+      if (disabled.leaseCheck === true) election.hasValidLease = () => election.currentLeadership() !== null;
     },
   };
 }
--- a/test/sim/meetings.test.ts
+++ b/test/sim/meetings.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { describe, play } from './days.ts';
-import { MEETINGS } from './meetings.ts';
+import { describeViolations, simulateDay } from './days.ts';
+import { FAULT_COMBINATIONS } from './meetings.ts';
 
-const SEEDS = 3;
+const DEFAULT_SEED_COUNT = 3;
 
-/** Each meeting of troubles by its name, with a few seeds: no rule breaks and no end-of-day check fails. */
-for (const { name, day, seeds } of MEETINGS) {
-  test(`meeting: ${name}`, { timeout: 120_000 }, async () => {
-    const broken: string[] = [];
-    for (let seed = 1; seed <= (seeds ?? SEEDS); seed++) {
-      const played = await play({ ...day, seed: seed * 6151 });
-      assert.ok(played.started > 0, 'tasks ran');
-      if (played.violations.length > 0) broken.push(`seed ${seed * 6151}: ${describe(played)}`);
+/** Simulates each fault combination with a few seeds: no rule is violated and no end-of-day check fails. */
+for (const { name, day, seedCount } of FAULT_COMBINATIONS) {
+  test(`fault combination: ${name}`, { timeout: 120_000 }, async () => {
+    const failures: string[] = [];
+    for (let seed = 1; seed <= (seedCount ?? DEFAULT_SEED_COUNT); seed++) {
+      const result = await simulateDay({ ...day, seed: seed * 6151 });
+      assert.ok(result.taskStartCount > 0, 'tasks ran');
+      if (result.violations.length > 0) failures.push(`seed ${seed * 6151}: ${describeViolations(result)}`);
     }
-    assert.equal(broken.join('\n\n'), '');
+    assert.equal(failures.join('\n\n'), '');
   });
 }
--- a/test/sim/meetings.ts
+++ b/test/sim/meetings.ts
@@ -1,76 +1,77 @@
+/** Short simulated days in which particular faults and user actions coincide. */
 import type { Fault } from '../../src/sim/faults.ts';
-import type { DaySketch, JobSketch } from './days.ts';
+import type { DaySpec, JobSpec } from './days.ts';
 
-/** A short day in which named troubles meet. */
-export interface Meeting {
-  /** What meets; docs/meetings.md refers to it. */
+/** A short day in which the named faults and user actions coincide. */
+export interface FaultCombination {
+  /** What coincides; docs/meetings.md refers to combinations by this name. */
   name: string;
-  day: Omit<DaySketch, 'seed'>;
-  /** How many seeds it is played with; 3 if not given. */
-  seeds?: number;
+  day: Omit<DaySpec, 'seed'>;
+  /** With how many seeds the day is simulated; default 3. */
+  seedCount?: number;
 }
 
-const BETWEEN_S = 0.4;
+const SUBMISSION_INTERVAL_S = 0.4;
 
-/** So many jobs from a second on, close after each other. */
-function jobs(
+/** `count` jobs, the first one submitted at `atS`, the others `intervalS` apart. */
+function jobSeries(
   count: number,
   atS: number,
-  sketch: Partial<JobSketch> = {},
-  betweenS = BETWEEN_S,
-): JobSketch[] {
+  overrides: Partial<JobSpec> = {},
+  intervalS = SUBMISSION_INTERVAL_S,
+): JobSpec[] {
   return Array.from({ length: count }, (_, i) => ({
-    atS: atS + i * betweenS,
-    shape: 0,
+    atS: atS + i * intervalS,
+    kind: 0,
     tasks: 2,
     runS: 25,
     cancelS: 0,
-    ...sketch,
+    ...overrides,
   }));
 }
 
-/** Jobs of all shapes. */
-const mixed = (count: number, atS: number, sketch: Partial<JobSketch> = {}): JobSketch[] =>
-  jobs(count, atS, sketch).map((job, i) => ({ ...job, shape: i % 6 }));
+/** Jobs of all kinds in turn. */
+const mixedJobs = (count: number, atS: number, overrides: Partial<JobSpec> = {}): JobSpec[] =>
+  jobSeries(count, atS, overrides).map((job, i) => ({ ...job, kind: i % 6 }));
 
-/** Jobs whose users call them off at a second of the day. */
-const cancelledAt = (
+/** Long jobs that their users cancel from `cancelAtS` on, 0.3 s plus the submission interval apart. */
+const jobsCancelledAt = (
   count: number,
   atS: number,
   cancelAtS: number,
-  sketch: Partial<JobSketch> = {},
-): JobSketch[] =>
-  jobs(count, atS, { runS: 120, ...sketch }).map((job, i) => ({
+  overrides: Partial<JobSpec> = {},
+): JobSpec[] =>
+  jobSeries(count, atS, { runS: 120, ...overrides }).map((job, i) => ({
     ...job,
     cancelS: cancelAtS - job.atS + i * 0.3,
   }));
 
-/** One-task jobs four times a second, a quarter of them cancelled. */
-const oneTaskJobs = (fromS: number, forS: number): JobSketch[] =>
-  jobs(forS * 4, fromS, { tasks: 1, runS: 4 }, 0.25).map((job, i) => ({
+/** Four one-task jobs per second, a quarter of them cancelled soon after submission. */
+const oneTaskJobs = (fromS: number, forS: number): JobSpec[] =>
+  jobSeries(forS * 4, fromS, { tasks: 1, runS: 4 }, 0.25).map((job, i) => ({
     ...job,
     cancelS: i % 4 === 0 ? 0.2 + (i % 9) * 0.6 : 0,
   }));
 
-/** A team at its limit of four accelerators. */
-const TIGHT = [
+/** Teams of which one is limited to four GPUs. */
+const TEAMS_WITH_GPU_LIMIT = [
   { name: 'vision', cpus: 0, cpus_max: 0, gpus: 4, gpus_max: 4 },
   { name: 'other', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 },
 ];
 
-const accelerated = (count: number, atS: number, sketch: Partial<JobSketch> = {}): JobSketch[] =>
-  jobs(count, atS, { shape: 3, tasks: 2, runS: 40, ...sketch });
+const acceleratedJobs = (count: number, atS: number, overrides: Partial<JobSpec> = {}): JobSpec[] =>
+  jobSeries(count, atS, { kind: 3, tasks: 2, runS: 40, ...overrides });
 
 const crash = (atS: number, forS: number): Fault => ({ kind: 'crash', node: 'leader', atS, forS });
 const closeLooks = (atS: number, forS: number): Fault => ({ kind: 'close_looks', atS, forS });
 
-export const MEETINGS: Meeting[] = [
+export const FAULT_COMBINATIONS: FaultCombination[] = [
   {
     name: 'team at its limit, leader changes, machines unasked, cancellation',
     day: {
       endS: 150,
-      teams: TIGHT,
-      jobs: [...accelerated(6, 2), ...cancelledAt(2, 5, 31, { shape: 3 })],
+      teams: TEAMS_WITH_GPU_LIMIT,
+      jobs: [...acceleratedJobs(6, 2), ...jobsCancelledAt(2, 5, 31, { kind: 3 })],
       faults: [{ kind: 'machine_cut', machines: { from: 0, count: 2 }, atS: 28, forS: 25 }, crash(30, 4)],
     },
   },
@@ -78,7 +79,7 @@
     name: 'state service refuses the leader alone, then all for longer than cancel_s, while users cancel',
     day: {
       endS: 180,
-      jobs: [...cancelledAt(6, 2, 31), ...mixed(4, 2)],
+      jobs: [...jobsCancelledAt(6, 2, 31), ...mixedJobs(4, 2)],
       faults: [
         { kind: 'state_refuses', node: 'leader', atS: 30, forS: 75 },
         { kind: 'state_outage', atS: 38, forS: 60 },
@@ -90,38 +91,38 @@
     name: 'cancelled as the state service refuses the leader alone, all out a second later',
     day: {
       endS: 180,
-      jobs: [...cancelledAt(6, 2, 30), ...mixed(4, 2)],
+      jobs: [...jobsCancelledAt(6, 2, 30), ...mixedJobs(4, 2)],
       faults: [
         { kind: 'state_refuses', node: 'leader', atS: 30, forS: 75 },
         { kind: 'state_outage', atS: 31, forS: 60 },
         { kind: 'cancel_now', count: 3, hangS: 0, atS: 30, forS: 1 },
       ],
     },
-    seeds: 4,
+    seedCount: 4,
   },
   {
     name: 'state service slow, users cancel and ask',
     day: {
       endS: 130,
-      jobs: [...cancelledAt(5, 2, 32), ...mixed(6, 20)],
+      jobs: [...jobsCancelledAt(5, 2, 32), ...mixedJobs(6, 20)],
       faults: [{ kind: 'state_slow', atS: 15, forS: 50 }, closeLooks(15, 60)],
     },
   },
   {
     name: 'one-task jobs four a second, a quarter cancelled',
     day: { endS: 130, jobs: oneTaskJobs(2, 45), faults: [] },
-    seeds: 2,
+    seedCount: 2,
   },
   {
     name: 'more work than room, urgent and not',
-    day: { endS: 420, capacity: 4, jobs: mixed(18, 2, { tasks: 4, runS: 30 }), faults: [] },
-    seeds: 2,
+    day: { endS: 420, capacity: 4, jobs: mixedJobs(18, 2, { tasks: 4, runS: 30 }), faults: [] },
+    seedCount: 2,
   },
   {
     name: 'machines up within two seconds get work while writes lag, leader ends',
     day: {
       endS: 130,
-      jobs: mixed(10, 10, { tasks: 3 }),
+      jobs: mixedJobs(10, 10, { tasks: 3 }),
       faults: [
         { kind: 'quick_boots', atS: 0, forS: 60 },
         { kind: 'state_slow', atS: 9, forS: 20 },
@@ -134,7 +135,7 @@
     name: 'reports held back until a new leader has acted',
     day: {
       endS: 140,
-      jobs: mixed(8, 2, { runS: 30 }),
+      jobs: mixedJobs(8, 2, { runS: 30 }),
       faults: [{ kind: 'machine_cut', machines: { from: 0, count: 3 }, atS: 20, forS: 16 }, crash(22, 4)],
     },
   },
@@ -142,7 +143,7 @@
     name: 'leader cut from state service and controllers, not from workers and users, cancelled through the new one',
     day: {
       endS: 150,
-      jobs: [...cancelledAt(6, 2, 36), ...mixed(6, 2)],
+      jobs: [...jobsCancelledAt(6, 2, 36), ...mixedJobs(6, 2)],
       faults: [
         { kind: 'node_cut', node: 'leader', from: ['state', 'peers'], atS: 28, forS: 50 },
         closeLooks(28, 50),
@@ -153,7 +154,7 @@
     name: 'zone with workers and a controller cut off for longer than the lease',
     day: {
       endS: 170,
-      jobs: [...mixed(8, 2, { runS: 50 }), ...cancelledAt(3, 4, 35)],
+      jobs: [...mixedJobs(8, 2, { runS: 50 }), ...jobsCancelledAt(3, 4, 35)],
       faults: [{ kind: 'zone_cut', zone: 'a', atS: 25, forS: 45 }],
     },
   },
@@ -161,25 +162,25 @@
     name: 'transactions carried out late and after newer ones',
     day: {
       endS: 150,
-      jobs: [...mixed(8, 5, { runS: 15 }), ...cancelledAt(4, 5, 24)],
+      jobs: [...mixedJobs(8, 5, { runS: 15 }), ...jobsCancelledAt(4, 5, 24)],
       faults: [{ kind: 'late_writes', share: 0.3, atOnce: false, atS: 4, forS: 60 }, closeLooks(4, 70)],
     },
-    seeds: 4,
+    seedCount: 4,
   },
   {
     name: 'transactions carried out at once, answers lost, others read what they wrote',
     day: {
       endS: 130,
-      jobs: [...mixed(8, 5, { runS: 15 }), ...cancelledAt(5, 5, 24)],
+      jobs: [...mixedJobs(8, 5, { runS: 15 }), ...jobsCancelledAt(5, 5, 24)],
       faults: [{ kind: 'late_writes', share: 0.5, atOnce: true, atS: 4, forS: 60 }, closeLooks(4, 70)],
     },
-    seeds: 4,
+    seedCount: 4,
   },
   {
     name: 'machines reach no controller while direct commands reach them',
     day: {
       endS: 150,
-      jobs: [...mixed(6, 2, { runS: 40 }), ...cancelledAt(3, 3, 30)],
+      jobs: [...mixedJobs(6, 2, { runS: 40 }), ...jobsCancelledAt(3, 3, 30)],
       faults: [{ kind: 'machine_mute', machines: { from: 0, count: 3 }, atS: 20, forS: 40 }],
     },
   },
@@ -187,7 +188,7 @@
     name: 'jobs of two or three tasks end far apart across a change of leader',
     day: {
       endS: 150,
-      jobs: jobs(8, 2, { tasks: 3, runS: 30 }),
+      jobs: jobSeries(8, 2, { tasks: 3, runS: 30 }),
       faults: [crash(25, 3), crash(42, 3)],
     },
   },
@@ -195,7 +196,7 @@
     name: 'controllers hand over and back, all end, one returns, also within a second',
     day: {
       endS: 150,
-      jobs: mixed(8, 2, { runS: 30 }),
+      jobs: mixedJobs(8, 2, { runS: 30 }),
       faults: [
         crash(20, 0.4),
         crash(24, 4),
@@ -209,16 +210,16 @@
     name: 'cancellation, question or repeated submission meets the end of the last task',
     day: {
       endS: 100,
-      jobs: mixed(12, 2, { runS: 12, tasks: 2 }),
+      jobs: mixedJobs(12, 2, { runS: 12, tasks: 2 }),
       faults: [{ kind: 'cancel_at_end', share: 0.6, atS: 0, forS: 90 }, closeLooks(0, 90)],
     },
-    seeds: 4,
+    seedCount: 4,
   },
   {
     name: 'commands held up for seconds, the machine goes on',
     day: {
       endS: 140,
-      jobs: [...mixed(8, 2, { runS: 25 }), ...cancelledAt(4, 3, 28)],
+      jobs: [...mixedJobs(8, 2, { runS: 25 }), ...jobsCancelledAt(4, 3, 28)],
       faults: [
         { kind: 'late_commands', share: 0.6, atS: 1, forS: 50 },
         { kind: 'machine_hang', machines: { from: 1, count: 1 }, atS: 27, forS: 8 },
@@ -229,7 +230,7 @@
     name: 'all controllers away for longer than the lease',
     day: {
       endS: 160,
-      jobs: mixed(8, 2, { runS: 30 }),
+      jobs: mixedJobs(8, 2, { runS: 30 }),
       faults: [0, 1, 2].map((node) => ({ kind: 'crash', node, atS: 25, forS: 27 + node }) satisfies Fault),
     },
   },
@@ -237,7 +238,7 @@
     name: "cancelled in the seconds in which one controller's work changes hands",
     day: {
       endS: 140,
-      jobs: [...cancelledAt(8, 2, 29.5), ...mixed(4, 2)],
+      jobs: [...jobsCancelledAt(8, 2, 29.5), ...mixedJobs(4, 2)],
       faults: [crash(30, 5), closeLooks(28, 30)],
     },
   },
@@ -245,7 +246,7 @@
     name: "commands of a deposed leader arrive after the new leader's",
     day: {
       endS: 150,
-      jobs: [...mixed(8, 2, { runS: 40 }), ...cancelledAt(3, 3, 36)],
+      jobs: [...mixedJobs(8, 2, { runS: 40 }), ...jobsCancelledAt(3, 3, 36)],
       faults: [
         { kind: 'late_commands', share: 0.7, atS: 18, forS: 30 },
         { kind: 'state_refuses', node: 'leader', atS: 22, forS: 30 },
@@ -256,7 +257,7 @@
     name: 'stalled leader goes on after another has begun',
     day: {
       endS: 150,
-      jobs: [...mixed(8, 2, { runS: 40 }), ...cancelledAt(4, 3, 30)],
+      jobs: [...mixedJobs(8, 2, { runS: 40 }), ...jobsCancelledAt(4, 3, 30)],
       faults: [{ kind: 'stall', node: 'leader', atS: 24, forS: 14 }, closeLooks(24, 30)],
     },
   },
@@ -264,7 +265,7 @@
     name: 'jobs bound to one zone, arrays too, lose machines',
     day: {
       endS: 150,
-      jobs: [1, 3, 5, 1, 3, 5].map((shape, i) => ({ atS: 2 + i, shape, tasks: 3, runS: 30, cancelS: 0 })),
+      jobs: [1, 3, 5, 1, 3, 5].map((kind, i) => ({ atS: 2 + i, kind, tasks: 3, runS: 30, cancelS: 0 })),
       faults: [
         { kind: 'machine_die', machines: { from: 0, count: 1 }, atS: 18, forS: 1 },
         { kind: 'machine_notice', machines: { from: 2, count: 1 }, atS: 22, forS: 10 },
@@ -276,8 +277,8 @@
     name: 'every team at its limit, cancelled jobs on machines that are cut off or hang, leader changes',
     day: {
       endS: 160,
-      teams: TIGHT,
-      jobs: [...accelerated(2, 2, { runS: 120 }), ...accelerated(5, 4)],
+      teams: TEAMS_WITH_GPU_LIMIT,
+      jobs: [...acceleratedJobs(2, 2, { runS: 120 }), ...acceleratedJobs(5, 4)],
       faults: [
         { kind: 'cancel_now', count: 2, hangS: 15, atS: 28, forS: 1 },
         { kind: 'machine_cut', machines: { from: 0, count: 1 }, atS: 27, forS: 25 },
@@ -289,7 +290,7 @@
     name: 'an old report reaches every controller as a new leader begins',
     day: {
       endS: 140,
-      jobs: mixed(8, 2, { runS: 20 }),
+      jobs: mixedJobs(8, 2, { runS: 20 }),
       faults: [
         { kind: 'late_reports', share: 0.5, forNext: true, atS: 3, forS: 40 },
         crash(26, 4),
@@ -301,7 +302,7 @@
     name: 'old reports arrive after newer ones, also of an earlier session or attempt',
     day: {
       endS: 170,
-      jobs: mixed(10, 2, { runS: 15 }),
+      jobs: mixedJobs(10, 2, { runS: 15 }),
       faults: [
         { kind: 'late_reports', share: 0.5, forNext: false, atS: 3, forS: 60 },
         { kind: 'machine_cut', machines: { from: 1, count: 1 }, atS: 12, forS: 24 },
@@ -312,37 +313,37 @@
     name: 'users ask every node within milliseconds and repeat the submission after accept, end and cancel',
     day: {
       endS: 110,
-      jobs: [...mixed(10, 2, { runS: 15 }), ...cancelledAt(5, 3, 20)],
+      jobs: [...mixedJobs(10, 2, { runS: 15 }), ...jobsCancelledAt(5, 3, 20)],
       faults: [closeLooks(0, 100)],
     },
-    seeds: 4,
+    seedCount: 4,
   },
   {
     name: 'users look closely while the leader changes',
     day: {
       endS: 130,
-      jobs: [...mixed(10, 2, { runS: 20 }), ...cancelledAt(5, 3, 31)],
+      jobs: [...mixedJobs(10, 2, { runS: 20 }), ...jobsCancelledAt(5, 3, 31)],
       faults: [closeLooks(0, 100), crash(22, 3), crash(32, 0.5), crash(45, 3)],
     },
-    seeds: 4,
+    seedCount: 4,
   },
   {
     name: 'leaders change ten times in two minutes, also inside an outage',
     day: {
       endS: 240,
-      jobs: mixed(10, 2, { runS: 30 }),
+      jobs: mixedJobs(10, 2, { runS: 30 }),
       faults: [
         ...Array.from({ length: 10 }, (_, i) => crash(15 + i * 12, 1 + (i % 3))),
         { kind: 'state_outage', atS: 60, forS: 15 },
       ],
     },
-    seeds: 2,
+    seedCount: 2,
   },
   {
     name: "leader ends while machines with long tasks can't be reached or don't hear the new one",
     day: {
       endS: 190,
-      jobs: mixed(8, 2, { runS: 80 }),
+      jobs: mixedJobs(8, 2, { runS: 80 }),
       faults: [
         { kind: 'machine_cut', machines: { from: 0, count: 2 }, atS: 28, forS: 30 },
         { kind: 'machine_deaf', machines: { from: 2, count: 2 }, atS: 28, forS: 30 },
@@ -354,7 +355,7 @@
     name: 'bad and repeated submissions while the leader and the state service come and go',
     day: {
       endS: 130,
-      jobs: mixed(8, 2, { runS: 15 }),
+      jobs: mixedJobs(8, 2, { runS: 15 }),
       faults: [
         { kind: 'odd_requests', atS: 5, forS: 90 },
         crash(25, 3),
