--- a/test/bench/round.ts
+++ b/test/bench/round.ts
@@ -7,7 +7,7 @@
   ProvisioningOption,
   Resources,
 } from '../../src/scheduling/snapshot.ts';
-import { group, machine, option } from '../helpers.ts';
+import { createTaskGroup, createMachineSnapshot, createProvisioningOption } from '../helpers.ts';
 import type { Benchmark } from './measure.ts';
 
 const MACHINES = 1300;
@@ -37,7 +37,7 @@
     const load = (index * 7 + variant * 3) % 5;
     const task: Resources = { cpus: size.cpus / 6, gpus: size.gpus / 8, memory: size.memory / 8 };
     const spot = index % 4 === 0;
-    return machine({
+    return createMachineSnapshot({
       machine: index,
       type: index % MACHINE_TYPES.length,
       zone: index % ZONES,
@@ -69,7 +69,7 @@
   return Array.from({ length: GROUPS }, (_, job) => {
     const gang = job % 4 === 0;
     const accelerated = job % 3 === 0;
-    return group({
+    return createTaskGroup({
       job,
       team: job % TEAMS,
       pending: gang ? 8 : 10 + ((job * 13 + variant * 5) % 60),
@@ -103,7 +103,7 @@
     for (let zone = 0; zone < ZONES; zone++) {
       for (const spot of [false, true]) {
         options.push(
-          option({
+          createProvisioningOption({
             option: options.length,
             type,
             zone,
--- a/test/golden/frames.test.ts
+++ b/test/golden/frames.test.ts
@@ -1,6 +1,6 @@
 /**
- * The exact bytes of the frames between controllers. During an upgrade controllers of two versions talk to each
- * other, so these literals were taken from running code and must never follow a change of it.
+ * The exact bytes of the frames between controllers. During an upgrade controllers of two versions exchange frames, so
+ * these literals are recorded output of the code and must never be adapted to a change of it.
  */
 import assert from 'node:assert/strict';
 import test from 'node:test';
@@ -13,10 +13,10 @@
 
 const asRequest = (id: number, request: Request): PeerFrame => ({ id, request, reply: null });
 const asReply = (id: number, reply: Reply): PeerFrame => ({ id, request: null, reply });
-const REPORT =
+const HEARTBEAT =
   '{"hearth":"n-000231","address":"10.1.0.232:9000","oven":"g8","yard":"a","borrowed":true,"shift":1,"tick":88,"baton":41,"warningS":null,"loaves":[]}';
 
-/** Every kind of frame, beside the bytes that it has on the wire. */
+/** Every kind of frame with its encoding. */
 const FRAMES: readonly (readonly [name: string, frame: PeerFrame, hex: string])[] = [
   [
     'poll',
@@ -43,8 +43,12 @@
     asRequest(64, { kind: 'lookup', jobId: 'req-000412' }),
     '0000001780010208147265712d3030303431320000000000000000',
   ],
-  ['sign of life', asRequest(5, { kind: 'ping' }), '0000000c0a020a000000000000000000'],
-  ['question for workers', asRequest(6, { kind: 'workerContact' }), '0000000c0c020c000000000000000000'],
+  ['ping', asRequest(5, { kind: 'ping' }), '0000000c0a020a000000000000000000'],
+  [
+    'query for direct contact with workers',
+    asRequest(6, { kind: 'workerContact' }),
+    '0000000c0c020c000000000000000000',
+  ],
   [
     'cancellation',
     asRequest(7, { kind: 'cancel', jobId: 'req-000412' }),
@@ -56,54 +60,54 @@
     '0000002f1002040a7265712d393c7b22756964223a227265712d39222c2263726577223a22c3bc6ec3af227d00000000000000',
   ],
   [
-    'batch of reports of workers',
-    asRequest(9, { kind: 'heartbeats', node: 'hearth-2', heartbeats: [REPORT, '{}'] }),
+    'batch of heartbeats',
+    asRequest(9, { kind: 'heartbeats', node: 'hearth-2', heartbeats: [HEARTBEAT, '{}'] }),
     '000000ad120210000000000000106865617274682d3204a6027b22686561727468223a226e2d303030323331222c2261646472657373223a2231302e312e302e3233323a39303030222c226f76656e223a226738222c2279617264223a2261222c22626f72726f776564223a747275652c227368696674223a312c227469636b223a38382c226261746f6e223a34312c227761726e696e6753223a6e756c6c2c226c6f61766573223a5b5d7d047b7d0000',
   ],
   [
-    'empty batch of reports',
+    'empty batch of heartbeats',
     asRequest(10, { kind: 'heartbeats', node: 'hearth-2', heartbeats: [] }),
     '00000014140210000000000000106865617274682d320000',
   ],
   [
-    'request for abstention',
+    'request for a peer lease',
     asRequest(11, { kind: 'grantPeerLease', term: 41, ms: 5000, continuous: true }),
     '0000000d160206000052904e0001000000',
   ],
   [
-    'request for abstention after a gap',
+    'request for a peer lease after a gap',
     asRequest(12, { kind: 'grantPeerLease', term: 2 ** 33, ms: 0, continuous: false }),
     '0000001018020600008080808040000000000000',
   ],
   [
-    'state of a pending job, just created',
+    'status of a pending job that was just created',
     asReply(13, { kind: 'status', created: true, stage: 'pending', done: 0, running: 0 }),
     '0000000d1a000200010000000000000000',
   ],
   [
-    'state of a running job',
+    'status of a running job',
     asReply(14, { kind: 'status', created: false, stage: 'running', done: 3, running: 100_000 }),
     '0000000f1c000200000206c09a0c0000000000',
   ],
   [
-    'state of a job that is done',
+    'status of a job that is done',
     asReply(15, { kind: 'status', created: false, stage: 'done', done: 16, running: 0 }),
     '0000000d1e000200000420000000000000',
   ],
   [
-    'state of a cancelled job',
+    'status of a cancelled job',
     asReply(16, { kind: 'status', created: false, stage: 'cancelled', done: 5, running: 0 }),
     '0000000d2000020000060a000000000000',
   ],
   ['unknown job', asReply(17, { kind: 'notFound' }), '0000000d22000204000000000000000000'],
-  ['no decision now', asReply(18, { kind: 'unavailable' }), '0000000d24000206000000000000000000'],
+  ['status not available now', asReply(18, { kind: 'unavailable' }), '0000000d24000206000000000000000000'],
   [
     'refusal',
     asReply(19, { kind: 'refused', status: 422, reason: 'no such crew' }),
     '0000001a2600020200000000cc06186e6f20737563682063726577000000',
   ],
-  ['abstention granted', asReply(20, { kind: 'granted' }), '0000000d28000208000000000000000000'],
-  ['sign of life answered', asReply(21, { kind: 'ack' }), '0000000d2a00020a000000000000000000'],
+  ['peer lease granted', asReply(20, { kind: 'granted' }), '0000000d28000208000000000000000000'],
+  ['acknowledgement', asReply(21, { kind: 'ack' }), '0000000d2a00020a000000000000000000'],
   [
     'answers to a batch of polls',
     asReply(22, {
@@ -125,7 +129,7 @@
     '0000000d2e00020c000000000000000000',
   ],
   [
-    'answers to a batch of reports',
+    'responses to a batch of heartbeats',
     asReply(24, {
       kind: 'heartbeatResponses',
       relay: true,
@@ -137,7 +141,7 @@
     '0000002c3000020e00000000000001049003307b226261746f6e223a34312c226f7264657273223a5b5d7dee07000000',
   ],
   [
-    'answers to an empty batch of reports, and no more of them',
+    'response to an empty batch of heartbeats that ends the relaying',
     asReply(25, { kind: 'heartbeatResponses', relay: false, responses: [] }),
     '0000000d3200020e000000000000000000',
   ],
@@ -145,13 +149,13 @@
 
 const readFrames = (hex: string): PeerFrame[] => new FrameReader().push(Buffer.from(hex, 'hex'));
 
-test('each kind of frame has its bytes', () => {
+test('each kind of frame is encoded to its recorded bytes', () => {
   for (const [name, frame, hex] of FRAMES) {
     assert.equal(encodeFrame(frame).toString('hex'), hex, name);
   }
 });
 
-test('the bytes of each kind of frame are read, and written again, as they were', () => {
+test('the recorded bytes of each kind of frame are decoded and encoded again unchanged', () => {
   for (const [name, frame, hex] of FRAMES) {
     const frames = readFrames(hex);
     assert.deepEqual(frames, [frame], name);
@@ -159,7 +163,7 @@
   }
 });
 
-test('all frames in one stream are read one after the other, however it is cut', () => {
+test('all frames of a stream are decoded in order, whatever the size of its chunks', () => {
   const bytes = Buffer.from(FRAMES.map(([, , hex]) => hex).join(''), 'hex');
   for (const step of [1, 7, 64, bytes.length]) {
     const reader = new FrameReader();
@@ -172,7 +176,7 @@
   }
 });
 
-test('inside a batch no answer says that a job was just created', () => {
+test('answers in a batch never report a job as just created', () => {
   const frame = asReply(26, {
     kind: 'pollAnswers',
     answers: [{ kind: 'status', created: true, stage: 'pending', done: 0, running: 0 }],
@@ -182,18 +186,18 @@
   assert.equal(JSON.stringify(readFrames(hex)), JSON.stringify([frame]).replace('true', 'false'));
 });
 
-test('the longest frame', () => {
+test('the maximum frame size', () => {
   assert.equal(MAX_FRAME_BYTES, 131_072);
 });
 
-test('what is no frame closes the connection: the reader throws', () => {
+test('the reader throws on malformed frames, which closes the connection', () => {
   const bad = {
-    'longer than any frame': '00020001',
+    'longer than the maximum frame size': '00020001',
     'neither request nor reply': '00000003020000',
-    'a kind of request that is not known': '00000016020212147265712d3030303431320000000000000000',
+    'an unknown kind of request': '00000016020212147265712d3030303431320000000000000000',
     'a request and a reply': '000000160a020a0000000000000000020a000000000000000000',
     'a record that ends early': '000000050202001472',
-    'a union branch that is not there': '00000003020400',
+    'an unknown union branch': '00000003020400',
   };
   for (const [name, hex] of Object.entries(bad)) {
     let thrown = false;
@@ -208,7 +212,7 @@
   assert.deepEqual(readFrames('0000000a0202'), []);
 });
 
-test('fields that a kind of request has no use for are left out when it is read', () => {
+test('fields that a kind of request does not use are dropped when it is decoded', () => {
   const frames = readFrames('0000000d0a020a02780000000000000000');
   assert.equal(JSON.stringify(frames.map((frame) => frame.request)), JSON.stringify([{ kind: 'ping' }]));
 });
--- a/test/golden/messages.test.ts
+++ b/test/golden/messages.test.ts
@@ -1,4 +1,4 @@
-/** The exact bodies of messages to the state service, to workers, to users and to the cloud. */
+/** The exact bodies of messages exchanged with the state service, workers, users and the cloud. */
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {
@@ -31,7 +31,7 @@
   type Command,
 } from '../../src/wire/worker.ts';
 
-/** What a decoder makes of a text, without the names of its fields: they are the service's own affair. */
+/** A decoded value as JSON without field names, which are internal and may change. */
 const decodedValues = (decoded: { ok: boolean; value?: unknown }): string =>
   decoded.ok ? JSON.stringify(withoutFieldNames(decoded.value)) : 'malformed';
 
@@ -42,7 +42,7 @@
 
 // ---- the state service ----
 
-test('a transaction', () => {
+test('the body of a transaction', () => {
   assert.equal(
     encodeTransaction(
       [
@@ -61,7 +61,7 @@
   assert.equal(encodeTransaction([], []), '{"if":[],"then":[]}');
 });
 
-test('the request for a lease', () => {
+test('the body of a lease request', () => {
   assert.equal(encodeGrant(3000), '{"ttlMs":3000}');
 });
 
@@ -91,7 +91,7 @@
   );
 });
 
-test('answers of the state service', () => {
+test('answers of the state service are decoded', () => {
   const read = [
     decodedValues(decodeItem('{"k":"leader","data":{"n":1},"stamp":120,"permit":77}')),
     decodedValues(decodeItem('{"k":"term","data":null,"stamp":120}')),
@@ -146,7 +146,7 @@
   { op: 'forget', jobId: 'req-000413', task: 99_999, attempt: 1 },
 ];
 
-test('the answer to a report of a worker', () => {
+test('the response to a heartbeat of a worker', () => {
   assert.equal(
     encodeHeartbeatResponse(41, COMMANDS),
     '{"baton":41,"orders":[{"verb":"launch","loaf":"req-000412/3","try":2},{"verb":"stop","loaf":"req-000412/4","try":1,"windDownS":4.5},{"verb":"stop","loaf":"req-000412/5","try":9,"windDownS":0},{"verb":"clear","loaf":"req-000413/99999","try":1}]}',
@@ -154,7 +154,7 @@
   assert.equal(encodeHeartbeatResponse(41, []), '{"baton":41,"orders":[]}');
 });
 
-test('commands that are sent to a worker by themselves', () => {
+test('commands that are sent to a worker outside of a heartbeat response', () => {
   assert.equal(
     encodeCommands(41, 3, COMMANDS),
     '{"baton":41,"shift":3,"orders":[{"verb":"launch","loaf":"req-000412/3","try":2},{"verb":"stop","loaf":"req-000412/4","try":1,"windDownS":4.5},{"verb":"stop","loaf":"req-000412/5","try":9,"windDownS":0},{"verb":"clear","loaf":"req-000413/99999","try":1}]}',
@@ -162,47 +162,50 @@
   assert.equal(encodeCommands(41, 3, []), '{"baton":41,"shift":3,"orders":[]}');
 });
 
-test('the order to report to another controller', () => {
+test('the redirect of a worker to another controller', () => {
   assert.equal(encodeRedirect('hearth-2'), '{"foreman":"hearth-2"}');
   assert.equal(encodeRedirect(null), '{}');
 });
 
-const REPORT =
+const HEARTBEAT =
   '{"hearth":"n-000231","address":"10.1.0.232:9000","oven":"g8","yard":"a","borrowed":true,"shift":1,"tick":88,"baton":41,"warningS":12.5,"loaves":[{"loaf":"req-000412/3","try":2,"stage":"fetching"},{"loaf":"req-000412/4","try":1,"stage":"waiting","cause":null},{"loaf":"req-000412/5","try":1,"stage":"running","saved":true},{"loaf":"req-000412/6","try":1,"stage":"saving"}]}';
-const ended = (cause: string): string =>
-  REPORT.replace(/"loaves":.*$/, `"loaves":[{"loaf":"req-1/0","try":1,"stage":"ended","cause":${cause}}]}`);
+const heartbeatWithCause = (cause: string): string =>
+  HEARTBEAT.replace(
+    /"loaves":.*$/,
+    `"loaves":[{"loaf":"req-1/0","try":1,"stage":"ended","cause":${cause}}]}`,
+  );
 
-test('reports of workers', () => {
+test('heartbeats of workers are decoded', () => {
   assert.equal(
-    decodedValues(decodeHeartbeat(REPORT)),
+    decodedValues(decodeHeartbeat(HEARTBEAT)),
     '["n-000231","10.1.0.232:9000","g8","a",true,1,88,41,12.5,[["req-000412",3,2,"fetching",null,false],["req-000412",4,1,"waiting",null,false],["req-000412",5,1,"running",null,true],["req-000412",6,1,"saving",null,false]]]',
   );
   const bad = [
-    REPORT.replace('"tick":88', '"tick":9007199254740993'),
-    REPORT.replace('"shift":1,', ''),
-    REPORT.replace('10.1.0.232:9000', '10.1.0.232'),
-    REPORT.replace('n-000231', ''),
-    REPORT.replace('req-000412/3', 'req-000412'),
-    REPORT.replace('"stage":"saving"', '"stage":"resting"'),
+    HEARTBEAT.replace('"tick":88', '"tick":9007199254740993'),
+    HEARTBEAT.replace('"shift":1,', ''),
+    HEARTBEAT.replace('10.1.0.232:9000', '10.1.0.232'),
+    HEARTBEAT.replace('n-000231', ''),
+    HEARTBEAT.replace('req-000412/3', 'req-000412'),
+    HEARTBEAT.replace('"stage":"saving"', '"stage":"resting"'),
     '[]',
     '{',
   ];
   for (const text of bad) assert.equal(decodedValues(decodeHeartbeat(text)), 'malformed', text);
 });
 
-test('causes for which tasks end, as far as they are told apart', () => {
+test('each known cause of the end of a task is decoded to a reason of its own', () => {
   const wireCauses = ['done', 'stopped', 'peers', 'incomplete', 'error', 'full', 'busy', 'no_such'];
-  const read = wireCauses.map((cause) => decodedValues(decodeHeartbeat(ended(`"${cause}"`))));
+  const read = wireCauses.map((cause) => decodedValues(decodeHeartbeat(heartbeatWithCause(`"${cause}"`))));
   assert.equal(new Set(read).size, wireCauses.length);
-  // A cause that isn't known, or is missing, is an error of the task.
-  const error = decodedValues(decodeHeartbeat(ended('"error"')));
-  assert.equal(decodedValues(decodeHeartbeat(ended('"novelty"'))), error);
-  assert.equal(decodedValues(decodeHeartbeat(ended('null'))), error);
+  // An unknown or missing cause counts as an error of the task.
+  const error = decodedValues(decodeHeartbeat(heartbeatWithCause('"error"')));
+  assert.equal(decodedValues(decodeHeartbeat(heartbeatWithCause('"novelty"'))), error);
+  assert.equal(decodedValues(decodeHeartbeat(heartbeatWithCause('null'))), error);
 });
 
 // ---- users and the cloud ----
 
-test('the state of a job as users are told it', () => {
+test('the status of a job in answers to users', () => {
   const statuses = (['pending', 'running', 'done', 'cancelled'] as const).map((stage) =>
     encodeStatus('req-000412', { stage, done: 3, running: 1 }),
   );
@@ -240,7 +243,7 @@
   );
 });
 
-test('answers of the cloud', () => {
+test('answers of the cloud are decoded', () => {
   const machine = '"uid":"n-1","oven":"g8","yard":"a","borrowed":false';
   const read = [
     decodedValues(decodeRented('{"hearths":["n-1"]}')),
--- a/test/golden/state-service.ts
+++ b/test/golden/state-service.ts
@@ -1,3 +1,4 @@
+/** A state service for tests that works at the level of HTTP requests. */
 import type { HttpResult, HttpSender } from '../../src/http/client.ts';
 import { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { silent } from '../helpers.ts';
@@ -5,7 +6,7 @@
 /** How the scripted service answers one request: the HTTP status and the body. */
 export type ScriptedAnswer = readonly [status: number, body: string];
 
-/** The state service at the level of HTTP: every request is kept as one line of text, answers come from a script. */
+/** Records every HTTP request as one line of text and answers it from a script. */
 export class ScriptedStateService implements HttpSender {
   readonly requests: string[] = [];
 
@@ -22,7 +23,7 @@
     // No connections are held.
   }
 
-  /** Requests that change something, in order. */
+  /** The requests other than reads, in order. */
   mutatingRequests(): string[] {
     return this.requests.filter((request) => !request.startsWith('GET '));
   }
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -1,6 +1,6 @@
 /**
  * The exact keys and values in the state service. A controller reads what earlier versions wrote, so these literals
- * were taken from running code and must never follow a change of it.
+ * are recorded output of the code and must never be adapted to a change of it.
  */
 import assert from 'node:assert/strict';
 import test from 'node:test';
@@ -33,10 +33,10 @@
 import { failTest, FakeClock, silent } from '../helpers.ts';
 import { ScriptedStateService } from './state-service.ts';
 
-/** Changes as they go to the state service. */
+/** Mutations as they are sent to the state service. */
 const encodeMutations = (changes: readonly Mutation[]): string => encodeTransaction([], changes);
 const item = (key: string, text: string): Item => ({ key, value: JSON.parse(text), version: 1, lease: null });
-/** Values that are no record of any kind. */
+/** Values that are invalid as records of every type. */
 const INVALID_RECORDS = [
   'null',
   'true',
@@ -49,7 +49,7 @@
   '{"at":"now"}',
 ];
 
-test('the layout of keys', () => {
+test('the keys of all records', () => {
   const keys = [
     KEYS.leader,
     KEYS.term,
@@ -101,11 +101,11 @@
   assert.equal(openRecordText(GANG), OPEN_RECORDS.gang);
 });
 
-test('the open record of an array whose fields came in another order', () => {
+test('the open record of an array that was submitted with its fields in another order', () => {
   assert.equal(openRecordText(ARRAY), OPEN_RECORDS.array);
 });
 
-test('the open record of a daemon: fields that were not sent stay away, unknown ones are dropped', () => {
+test('the open record of a daemon: omitted fields stay omitted, unknown fields are dropped', () => {
   assert.equal(openRecordText(DAEMON), OPEN_RECORDS.daemon);
 });
 
@@ -113,7 +113,7 @@
   assert.equal(openRecordText(STANDARD), OPEN_RECORDS.standard);
 });
 
-test('open records are read, and written again, as they were', () => {
+test('open records are decoded and encoded again unchanged', () => {
   for (const [name, text] of Object.entries(OPEN_RECORDS)) {
     const record = decodeOpenRecord(JSON.parse(text));
     assert.ok(record, name);
@@ -123,7 +123,7 @@
   }
 });
 
-test('an open record that no new submission may look like stays readable', () => {
+test('an open record is decoded even if it would be refused as a new submission', () => {
   const text = OPEN_RECORDS.gang
     .replace('"crew":"vision"', '"crew":""')
     .replace('"bakeS":240', '"bakeS":1e300')
@@ -136,7 +136,7 @@
   );
 });
 
-test('what is not an open record is answered with null', () => {
+test('a malformed open record is decoded to null', () => {
   for (const text of INVALID_RECORDS) assert.equal(decodeOpenRecord(JSON.parse(text)), null, text);
   const { gang } = OPEN_RECORDS;
   const damaged = [
@@ -159,14 +159,14 @@
   }
 });
 
-// ---- final records ----
+// ---- terminal records ----
 
-test('final records', () => {
+test('terminal records', () => {
   assert.equal(JSON.stringify(encodeTerminalRecord('done', 16)), '{"s":"done","n":16}');
   assert.equal(JSON.stringify(encodeTerminalRecord('cancelled', 0)), '{"s":"cancelled","n":0}');
 });
 
-test('final records are read, and written again, as they were', () => {
+test('terminal records are decoded and encoded again unchanged', () => {
   for (const text of ['{"s":"done","n":16}', '{"s":"cancelled","n":0}', '{"s":"done","n":100000}']) {
     const status = decodeTerminalRecord(JSON.parse(text));
     assert.ok(status && (status.stage === 'done' || status.stage === 'cancelled'), text);
@@ -176,7 +176,7 @@
   }
 });
 
-test('what is not a final record is answered with null', () => {
+test('a malformed terminal record is decoded to null', () => {
   const damaged = [
     '{"s":"done"}',
     '{"n":3}',
@@ -189,7 +189,7 @@
     assert.equal(decodeTerminalRecord(JSON.parse(text)), null, text);
 });
 
-test('the oldest final records move from their first place to the archive in one transaction', () => {
+test('the oldest terminal records move from the keys of the open records to the archive in one transaction', () => {
   const pushed: ReadyWrite[] = [];
   const archive = new Archive({
     maxUnarchived: 1,
@@ -210,9 +210,9 @@
   );
 });
 
-// ---- starts of tasks ----
+// ---- start watermarks ----
 
-test('a page of start notes is read, and written again, as it was', () => {
+test('a page of start watermarks is decoded and encoded again unchanged', () => {
   for (const text of ['{"b":[]}', '{"b":[["req-000001",16],["req-000002",0],["req-000003",100000]]}']) {
     const entries = decodeStartWatermarks(JSON.parse(text));
     assert.ok(entries);
@@ -220,7 +220,7 @@
   }
 });
 
-test('what is not a page of start notes is answered with null', () => {
+test('a malformed page of start watermarks is decoded to null', () => {
   const damaged = [
     '{"b":"damaged"}',
     '{"b":[["req-000001"]]}',
@@ -236,7 +236,10 @@
     assert.equal(decodeStartWatermarks(JSON.parse(text)), null, text);
 });
 
-/** Start notes whose writes are taken in order when told to, each as the line of JSON that is sent. */
+/**
+ * Creates start watermarks. `commitQueued` commits the queued writes in order and returns each as the line of JSON that
+ * is sent.
+ */
 function createStartWatermarks(pageBytes: number): {
   watermarks: StartWatermarks;
   commitQueued: () => string;
@@ -261,7 +264,7 @@
   return { watermarks, commitQueued };
 }
 
-test('the pages that start notes are written to, as jobs begin and end', () => {
+test('the pages of start watermarks that are written as jobs start and end', () => {
   const { watermarks, commitQueued } = createStartWatermarks(80);
   const durable: string[] = [];
   const raise = (id: string, watermark: number): void => {
@@ -299,7 +302,7 @@
   );
 });
 
-test('start notes of an earlier leader: pages are read, and a damaged one is told of and never written again', () => {
+test('start watermarks of an earlier leader are restored; a malformed page is reported and never overwritten', () => {
   const { watermarks, commitQueued } = createStartWatermarks(80);
   const malformed: string[] = [];
   const found = watermarks.restore(
@@ -328,7 +331,7 @@
   );
 });
 
-// ---- finished tasks ----
+// ---- completed tasks ----
 
 test('the completion chunks of a job', () => {
   const submission = decodeJob(ARRAY.replace('100000', '9000'));
@@ -369,7 +372,7 @@
   assert.equal(JSON.stringify(encodeChunk(bits)), '{"b":"BYA="}');
 });
 
-test('what is not a completion chunk is answered with null; damaged base64 is read as far as it goes', () => {
+test('a malformed completion chunk is decoded to null; damaged base64 is decoded as far as possible', () => {
   for (const text of [...INVALID_RECORDS, '{"b":7}', '{"b":[1]}']) {
     assert.equal(decodeChunk(JSON.parse(text)), null, text);
   }
@@ -389,7 +392,9 @@
   spot: number % 3 === 0,
 });
 
-/** A machine registry whose writes are durable when told to, each as the line of JSON that is sent. */
+/**
+ * Creates a machine registry. `commitQueued` commits the queued writes and returns each as the line of JSON that is sent.
+ */
 function createRegistry(pageBytes: number): { machines: MachineRegistry; commitQueued: () => string } {
   const queue: string[] = [];
   const onCommittedCallbacks: (() => void)[] = [];
@@ -410,7 +415,7 @@
   return { machines, commitQueued };
 }
 
-test('the pages of the machine registry, as machines come and go', () => {
+test('the pages of the machine registry that are written as machines are registered and removed', () => {
   const { machines, commitQueued } = createRegistry(120);
   const lines: string[] = [];
   const flush = (calm: boolean): void => {
@@ -455,7 +460,7 @@
   assert.equal(durable.join(' '), '1 2 3 4 5 6 7');
 });
 
-test('the registry of an earlier leader is read, and written again, as it was', () => {
+test('the machine registry of an earlier leader is decoded and encoded again unchanged', () => {
   const page =
     '{"m":[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]}';
   const { machines, commitQueued } = createRegistry(4000);
@@ -474,7 +479,7 @@
   );
 });
 
-test('a page of the registry that is not one is told of and leaves out its machines only', () => {
+test('a malformed page of the machine registry is reported, and only its machines are left out', () => {
   const { machines } = createRegistry(4000);
   const malformed: string[] = [];
   const entry = '["n-000001","10.1.0.1:9000","g8","a",false]';
@@ -509,13 +514,13 @@
   assert.equal(JSON.stringify(encodeStoredCatalog(new Catalog(types.value))), CATALOG);
 });
 
-test('the catalog record is read, and written again, as it was', () => {
+test('the catalog record is decoded and encoded again unchanged', () => {
   const catalog = decodeStoredCatalog(JSON.parse(CATALOG));
   assert.ok(catalog);
   assert.equal(JSON.stringify(encodeStoredCatalog(catalog)), CATALOG);
 });
 
-test('what is not a catalog is answered with null', () => {
+test('a malformed catalog record is decoded to null', () => {
   const text = CATALOG;
   const damaged = [
     '{"types":[]}',
@@ -529,18 +534,19 @@
   }
 });
 
-// ---- leadership, on the level of the requests that the state service gets ----
+// ---- leadership, at the level of requests to the state service ----
 
 interface ElectionHarness {
   election: Election;
   service: ScriptedStateService;
   pauses: number[];
-  /** Lets the election go on until it has won, or for so many pauses. */
+  /** Runs the election until it acquires leadership, or for the given number of pauses. */
   run: (pauses: number) => Promise<void>;
+  /** Term, version and lease id of the acquired leadership; empty if there is none. */
   acquiredLeadership: () => string;
 }
 
-/** An election on a scripted service: pauses are over at once, and move the clock. */
+/** An election on a scripted state service. Pauses end at once and advance the clock. */
 function createElection(records: Record<string, string>): ElectionHarness {
   const clock = new FakeClock();
   const pauses: number[] = [];
@@ -592,7 +598,7 @@
   };
 }
 
-test('the first leader and term records, and the renewal and end of the lease', async () => {
+test('the first leader and term records, and the renewal and revocation of the lease', async () => {
   const { election, service, run, acquiredLeadership } = createElection({});
   await run(200);
   assert.equal(acquiredLeadership(), '1 131 77');
@@ -624,7 +630,7 @@
   );
 });
 
-test('a leader record of this node from before: its lease is ended', async () => {
+test('the lease of a leader record that this node wrote in an earlier run is revoked', async () => {
   const { service, run } = createElection({
     leader: '{"k":"leader","data":{"node":"hearth-2","term":41,"nonce":"nonce-0"},"stamp":121,"permit":76}',
   });
@@ -635,7 +641,7 @@
   );
 });
 
-test('a leader record of another node is followed', async () => {
+test('the node in a leader record of another node is taken for the leader', async () => {
   const { service, run, election } = createElection({
     leader: '{"k":"leader","data":{"node":"hearth-1","term":41,"nonce":"nonce-9"},"stamp":121,"permit":76}',
   });
@@ -647,7 +653,7 @@
   );
 });
 
-test('beside a malformed leader record nobody stands', async () => {
+test('no election is attempted while the leader record is malformed', async () => {
   for (const data of [
     ...INVALID_RECORDS,
     '{"node":"hearth-1","term":1.5,"nonce":"n"}',
@@ -663,7 +669,7 @@
   }
 });
 
-test('beside a malformed term record nobody stands', async () => {
+test('no election is attempted while the term record is malformed', async () => {
   for (const data of [...INVALID_RECORDS, '{"n":1.5}', '{"n":"1"}']) {
     const { service, run, acquiredLeadership } = createElection({
       term: `{"k":"term","data":${data},"stamp":120,"permit":null}`,
@@ -674,7 +680,7 @@
   }
 });
 
-test('every write of a leader moves the fence, on the condition of the leader key and of the fence', async () => {
+test('every write of a leader updates the fence, on condition that the leader key and the fence are unchanged', async () => {
   const clock = new FakeClock();
   const now = (): number => clock.now();
   const service: ScriptedStateService = new ScriptedStateService(() => [
@@ -734,9 +740,9 @@
   );
 });
 
-// ---- users' requests, on the same level ----
+// ---- users' requests, at the same level ----
 
-/** The users' side of a controller without a leader, on a service that holds these records. */
+/** The user requests of a controller that knows no leader, on a state service with the given records. */
 function createUserRequests(records: Record<string, string>): {
   requests: UserRequests;
   service: ScriptedStateService;
@@ -799,7 +805,7 @@
     });
   });
 
-test('a submission writes the open record where no record of the job is', async () => {
+test('a submission writes the open record on condition that the job has no record', async () => {
   const side = createUserRequests({});
   assert.equal(await submit(side, GANG), '201 {"uid":"req-000412","stage":"pending","done":0,"running":0}');
   assert.equal(
@@ -808,7 +814,7 @@
   );
 });
 
-test('a cancellation without a leader writes the final record in the place of the open one', async () => {
+test('a cancellation without a leader replaces the open record by the terminal record', async () => {
   const side = createUserRequests({ 'o/req-000412': OPEN_RECORDS.gang });
   assert.equal(
     await cancel(side, 'req-000412'),
@@ -823,13 +829,14 @@
   );
 });
 
-test('what is told of a job by its records', async () => {
+test('the answers to users by the records of the job', async () => {
   const states = [
     await poll(createUserRequests({ 'o/req-000412': OPEN_RECORDS.gang }), 'req-000412'),
     await poll(createUserRequests({ 'o/req-000412': '{"s":"done","n":16}' }), 'req-000412'),
     await poll(createUserRequests({ 'f/req-000412': '{"s":"cancelled","n":3}' }), 'req-000412'),
     await poll(createUserRequests({}), 'req-000412'),
-    // Unreadable in the first place: some job it is. Unreadable in the archive: nothing can be said.
+    // A malformed record under the open key still shows that the job exists. With a malformed archived record, its
+    // outcome is unknown.
     await poll(createUserRequests({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
     await poll(createUserRequests({ 'f/req-000412': '{"at":7}' }), 'req-000412'),
     await cancel(createUserRequests({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -37,8 +37,8 @@
   }
 }
 
-/** A group of one small pending task that may run anywhere. */
-export function group(over: Partial<TaskGroup> = {}): TaskGroup {
+/** Creates a group of one small pending task that may run anywhere. */
+export function createTaskGroup(over: Partial<TaskGroup> = {}): TaskGroup {
   return {
     job: 0,
     team: 0,
@@ -73,8 +73,8 @@
   };
 }
 
-/** An idle machine that has booted. */
-export function machine(over: Partial<MachineSnapshot> = {}): MachineSnapshot {
+/** Creates an idle machine that has booted. */
+export function createMachineSnapshot(over: Partial<MachineSnapshot> = {}): MachineSnapshot {
   return {
     machine: 0,
     type: 0,
@@ -94,8 +94,8 @@
   };
 }
 
-/** An option to provision on-demand machines. */
-export function option(over: Partial<ProvisioningOption> = {}): ProvisioningOption {
+/** Creates an option to provision on-demand machines. */
+export function createProvisioningOption(over: Partial<ProvisioningOption> = {}): ProvisioningOption {
   return {
     option: 0,
     type: 0,
--- a/test/scheduling/round.test.ts
+++ b/test/scheduling/round.test.ts
@@ -10,7 +10,7 @@
   type MachineSnapshot,
   type Resources,
 } from '../../src/scheduling/snapshot.ts';
-import { group, machine, option, SEED } from '../helpers.ts';
+import { createTaskGroup, createMachineSnapshot, createProvisioningOption, SEED } from '../helpers.ts';
 
 const OPTIONS: RoundOptions = {
   reserveAfterMs: 60_000,
@@ -28,8 +28,11 @@
 const sizeOf = () => SIZE;
 
 test('tasks spread over the least loaded machines', () => {
-  const machines = [machine({ machine: 0, load: 2 }), machine({ machine: 1, load: 0 })];
-  const result = runRound([group({ pending: 2 })], machines, [], FREE_TEAM, sizeOf, OPTIONS);
+  const machines = [
+    createMachineSnapshot({ machine: 0, load: 2 }),
+    createMachineSnapshot({ machine: 1, load: 0 }),
+  ];
+  const result = runRound([createTaskGroup({ pending: 2 })], machines, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(result.placements, [{ job: 0, machine: 1, count: 2 }]);
 });
 
@@ -63,7 +66,7 @@
       fc.integer({ min: 0, max: 8 }),
       (generatedGroups, generatedMachines, limit) => {
         const taskGroups = generatedGroups.map((g, job) =>
-          group({
+          createTaskGroup({
             job,
             team: g.team,
             pending: g.pending,
@@ -77,13 +80,18 @@
           }),
         );
         const snapshots: MachineSnapshot[] = generatedMachines.map((m, i) =>
-          machine({ machine: i, zone: m.zone, spot: m.spot, free: { cpus: m.cpus, gpus: 0, memory: 16 } }),
+          createMachineSnapshot({
+            machine: i,
+            zone: m.zone,
+            spot: m.spot,
+            free: { cpus: m.cpus, gpus: 0, memory: 16 },
+          }),
         );
         const teams = [
           { cpus: limit, gpus: Infinity },
           { cpus: Infinity, gpus: Infinity },
         ];
-        const result = runRound(taskGroups, snapshots, [option()], teams, sizeOf, OPTIONS);
+        const result = runRound(taskGroups, snapshots, [createProvisioningOption()], teams, sizeOf, OPTIONS);
         const free = snapshots.map((v) => ({ ...v.free }));
         const perJob = new Map<number, number>();
         const zones = new Map<number, Map<number, number>>();
@@ -117,9 +125,19 @@
 });
 
 test('a group that must stay in one zone waits while it seems to have live tasks in two', () => {
-  const machines = [machine({ machine: 0, zone: 0 }), machine({ machine: 1, zone: 1 })];
+  const machines = [
+    createMachineSnapshot({ machine: 0, zone: 0 }),
+    createMachineSnapshot({ machine: 1, zone: 1 }),
+  ];
   const place = (liveByZone: Map<number, number>) =>
-    runRound([group({ oneZone: true, liveByZone })], machines, [option()], FREE_TEAM, sizeOf, OPTIONS);
+    runRound(
+      [createTaskGroup({ oneZone: true, liveByZone })],
+      machines,
+      [createProvisioningOption()],
+      FREE_TEAM,
+      sizeOf,
+      OPTIONS,
+    );
   const one = place(new Map([[1, 3]]));
   assert.deepEqual(one.placements, [{ job: 0, machine: 1, count: 1 }]);
   const two = place(
@@ -133,29 +151,43 @@
 
 test('the more urgent group gets the free room, though both groups could rent', () => {
   // If urgency didn't weigh free room against room to come, the choice would be arbitrary and cause preemptions.
-  const groups = [group({ job: 0, priority: 1 }), group({ job: 1, priority: 2 })];
-  const snapshots = [machine({ free: { cpus: 1, gpus: 0, memory: 4 } })];
-  const result = runRound(groups, snapshots, [option()], FREE_TEAM, sizeOf, OPTIONS);
+  const groups = [createTaskGroup({ job: 0, priority: 1 }), createTaskGroup({ job: 1, priority: 2 })];
+  const snapshots = [createMachineSnapshot({ free: { cpus: 1, gpus: 0, memory: 4 } })];
+  const result = runRound(groups, snapshots, [createProvisioningOption()], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(result.placements, [{ job: 1, machine: 0, count: 1 }]);
   assert.equal(result.demand.get(0), 1);
 });
 
 test('a machine takes tasks of several groups in one round', () => {
   // If its arc to the sink carried only as many tasks as the largest group has, machines would be rented for the rest.
-  const groups = [0, 1].map((job) => group({ job, pending: 2 }));
-  const booting = runRound(groups, [machine({ bootsInS: 5 })], [option()], FREE_TEAM, sizeOf, OPTIONS);
+  const groups = [0, 1].map((job) => createTaskGroup({ job, pending: 2 }));
+  const booting = runRound(
+    groups,
+    [createMachineSnapshot({ bootsInS: 5 })],
+    [createProvisioningOption()],
+    FREE_TEAM,
+    sizeOf,
+    OPTIONS,
+  );
   assert.equal(booting.demand.size, 0);
-  const present = runRound(groups, [machine()], [option()], FREE_TEAM, sizeOf, OPTIONS);
+  const present = runRound(
+    groups,
+    [createMachineSnapshot()],
+    [createProvisioningOption()],
+    FREE_TEAM,
+    sizeOf,
+    OPTIONS,
+  );
   assert.equal(present.placements.length, 2);
 });
 
 test('the group with the least slack goes first, and a group that is already late goes last', () => {
   const groups = [
-    group({ job: 0, slackS: -1 }),
-    group({ job: 1, slackS: 20 }),
-    group({ job: 2, slackS: 200 }),
+    createTaskGroup({ job: 0, slackS: -1 }),
+    createTaskGroup({ job: 1, slackS: 20 }),
+    createTaskGroup({ job: 2, slackS: 200 }),
   ];
-  const snapshots = [machine({ free: { cpus: 2, gpus: 0, memory: 8 } })];
+  const snapshots = [createMachineSnapshot({ free: { cpus: 2, gpus: 0, memory: 8 } })];
   const result = runRound(groups, snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(
     result.placements.map((p) => p.job),
@@ -166,16 +198,16 @@
 test('machines with images of latency-sensitive classes are left to these while other machines suffice', () => {
   // If other tasks filled the warm machines, tasks with an objective on their start would have to fetch their image.
   const snapshots = [
-    machine({ machine: 0, warmImageCount: 2 }),
-    machine({ machine: 1, warmImageCount: 0, load: 3 }),
+    createMachineSnapshot({ machine: 0, warmImageCount: 2 }),
+    createMachineSnapshot({ machine: 1, warmImageCount: 0, load: 3 }),
   ];
   const place = (overrides: object) =>
-    runRound([group(overrides)], snapshots, [], FREE_TEAM, sizeOf, OPTIONS).placements[0]?.machine;
+    runRound([createTaskGroup(overrides)], snapshots, [], FREE_TEAM, sizeOf, OPTIONS).placements[0]?.machine;
   assert.equal(place({}), 1);
   assert.equal(place({ latencySensitive: true }), 0);
   assert.equal(
     runRound(
-      [group({ expected: true, latencySensitive: true })],
+      [createTaskGroup({ expected: true, latencySensitive: true })],
       snapshots,
       [],
       FREE_TEAM,
@@ -187,8 +219,11 @@
 });
 
 test('a job waits for its nominated machine, and no other job is placed there', () => {
-  const snapshots = [machine({ machine: 0 }), machine({ machine: 1, load: 2 })];
-  const groups = [group({ job: 0, nominatedMachine: 1, priority: 2 }), group({ job: 1, pending: 8 })];
+  const snapshots = [createMachineSnapshot({ machine: 0 }), createMachineSnapshot({ machine: 1, load: 2 })];
+  const groups = [
+    createTaskGroup({ job: 0, nominatedMachine: 1, priority: 2 }),
+    createTaskGroup({ job: 1, pending: 8 }),
+  ];
   const result = runRound(groups, snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(
     result.placements.map((p) => [p.job, p.machine]),
@@ -201,12 +236,18 @@
 
 test('a round that runs out of time keeps what it has found', () => {
   // A gang that is left out leads to a second pass. If that runs out of time, the placements of the first one stay.
-  const gang = group({ job: 0, pending: 4, gang: true, need: { cpus: 2, gpus: 0, memory: 1 }, priority: 2 });
-  const snapshots = [machine({ machine: 0, free: { cpus: 3, gpus: 0, memory: 16 } })];
+  const gang = createTaskGroup({
+    job: 0,
+    pending: 4,
+    gang: true,
+    need: { cpus: 2, gpus: 0, memory: 1 },
+    priority: 2,
+  });
+  const snapshots = [createMachineSnapshot({ machine: 0, free: { cpus: 3, gpus: 0, memory: 16 } })];
   for (let steps = 1; steps < 12; steps++) {
     let calls = 0;
     const result = runRound(
-      [gang, group({ job: 1 })],
+      [gang, createTaskGroup({ job: 1 })],
       snapshots,
       [],
       FREE_TEAM,
@@ -224,17 +265,24 @@
 
 test('a job that accepts a queueing delay waits for room that is about to come instead of renting', () => {
   const snapshots = [
-    machine({
+    createMachineSnapshot({
       free: { cpus: 0, gpus: 0, memory: 0 },
       releases: [{ inS: 40, resources: { cpus: 4, gpus: 0, memory: 16 } }],
     }),
   ];
-  const immediate = runRound([group()], snapshots, [option()], FREE_TEAM, sizeOf, OPTIONS);
+  const immediate = runRound(
+    [createTaskGroup()],
+    snapshots,
+    [createProvisioningOption()],
+    FREE_TEAM,
+    sizeOf,
+    OPTIONS,
+  );
   assert.equal(immediate.demand.get(0), 1);
   const patient = runRound(
-    [group({ maxQueueingDelayS: 30 })],
+    [createTaskGroup({ maxQueueingDelayS: 30 })],
     snapshots,
-    [option()],
+    [createProvisioningOption()],
     FREE_TEAM,
     sizeOf,
     OPTIONS,
@@ -244,9 +292,9 @@
 });
 
 test('a machine is reserved for a job that has waited long, and no other job is placed there', () => {
-  const snapshots = [machine({ machine: 0, free: { cpus: 2, gpus: 0, memory: 8 }, load: 1 })];
-  const old = group({ job: 0, need: { cpus: 4, gpus: 0, memory: 4 }, waitedMs: 61_000 });
-  const young = group({ job: 1, need: { cpus: 1, gpus: 0, memory: 1 } });
+  const snapshots = [createMachineSnapshot({ machine: 0, free: { cpus: 2, gpus: 0, memory: 8 }, load: 1 })];
+  const old = createTaskGroup({ job: 0, need: { cpus: 4, gpus: 0, memory: 4 }, waitedMs: 61_000 });
+  const young = createTaskGroup({ job: 1, need: { cpus: 1, gpus: 0, memory: 1 } });
   const result = runRound([old, young], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(result.placements, []);
   assert.equal(result.reserved.get(0), 0);
@@ -254,9 +302,9 @@
 
 test('machines cleared for a gang stay reserved for it, also against jobs that have waited long', () => {
   // Otherwise small tasks start there before the last of the gang's machines is free, and are preempted in turn.
-  const snapshots = [0, 1, 2].map((n) => machine({ machine: n }));
+  const snapshots = [0, 1, 2].map((n) => createMachineSnapshot({ machine: n }));
   const need = { cpus: 4, gpus: 0, memory: 4 };
-  const gang = group({
+  const gang = createTaskGroup({
     job: 0,
     gang: true,
     priority: 2,
@@ -266,8 +314,8 @@
     reservedMachines: new Set([0, 1]),
   });
   const full = snapshots.map((v) => (v.machine === 2 ? { ...v, free: { cpus: 0, gpus: 0, memory: 0 } } : v));
-  const old = group({ job: 1, waitedMs: 61_000 });
-  const young = group({ job: 2, pending: 2 });
+  const old = createTaskGroup({ job: 1, waitedMs: 61_000 });
+  const young = createTaskGroup({ job: 2, pending: 2 });
   const waiting = runRound([gang, old, young], full, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(waiting.placements, [], 'its machines are left alone');
   assert.deepEqual([waiting.reserved.get(0), waiting.reserved.get(1)], [0, 0]);
@@ -290,12 +338,12 @@
 
 test('nothing is provisioned for a gang that is left out of the round', () => {
   // Each pass begins without demand: demand kept from the previous pass would include that of the gang.
-  const gang = group({ job: 1, gang: true, pending: 3, need: { cpus: 4, gpus: 0, memory: 1 } });
-  const small = group({ job: 2, pending: 1, need: { cpus: 1, gpus: 0, memory: 1 } });
+  const gang = createTaskGroup({ job: 1, gang: true, pending: 3, need: { cpus: 4, gpus: 0, memory: 1 } });
+  const small = createTaskGroup({ job: 2, pending: 1, need: { cpus: 1, gpus: 0, memory: 1 } });
   const result = runRound(
     [gang, small],
-    [machine({ machine: 0 })],
-    [option({ maxMachines: 1 })],
+    [createMachineSnapshot({ machine: 0 })],
+    [createProvisioningOption({ maxMachines: 1 })],
     FREE_TEAM,
     sizeOf,
     OPTIONS,
@@ -307,12 +355,12 @@
 
 test('the machines chosen for a gang are those with preempted tasks and those with room already', () => {
   const snapshots = [
-    machine({ machine: 0 }),
-    machine({ machine: 1, free: { cpus: 0, gpus: 0, memory: 8 }, load: 1 }),
-    machine({ machine: 2, free: { cpus: 0, gpus: 0, memory: 8 }, load: 1 }),
+    createMachineSnapshot({ machine: 0 }),
+    createMachineSnapshot({ machine: 1, free: { cpus: 0, gpus: 0, memory: 8 }, load: 1 }),
+    createMachineSnapshot({ machine: 2, free: { cpus: 0, gpus: 0, memory: 8 }, load: 1 }),
   ];
   const need = { cpus: 4, gpus: 0, memory: 1 };
-  const gang = group({ gang: true, priority: 2, pending: 2, need });
+  const gang = createTaskGroup({ gang: true, priority: 2, pending: 2, need });
   const victimsOn = (index: number): PreemptionCandidate<string>[] =>
     index === 0
       ? []
@@ -334,7 +382,7 @@
 });
 
 test('tasks are preempted only if the group then fits, and not while room is being made', () => {
-  const snapshots = [machine({ free: { cpus: 0, gpus: 0, memory: 8 } })];
+  const snapshots = [createMachineSnapshot({ free: { cpus: 0, gpus: 0, memory: 8 } })];
   const victim = (overrides: Partial<PreemptionCandidate<string>>): PreemptionCandidate<string> => ({
     item: 'a',
     priority: 1,
@@ -345,7 +393,7 @@
     lossS: 1,
     ...overrides,
   });
-  const urgent = group({ priority: 2, need: { cpus: 4, gpus: 0, memory: 1 } });
+  const urgent = createTaskGroup({ priority: 2, need: { cpus: 4, gpus: 0, memory: 1 } });
   const pick = (list: PreemptionCandidate<string>[]) =>
     selectVictims(urgent, 1, snapshots, () => list, FREE_TEAM, Infinity, new Map());
   assert.deepEqual(pick([victim({}), victim({ item: 'b' })]), ['a', 'b']);
@@ -376,11 +424,11 @@
     fc.property(shape, ({ groups, machines }) => {
       const snapshots = (): MachineSnapshot[] =>
         machines.map((m, i) =>
-          machine({ machine: i, load: m.load, free: { cpus: m.cpus, gpus: 0, memory: 16 } }),
+          createMachineSnapshot({ machine: i, load: m.load, free: { cpus: m.cpus, gpus: 0, memory: 16 } }),
         );
       const cost = (apart: boolean): { tasks: number; load: number } => {
         const taskGroups = groups.map((g, job) =>
-          group({
+          createTaskGroup({
             job,
             pending: g.pending,
             need: { cpus: g.cpus, gpus: 0, memory: 1 },
@@ -388,7 +436,7 @@
           }),
         );
         // A group that excludes machines gives each of them a target of its own.
-        const excludingGroup = group({
+        const excludingGroup = createTaskGroup({
           job: 99,
           pending: 1,
           excludedMachines: new Set(machines.map((_, i) => i)),
@@ -425,13 +473,20 @@
 
 test('an image is fetched once for all tasks of a job on a machine', () => {
   // By load alone, forty tasks on forty machines fetch it forty times, and each machine fetches four images at a time.
-  const snapshots = Array.from({ length: 4 }, (_, i) => machine({ machine: i }));
-  const cold = runRound([group({ pending: 8, imageGb: 9 })], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
+  const snapshots = Array.from({ length: 4 }, (_, i) => createMachineSnapshot({ machine: i }));
+  const cold = runRound(
+    [createTaskGroup({ pending: 8, imageGb: 9 })],
+    snapshots,
+    [],
+    FREE_TEAM,
+    sizeOf,
+    OPTIONS,
+  );
   assert.deepEqual(
     cold.placements.map((p) => p.count),
     [4, 4],
   );
-  const warm = runRound([group({ pending: 8 })], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
+  const warm = runRound([createTaskGroup({ pending: 8 })], snapshots, [], FREE_TEAM, sizeOf, OPTIONS);
   assert.deepEqual(
     warm.placements.map((p) => p.count),
     [2, 2, 2, 2],
@@ -439,10 +494,10 @@
 });
 
 test("groups that wait for their team's quota take no places in a round", () => {
-  const stuck = Array.from({ length: 5 }, (_, job) => group({ job, team: 1, priority: 2 }));
+  const stuck = Array.from({ length: 5 }, (_, job) => createTaskGroup({ job, team: 1, priority: 2 }));
   const result = runRound(
-    [...stuck, group({ job: 9 })],
-    [machine()],
+    [...stuck, createTaskGroup({ job: 9 })],
+    [createMachineSnapshot()],
     [],
     [...FREE_TEAM, { cpus: 0, gpus: 0 }],
     sizeOf,
@@ -469,7 +524,7 @@
       let zoneHint = -1;
       for (let t = 0; t <= 240; t += 2) {
         const snapshots = busyUntil.map((until, i) =>
-          machine({
+          createMachineSnapshot({
             machine: i,
             zone: i % 2,
             free: until > t ? { cpus: 0, gpus: 0, memory: 12 } : { cpus: 4, gpus: 0, memory: 16 },
@@ -479,9 +534,9 @@
         );
         // Small jobs of the same rank, always enough to fill the free machines.
         const small = Array.from({ length: 12 }, (_, i) =>
-          group({ job: 1000 + t * 20 + i, pending: 2, need }),
+          createTaskGroup({ job: 1000 + t * 20 + i, pending: 2, need }),
         );
-        const gang = group({
+        const gang = createTaskGroup({
           job: 0,
           pending: 11,
           gang: true,
@@ -502,11 +557,11 @@
 });
 
 test('a job that has waited long goes before jobs that have just arrived, even if it is late', () => {
-  const old = group({ job: 0, slackS: -1, waitedMs: 160_000 });
-  const young = Array.from({ length: 3 }, (_, i) => group({ job: i + 1, slackS: 5 }));
+  const old = createTaskGroup({ job: 0, slackS: -1, waitedMs: 160_000 });
+  const young = Array.from({ length: 3 }, (_, i) => createTaskGroup({ job: i + 1, slackS: 5 }));
   const result = runRound(
     [...young, old],
-    [machine({ free: { cpus: 1, gpus: 0, memory: 4 } })],
+    [createMachineSnapshot({ free: { cpus: 1, gpus: 0, memory: 4 } })],
     [],
     FREE_TEAM,
     sizeOf,
@@ -522,9 +577,9 @@
   // If the zone were chosen by its room alone, gangs would fetch an image that another zone has.
   const has = (image: boolean) => (_image: string, gb: number) => (image ? 0 : gb);
   const snapshots = [0, 1, 2, 3, 4, 5].map((i) =>
-    machine({ machine: i, zone: i < 4 ? 0 : 1, fetchS: has(i === 0 || i > 3) }),
+    createMachineSnapshot({ machine: i, zone: i < 4 ? 0 : 1, fetchS: has(i === 0 || i > 3) }),
   );
-  const gang = group({
+  const gang = createTaskGroup({
     pending: 2,
     gang: true,
     oneZone: true,
@@ -537,14 +592,14 @@
 
 test('urgent groups that find no room do not keep other groups out of all rounds', () => {
   const stuck = Array.from({ length: 30 }, (_, job) =>
-    group({ job, priority: 3, need: { cpus: 40, gpus: 0, memory: 1 } }),
+    createTaskGroup({ job, priority: 3, need: { cpus: 40, gpus: 0, memory: 1 } }),
   );
-  const low = Array.from({ length: 9 }, (_, i) => group({ job: 100 + i, priority: 0 }));
+  const low = Array.from({ length: 9 }, (_, i) => createTaskGroup({ job: 100 + i, priority: 0 }));
   const served = new Set<number>();
   let turns = 0;
   while (served.size < low.length && turns < 20) {
     const waiting = [...stuck, ...low.filter((g) => !served.has(g.job))];
-    const result = runRound(waiting, [machine()], [], FREE_TEAM, sizeOf, {
+    const result = runRound(waiting, [createMachineSnapshot()], [], FREE_TEAM, sizeOf, {
       ...OPTIONS,
       maxGroups: 16,
       roundNumber: turns++,
@@ -560,11 +615,11 @@
   // accelerator.
   const perAccelerator = { cpus: 8, gpus: 1, memory: 16 };
   const machines = [
-    machine({ machine: 0, free: { cpus: 32, gpus: 4, memory: 64 }, perAccelerator }),
-    machine({ machine: 1, free: { cpus: 12, gpus: 1, memory: 32 }, perAccelerator }),
-    machine({ machine: 2, free: { cpus: 3, gpus: 0, memory: 20 }, perAccelerator }),
+    createMachineSnapshot({ machine: 0, free: { cpus: 32, gpus: 4, memory: 64 }, perAccelerator }),
+    createMachineSnapshot({ machine: 1, free: { cpus: 12, gpus: 1, memory: 32 }, perAccelerator }),
+    createMachineSnapshot({ machine: 2, free: { cpus: 3, gpus: 0, memory: 20 }, perAccelerator }),
   ];
-  const work = group({ pending: 50, need: { cpus: 1, gpus: 0, memory: 1 } });
+  const work = createTaskGroup({ pending: 50, need: { cpus: 1, gpus: 0, memory: 1 } });
   const placed = (bestEffort: boolean): Map<number, number> => {
     const found = runRound([{ ...work, bestEffort }], machines, [], FREE_TEAM, sizeOf, OPTIONS);
     return new Map(found.placements.map((p) => [p.machine, p.count]));
@@ -581,9 +636,9 @@
 });
 
 test('machines are rented for a group only up to its maximum price per task', () => {
-  const expensive = option({ option: 0, size: { cpus: 4, gpus: 0, memory: 16 }, price: 4 });
-  const cheap = option({ option: 1, size: { cpus: 4, gpus: 0, memory: 16 }, price: 1 });
-  const priceLimited = group({ pending: 4, maxProvisionPrice: 0.5 });
+  const expensive = createProvisioningOption({ option: 0, size: { cpus: 4, gpus: 0, memory: 16 }, price: 4 });
+  const cheap = createProvisioningOption({ option: 1, size: { cpus: 4, gpus: 0, memory: 16 }, price: 1 });
+  const priceLimited = createTaskGroup({ pending: 4, maxProvisionPrice: 0.5 });
   const rents = (options: (typeof expensive)[]): number[] =>
     [...runRound([priceLimited], [], options, FREE_TEAM, sizeOf, OPTIONS).demand.keys()].sort();
   assert.deepEqual(rents([expensive]), []);
--- a/test/scheduling/urgency.test.ts
+++ b/test/scheduling/urgency.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { assignGuarantees, computeUrgency } from '../../src/scheduling/urgency.ts';
-import { group, SEED } from '../helpers.ts';
+import { createTaskGroup, SEED } from '../helpers.ts';
 
 const RESERVE_MS = 60_000;
 
@@ -20,7 +20,9 @@
   );
   fc.assert(
     fc.property(jobs, fc.integer({ min: 0, max: 120 }), (list, amount) => {
-      const groups = list.map((j, job) => group({ ...j, job, need: { cpus: 1, gpus: j.gpus, memory: 1 } }));
+      const groups = list.map((j, job) =>
+        createTaskGroup({ ...j, job, need: { cpus: 1, gpus: j.gpus, memory: 1 } }),
+      );
       const guaranteeHeadroom = [0, 1].map(() => ({ cpus: null, gpus: amount }));
       assignGuarantees(groups, guaranteeHeadroom, RESERVE_MS);
       for (const team of [0, 1]) {
@@ -40,10 +42,10 @@
 });
 
 test('of jobs with the same slack the smaller one goes first, and a starving job goes before both', () => {
-  const small = group({ slackS: 50, relativeWork: 0.2 });
-  const large = group({ slackS: 50, relativeWork: 4 });
-  const starved = group({ slackS: 50, relativeWork: 9, waitedMs: RESERVE_MS * 3 });
-  const late = group({ slackS: -1, relativeWork: 0.1 });
+  const small = createTaskGroup({ slackS: 50, relativeWork: 0.2 });
+  const large = createTaskGroup({ slackS: 50, relativeWork: 4 });
+  const starved = createTaskGroup({ slackS: 50, relativeWork: 9, waitedMs: RESERVE_MS * 3 });
+  const late = createTaskGroup({ slackS: -1, relativeWork: 0.1 });
   const keys = [starved, small, large, late].map((g) => computeUrgency(g, RESERVE_MS));
   assert.deepEqual(
     [...keys].sort((a, b) => b - a),
@@ -51,7 +53,7 @@
   );
   // A large job that is about to be late still goes before a small one with much slack.
   assert.ok(
-    computeUrgency(group({ slackS: 0, relativeWork: 2 }), RESERVE_MS) >
+    computeUrgency(createTaskGroup({ slackS: 0, relativeWork: 2 }), RESERVE_MS) >
       computeUrgency({ ...small, slackS: 300 }, RESERVE_MS),
   );
 });
--- a/test/sim/days.ts
+++ b/test/sim/days.ts
@@ -174,7 +174,7 @@
   /** The last stage that was returned to the user of each job, by job id. */
   lastStageByJob: Map<string, string>;
   /** When the first task of each job was started, in seconds of the day, by job id. */
-  firstStartS: Map<string, number>;
+  firstStartSByJob: Map<string, number>;
 }
 
 /** Simulates a day and checks its events. Rejects if a controller logs a defect of its own. */
@@ -191,7 +191,7 @@
     endMs: day.endMs,
   });
   const lastStageByJob = new Map<string, string>();
-  const firstStartS = new Map<string, number>();
+  const firstStartSByJob = new Map<string, number>();
   const jobByRequest = new Map<number, string>();
   let taskStartCount = 0;
   let leaderCount = 0;
@@ -202,10 +202,10 @@
     else if (event.kind === 'leader') leaderCount += 1;
     else if (event.kind === 'task_on') {
       taskStartCount += 1;
-      if (!firstStartS.has(event.job)) firstStartS.set(event.job, event.at / 1000);
+      if (!firstStartSByJob.has(event.job)) firstStartSByJob.set(event.job, event.at / 1000);
     }
   }
-  return { ...day, violations, taskStartCount, leaderCount, lastStageByJob, firstStartS };
+  return { ...day, violations, taskStartCount, leaderCount, lastStageByJob, firstStartSByJob };
 }
 
 /** The first violations, and the events that led to the first one; empty if there are none. */
--- a/test/sim/guards.ts
+++ b/test/sim/guards.ts
@@ -38,9 +38,9 @@
 
 /** Whether a transaction writes only start watermarks, apart from the fence that every transaction of a leader writes. */
 function writesOnlyStartWatermarks(text: string): boolean {
-  const changes = (parse(text) as TransactionBody | null)?.then ?? [];
-  const watermarkWrites = changes.filter((c) => 'set' in c && c.set.startsWith(KEYS.startWatermarksPrefix));
-  return watermarkWrites.length > 0 && watermarkWrites.length >= changes.length - 1;
+  const mutations = (parse(text) as TransactionBody | null)?.then ?? [];
+  const watermarkWrites = mutations.filter((c) => 'set' in c && c.set.startsWith(KEYS.startWatermarksPrefix));
+  return watermarkWrites.length > 0 && watermarkWrites.length >= mutations.length - 1;
 }
 
 /** Reports every transaction of a leader as successful, also without confirmation; start watermarks aren't sent at all. */
--- a/test/sim/meetings.ts
+++ b/test/sim/meetings.ts
@@ -34,7 +34,7 @@
 const mixedJobs = (count: number, atS: number, overrides: Partial<JobSpec> = {}): JobSpec[] =>
   jobSeries(count, atS, overrides).map((job, i) => ({ ...job, kind: i % 6 }));
 
-/** Long jobs that their users cancel from `cancelAtS` on, 0.3 s plus the submission interval apart. */
+/** Long jobs that their users cancel one after another, 0.3 s apart, the first one at `cancelAtS`. */
 const jobsCancelledAt = (
   count: number,
   atS: number,
--- a/test/sim/relay.test.ts
+++ b/test/sim/relay.test.ts
@@ -74,7 +74,7 @@
   assert.equal(failures.join('\n\n'), '');
 });
 
-test('a leader that loses only its own workers steps down, also while followers relay heartbeats', async () => {
+test('a leader that loses contact only with its workers steps down, also while followers relay heartbeats', async () => {
   // A leader that stays in office still receives heartbeats through the followers, but its direct commands to the
   // machines are lost: it terminates healthy machines because they don't acknowledge commands.
   for (let seed = 1; seed <= 4; seed++) {
--- a/test/sim/safety.test.ts
+++ b/test/sim/safety.test.ts
@@ -81,10 +81,10 @@
   }));
   const day = await simulateDay({ seed: 11, faults: [], jobs, endS: 2400, always: BACKGROUND_FAULTS });
   assert.equal(describeViolations(day), '');
-  assert.equal(day.firstStartS.size, jobs.length);
+  assert.equal(day.firstStartSByJob.size, jobs.length);
   for (const [i, { atS }] of jobs.entries()) {
     const uid = `req-${String(i).padStart(6, '0')}`;
-    const waited = required(day.firstStartS.get(uid), uid) - atS;
+    const waited = required(day.firstStartSByJob.get(uid), uid) - atS;
     assert.ok(waited < 240, `${uid} started after ${waited} s`);
   }
   assert.equal(day.lastStageByJob.size, jobs.length);
@@ -120,7 +120,7 @@
   }
 });
 
-test('a leader that loses only its own workers steps down, and no task is lost to a termination', async () => {
+test('a leader that loses contact only with its workers steps down, and no task is started again', async () => {
   // A leader that keeps its lease in this case considers all machines unresponsive, and terminates healthy ones together
   // with the tasks on them.
   for (let seed = 1; seed <= 4; seed++) {
@@ -139,11 +139,11 @@
 async function compareWithout(
   disabled: DisabledSafeguards,
   day: Omit<DaySpec, 'seed'>,
-  seeds: number,
+  seedCount: number,
 ): Promise<{ violationsWithSafeguards: string; violationCountWithout: number }> {
   let withSafeguards = '';
   let countWithout = 0;
-  for (let seed = 1; seed <= seeds; seed++) {
+  for (let seed = 1; seed <= seedCount; seed++) {
     const spec = { ...day, seed: seed * 7919 };
     withSafeguards ||= describeViolations(await simulateDay(spec));
     countWithout += (await simulateDay(spec, disableSafeguards(disabled))).violations.length;
--- a/test/sim/writes.test.ts
+++ b/test/sim/writes.test.ts
@@ -27,7 +27,9 @@
   const mutationsPerJob = (day.changesWritten - OTHER_MUTATIONS) / JOBS;
   assert.ok(mutationsPerJob <= 3, `${mutationsPerJob.toFixed(2)} mutations per job`);
   // The tasks also start soon.
-  const waitsS = [...day.firstStartS].map(([id, at]) => at - required(jobs[Number(id.slice(4))], id).atS);
+  const waitsS = [...day.firstStartSByJob].map(
+    ([id, at]) => at - required(jobs[Number(id.slice(4))], id).atS,
+  );
   waitsS.sort((a, b) => a - b);
   const medianS = required(waitsS[Math.floor(waitsS.length / 2)], 'median');
   assert.ok(medianS < 5, `the median wait is ${medianS} s`);
