--- a/test/bench/compare.ts
+++ b/test/bench/compare.ts
@@ -2,7 +2,7 @@
  * `npm run bench:compare -- CHECKOUT_A CHECKOUT_B [--pairs N]`: runs the benchmarks of two checkouts in alternation and
  * prints the medians of both in microseconds, their ratio and its range. A pair is one new process of each checkout.
  * After a warm-up the two processes run blocks in turn (A, B, A, B, ...), so that both are measured under the same load
- * of the machine. Each checkout runs its own version of the benchmarks, bundled with the options of the release build.
+ * from other processes. Each checkout runs its own version of the benchmarks, bundled with the options of the release build.
  * Exits with 2 if a checkout can't be measured.
  */
 import { fork, type ChildProcess } from 'node:child_process';
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -161,7 +161,7 @@
 
 // ---- terminal records ----
 
-test('terminal records', () => {
+test('the encoding of terminal records', () => {
   assert.equal(JSON.stringify(encodeTerminalRecord('done', 16)), '{"s":"done","n":16}');
   assert.equal(JSON.stringify(encodeTerminalRecord('cancelled', 0)), '{"s":"cancelled","n":0}');
 });
@@ -641,7 +641,7 @@
   );
 });
 
-test('the node in a leader record of another node is taken for the leader', async () => {
+test('the node that a leader record names becomes the known leader', async () => {
   const { service, run, election } = createElection({
     leader: '{"k":"leader","data":{"node":"hearth-1","term":41,"nonce":"nonce-9"},"stamp":121,"permit":76}',
   });
@@ -829,7 +829,7 @@
   );
 });
 
-test('the answers to users by the records of the job', async () => {
+test('answers to users for each stored record of a job, also a malformed one', async () => {
   const states = [
     await poll(createUserRequests({ 'o/req-000412': OPEN_RECORDS.gang }), 'req-000412'),
     await poll(createUserRequests({ 'o/req-000412': '{"s":"done","n":16}' }), 'req-000412'),
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -7,7 +7,7 @@
 export const SEED = 20261201;
 export const silent = pino({ level: 'silent' });
 
-/** Handler of errors that only a defect can cause: rethrows the error, which fails the test as an unhandled one. */
+/** Handles errors that only a defect can cause: rethrows the error, and the unhandled rejection fails the test. */
 export function failTest(error: unknown): never {
   throw error;
 }
@@ -37,7 +37,7 @@
   }
 }
 
-/** Creates a group of one small pending task that may run anywhere. */
+/** Creates a group of one small pending task that may run on on-demand machines of any type in any zone. */
 export function createTaskGroup(over: Partial<TaskGroup> = {}): TaskGroup {
   return {
     job: 0,
--- a/test/sim/relay.test.ts
+++ b/test/sim/relay.test.ts
@@ -75,7 +75,7 @@
 });
 
 test('a leader that loses contact only with its workers steps down, also while followers relay heartbeats', async () => {
-  // A leader that stays in office still receives heartbeats through the followers, but its direct commands to the
+  // A leader that keeps its leadership still receives heartbeats through the followers, but its direct commands to the
   // machines are lost: it terminates healthy machines because they don't acknowledge commands.
   for (let seed = 1; seed <= 4; seed++) {
     const jobs = [2, 2, 2, 30, 32, 34, 36].map((atS) => ({ atS, kind: 0, tasks: 4, runS: 20, cancelS: 0 }));
