--- a/test/golden/messages.test.ts
+++ b/test/golden/messages.test.ts
@@ -1,4 +1,4 @@
-/** The exact bodies of messages to the state service, to workers, to users and to the cloud. */
+/** The exact bodies of messages exchanged with the state service, workers, users and the cloud. */
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {
@@ -31,18 +31,18 @@
   type Command,
 } from '../../src/wire/worker.ts';
 
-/** What a decoder makes of a text, without the names of its fields: they are the service's own affair. */
-const values = (decoded: { ok: boolean; value?: unknown }): string =>
-  decoded.ok ? JSON.stringify(flat(decoded.value)) : 'malformed';
+/** A decoded value as JSON without field names, which are internal and may change. */
+const decodedValues = (decoded: { ok: boolean; value?: unknown }): string =>
+  decoded.ok ? JSON.stringify(withoutFieldNames(decoded.value)) : 'malformed';
 
-function flat(value: unknown): unknown {
-  if (Array.isArray(value)) return value.map(flat);
-  return typeof value === 'object' && value !== null ? Object.values(value).map(flat) : value;
+function withoutFieldNames(value: unknown): unknown {
+  if (Array.isArray(value)) return value.map(withoutFieldNames);
+  return typeof value === 'object' && value !== null ? Object.values(value).map(withoutFieldNames) : value;
 }
 
 // ---- the state service ----
 
-test('a transaction', () => {
+test('the body of a transaction', () => {
   assert.equal(
     encodeTransaction(
       [
@@ -61,7 +61,7 @@
   assert.equal(encodeTransaction([], []), '{"if":[],"then":[]}');
 });
 
-test('the request for a lease', () => {
+test('the body of a lease request', () => {
   assert.equal(encodeGrant(3000), '{"ttlMs":3000}');
 });
 
@@ -91,22 +91,26 @@
   );
 });
 
-test('answers of the state service', () => {
+test('answers of the state service are decoded', () => {
   const read = [
-    values(decodeItem('{"k":"leader","data":{"n":1},"stamp":120,"permit":77}')),
-    values(decodeItem('{"k":"term","data":null,"stamp":120}')),
-    values(decodeItem('{"k":"term","data":1,"stamp":-1}')),
-    values(decodeItem('{"k":"term"}')),
-    values(decodeItems('{"rows":[{"k":"o/1","data":1,"stamp":2,"permit":null}],"hasNext":true,"ledger":9}')),
-    values(decodeItems('{"rows":[],"hasNext":false}')),
-    values(decodeRevision('{"ledger":131}')),
-    values(decodeRevision('{"ledger":1.5}')),
-    values(decodeConflict('{"failed":["leader","fence"]}')),
-    values(decodeConflict('{"failed":"leader"}')),
-    values(decodeGrant('{"permit":77}')),
-    values(decodeGrant('{"permit":"77"}')),
-    values(decodeEvents('{"ledger":9,"log":[{"set":"o/1","data":[1],"stamp":8},{"drop":"o/2","stamp":9}]}')),
-    values(decodeEvents('{"ledger":9,"log":[{"stamp":8}]}')),
+    decodedValues(decodeItem('{"k":"leader","data":{"n":1},"stamp":120,"permit":77}')),
+    decodedValues(decodeItem('{"k":"term","data":null,"stamp":120}')),
+    decodedValues(decodeItem('{"k":"term","data":1,"stamp":-1}')),
+    decodedValues(decodeItem('{"k":"term"}')),
+    decodedValues(
+      decodeItems('{"rows":[{"k":"o/1","data":1,"stamp":2,"permit":null}],"hasNext":true,"ledger":9}'),
+    ),
+    decodedValues(decodeItems('{"rows":[],"hasNext":false}')),
+    decodedValues(decodeRevision('{"ledger":131}')),
+    decodedValues(decodeRevision('{"ledger":1.5}')),
+    decodedValues(decodeConflict('{"failed":["leader","fence"]}')),
+    decodedValues(decodeConflict('{"failed":"leader"}')),
+    decodedValues(decodeGrant('{"permit":77}')),
+    decodedValues(decodeGrant('{"permit":"77"}')),
+    decodedValues(
+      decodeEvents('{"ledger":9,"log":[{"set":"o/1","data":[1],"stamp":8},{"drop":"o/2","stamp":9}]}'),
+    ),
+    decodedValues(decodeEvents('{"ledger":9,"log":[{"stamp":8}]}')),
     String(isNoLease('{"error":"no such lease"}')),
     String(isNoLease('{"error":"other"}')),
   ];
@@ -142,7 +146,7 @@
   { op: 'forget', jobId: 'req-000413', task: 99_999, attempt: 1 },
 ];
 
-test('the answer to a report of a worker', () => {
+test('the response to a heartbeat of a worker', () => {
   assert.equal(
     encodeHeartbeatResponse(41, COMMANDS),
     '{"baton":41,"orders":[{"verb":"launch","loaf":"req-000412/3","try":2},{"verb":"stop","loaf":"req-000412/4","try":1,"windDownS":4.5},{"verb":"stop","loaf":"req-000412/5","try":9,"windDownS":0},{"verb":"clear","loaf":"req-000413/99999","try":1}]}',
@@ -150,7 +154,7 @@
   assert.equal(encodeHeartbeatResponse(41, []), '{"baton":41,"orders":[]}');
 });
 
-test('commands that are sent to a worker by themselves', () => {
+test('commands that are sent to a worker outside of a heartbeat response', () => {
   assert.equal(
     encodeCommands(41, 3, COMMANDS),
     '{"baton":41,"shift":3,"orders":[{"verb":"launch","loaf":"req-000412/3","try":2},{"verb":"stop","loaf":"req-000412/4","try":1,"windDownS":4.5},{"verb":"stop","loaf":"req-000412/5","try":9,"windDownS":0},{"verb":"clear","loaf":"req-000413/99999","try":1}]}',
@@ -158,52 +162,55 @@
   assert.equal(encodeCommands(41, 3, []), '{"baton":41,"shift":3,"orders":[]}');
 });
 
-test('the order to report to another controller', () => {
+test('the redirect of a worker to another controller', () => {
   assert.equal(encodeRedirect('hearth-2'), '{"foreman":"hearth-2"}');
   assert.equal(encodeRedirect(null), '{}');
 });
 
-const REPORT =
+const HEARTBEAT =
   '{"hearth":"n-000231","address":"10.1.0.232:9000","oven":"g8","yard":"a","borrowed":true,"shift":1,"tick":88,"baton":41,"warningS":12.5,"loaves":[{"loaf":"req-000412/3","try":2,"stage":"fetching"},{"loaf":"req-000412/4","try":1,"stage":"waiting","cause":null},{"loaf":"req-000412/5","try":1,"stage":"running","saved":true},{"loaf":"req-000412/6","try":1,"stage":"saving"}]}';
-const ended = (cause: string): string =>
-  REPORT.replace(/"loaves":.*$/, `"loaves":[{"loaf":"req-1/0","try":1,"stage":"ended","cause":${cause}}]}`);
+const heartbeatWithCause = (cause: string): string =>
+  HEARTBEAT.replace(
+    /"loaves":.*$/,
+    `"loaves":[{"loaf":"req-1/0","try":1,"stage":"ended","cause":${cause}}]}`,
+  );
 
-test('reports of workers', () => {
+test('heartbeats of workers are decoded', () => {
   assert.equal(
-    values(decodeHeartbeat(REPORT)),
+    decodedValues(decodeHeartbeat(HEARTBEAT)),
     '["n-000231","10.1.0.232:9000","g8","a",true,1,88,41,12.5,[["req-000412",3,2,"fetching",null,false],["req-000412",4,1,"waiting",null,false],["req-000412",5,1,"running",null,true],["req-000412",6,1,"saving",null,false]]]',
   );
   const bad = [
-    REPORT.replace('"tick":88', '"tick":9007199254740993'),
-    REPORT.replace('"shift":1,', ''),
-    REPORT.replace('10.1.0.232:9000', '10.1.0.232'),
-    REPORT.replace('n-000231', ''),
-    REPORT.replace('req-000412/3', 'req-000412'),
-    REPORT.replace('"stage":"saving"', '"stage":"resting"'),
+    HEARTBEAT.replace('"tick":88', '"tick":9007199254740993'),
+    HEARTBEAT.replace('"shift":1,', ''),
+    HEARTBEAT.replace('10.1.0.232:9000', '10.1.0.232'),
+    HEARTBEAT.replace('n-000231', ''),
+    HEARTBEAT.replace('req-000412/3', 'req-000412'),
+    HEARTBEAT.replace('"stage":"saving"', '"stage":"resting"'),
     '[]',
     '{',
   ];
-  for (const text of bad) assert.equal(values(decodeHeartbeat(text)), 'malformed', text);
+  for (const text of bad) assert.equal(decodedValues(decodeHeartbeat(text)), 'malformed', text);
 });
 
-test('causes for which tasks end, as far as they are told apart', () => {
+test('each known cause of the end of a task is decoded to a reason of its own', () => {
   const wireCauses = ['done', 'stopped', 'peers', 'incomplete', 'error', 'full', 'busy', 'no_such'];
-  const read = wireCauses.map((cause) => values(decodeHeartbeat(ended(`"${cause}"`))));
+  const read = wireCauses.map((cause) => decodedValues(decodeHeartbeat(heartbeatWithCause(`"${cause}"`))));
   assert.equal(new Set(read).size, wireCauses.length);
-  // A cause that isn't known, or is missing, is an error of the task.
-  const error = values(decodeHeartbeat(ended('"error"')));
-  assert.equal(values(decodeHeartbeat(ended('"novelty"'))), error);
-  assert.equal(values(decodeHeartbeat(ended('null'))), error);
+  // An unknown or missing cause counts as an error of the task.
+  const error = decodedValues(decodeHeartbeat(heartbeatWithCause('"error"')));
+  assert.equal(decodedValues(decodeHeartbeat(heartbeatWithCause('"novelty"'))), error);
+  assert.equal(decodedValues(decodeHeartbeat(heartbeatWithCause('null'))), error);
 });
 
 // ---- users and the cloud ----
 
-test('the state of a job as users are told it', () => {
-  const told = (['pending', 'running', 'done', 'cancelled'] as const).map((stage) =>
+test('the status of a job in answers to users', () => {
+  const statuses = (['pending', 'running', 'done', 'cancelled'] as const).map((stage) =>
     encodeStatus('req-000412', { stage, done: 3, running: 1 }),
   );
   assert.equal(
-    told.join('\n'),
+    statuses.join('\n'),
     [
       '{"uid":"req-000412","stage":"pending","done":3,"running":1}',
       '{"uid":"req-000412","stage":"running","done":3,"running":1}',
@@ -236,23 +243,23 @@
   );
 });
 
-test('answers of the cloud', () => {
+test('answers of the cloud are decoded', () => {
   const machine = '"uid":"n-1","oven":"g8","yard":"a","borrowed":false';
   const read = [
-    values(decodeRented('{"hearths":["n-1"]}')),
-    values(decodeRented('{"hearths":[1]}')),
-    values(
+    decodedValues(decodeRented('{"hearths":["n-1"]}')),
+    decodedValues(decodeRented('{"hearths":[1]}')),
+    decodedValues(
       decodeMachineList(
         `{"hearths":[{${machine},"address":"10.1.0.1:9000","stage":"starting","ageS":3},{${machine},"stage":"running"},{${machine},"stage":"failed"},{${machine},"stage":"novelty"}],"hasNext":true}`,
       ),
     ),
-    values(decodeMachineList('{"hearths":[{}],"hasNext":false}')),
-    values(
+    decodedValues(decodeMachineList('{"hearths":[{}],"hasNext":false}')),
+    decodedValues(
       decodeCatalog(
         '{"ovens":[{"name":"g8","cores":96,"accelerators":8,"memGb":768,"localGb":400,"pullGbPerS":0.5,"rate":24.5,"spotPrice":9.75,"startupS":90,"yards":["a","b"]},{"name":"c16","cores":16,"memGb":64,"rate":0.8,"yards":[]}]}',
       ),
     ),
-    values(decodeCatalog('{"ovens":[{"name":"g8"}]}')),
+    decodedValues(decodeCatalog('{"ovens":[{"name":"g8"}]}')),
     String(isNoCapacity('{"error":"no capacity"}')),
     String(isNoCapacity('{"error":"other"}')),
   ];
--- a/test/golden/state-service.ts
+++ b/test/golden/state-service.ts
@@ -1,3 +1,4 @@
+/** A state service for tests that works at the level of HTTP requests. */
 import type { HttpResult, HttpSender } from '../../src/http/client.ts';
 import { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { silent } from '../helpers.ts';
@@ -5,16 +6,16 @@
 /** How the scripted service answers one request: the HTTP status and the body. */
 export type ScriptedAnswer = readonly [status: number, body: string];
 
-/** The state service at the level of HTTP: every request is kept as one line of text, answers come from a script. */
+/** Records every HTTP request as one line of text and answers it from a script. */
 export class ScriptedStateService implements HttpSender {
   readonly requests: string[] = [];
 
-  constructor(private readonly answer: (request: string) => ScriptedAnswer) {}
+  constructor(private readonly script: (request: string) => ScriptedAnswer) {}
 
   send(method: string, path: string, body: string | null): Promise<HttpResult> {
     const request = body === null ? `${method} ${path}` : `${method} ${path} ${body}`;
     this.requests.push(request);
-    const [status, text] = this.answer(request);
+    const [status, text] = this.script(request);
     return Promise.resolve({ kind: 'answer', status, body: text, retryAfterS: null });
   }
 
@@ -22,12 +23,12 @@
     // No connections are held.
   }
 
-  /** Requests that change something, in order. */
-  changing(): string[] {
+  /** The requests other than reads, in order. */
+  mutatingRequests(): string[] {
     return this.requests.filter((request) => !request.startsWith('GET '));
   }
 
-  client(now: () => number): KeyValueStore {
+  createStore(now: () => number): KeyValueStore {
     return new KeyValueStore(() => this, { rps: 10_000, nodes: 1 }, now, silent);
   }
 }
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -1,6 +1,6 @@
 /**
  * The exact keys and values in the state service. A controller reads what earlier versions wrote, so these literals
- * were taken from running code and must never follow a change of it.
+ * are recorded output of the code and must never be adapted to a change of it.
  */
 import assert from 'node:assert/strict';
 import test from 'node:test';
@@ -33,13 +33,23 @@
 import { failTest, FakeClock, silent } from '../helpers.ts';
 import { ScriptedStateService } from './state-service.ts';
 
-/** Changes as they go to the state service. */
-const wire = (changes: readonly Mutation[]): string => encodeTransaction([], changes);
+/** Mutations as they are sent to the state service. */
+const encodeMutations = (changes: readonly Mutation[]): string => encodeTransaction([], changes);
 const item = (key: string, text: string): Item => ({ key, value: JSON.parse(text), version: 1, lease: null });
-/** Values that are no record of any kind. */
-const NO_RECORDS = ['null', 'true', '7', '"x"', '[]', '{}', '{"b":null}', '{"s":"gone"}', '{"at":"now"}'];
-
-test('the layout of keys', () => {
+/** Values that are invalid as records of every type. */
+const INVALID_RECORDS = [
+  'null',
+  'true',
+  '7',
+  '"x"',
+  '[]',
+  '{}',
+  '{"b":null}',
+  '{"s":"gone"}',
+  '{"at":"now"}',
+];
+
+test('the keys of all records', () => {
   const keys = [
     KEYS.leader,
     KEYS.term,
@@ -81,29 +91,29 @@
     '{"at":1800000000123,"job":{"uid":"req-000412","batch":"train","crew":"vision","shape":"ensemble","rank":"standard","loaves":16,"cores":8,"accelerators":1,"memGb":64,"ovens":["g8","g4","c16"],"yard":null,"samePlace":true,"apart":false,"borrowed":true,"recipe":"img-07","imageGb":6.2,"bakeS":240,"proofS":30,"coolS":4,"dueS":900}}',
 };
 
-const openRecordOf = (submission: string): string => {
+const openRecordText = (submission: string): string => {
   const job = decodeJob(submission);
   assert.ok(job.ok);
   return JSON.stringify(encodeOpenRecord(job.value, 1_800_000_000_123));
 };
 
 test('the open record of an ensemble', () => {
-  assert.equal(openRecordOf(GANG), OPEN_RECORDS.gang);
+  assert.equal(openRecordText(GANG), OPEN_RECORDS.gang);
 });
 
-test('the open record of an array whose fields came in another order', () => {
-  assert.equal(openRecordOf(ARRAY), OPEN_RECORDS.array);
+test('the open record of an array that was submitted with its fields in another order', () => {
+  assert.equal(openRecordText(ARRAY), OPEN_RECORDS.array);
 });
 
-test('the open record of a daemon: fields that were not sent stay away, unknown ones are dropped', () => {
-  assert.equal(openRecordOf(DAEMON), OPEN_RECORDS.daemon);
+test('the open record of a daemon: omitted fields stay omitted, unknown fields are dropped', () => {
+  assert.equal(openRecordText(DAEMON), OPEN_RECORDS.daemon);
 });
 
 test('the open record of a job with several machine types', () => {
-  assert.equal(openRecordOf(STANDARD), OPEN_RECORDS.standard);
+  assert.equal(openRecordText(STANDARD), OPEN_RECORDS.standard);
 });
 
-test('open records are read, and written again, as they were', () => {
+test('open records are decoded and encoded again unchanged', () => {
   for (const [name, text] of Object.entries(OPEN_RECORDS)) {
     const record = decodeOpenRecord(JSON.parse(text));
     assert.ok(record, name);
@@ -113,7 +123,7 @@
   }
 });
 
-test('an open record that no new submission may look like stays readable', () => {
+test('an open record is decoded even if it would be refused as a new submission', () => {
   const text = OPEN_RECORDS.gang
     .replace('"crew":"vision"', '"crew":""')
     .replace('"bakeS":240', '"bakeS":1e300')
@@ -126,8 +136,8 @@
   );
 });
 
-test('what is not an open record is answered with null', () => {
-  for (const text of NO_RECORDS) assert.equal(decodeOpenRecord(JSON.parse(text)), null, text);
+test('a malformed open record is decoded to null', () => {
+  for (const text of INVALID_RECORDS) assert.equal(decodeOpenRecord(JSON.parse(text)), null, text);
   const { gang } = OPEN_RECORDS;
   const damaged = [
     gang.replace('"at":1800000000123', '"at":null'),
@@ -149,14 +159,14 @@
   }
 });
 
-// ---- final records ----
+// ---- terminal records ----
 
-test('final records', () => {
+test('the encoding of terminal records', () => {
   assert.equal(JSON.stringify(encodeTerminalRecord('done', 16)), '{"s":"done","n":16}');
   assert.equal(JSON.stringify(encodeTerminalRecord('cancelled', 0)), '{"s":"cancelled","n":0}');
 });
 
-test('final records are read, and written again, as they were', () => {
+test('terminal records are decoded and encoded again unchanged', () => {
   for (const text of ['{"s":"done","n":16}', '{"s":"cancelled","n":0}', '{"s":"done","n":100000}']) {
     const status = decodeTerminalRecord(JSON.parse(text));
     assert.ok(status && (status.stage === 'done' || status.stage === 'cancelled'), text);
@@ -166,7 +176,7 @@
   }
 });
 
-test('what is not a final record is answered with null', () => {
+test('a malformed terminal record is decoded to null', () => {
   const damaged = [
     '{"s":"done"}',
     '{"n":3}',
@@ -175,11 +185,11 @@
     '{"s":"gone","n":1}',
     '{"s":"done","n":"1"}',
   ];
-  for (const text of [...NO_RECORDS, ...damaged])
+  for (const text of [...INVALID_RECORDS, ...damaged])
     assert.equal(decodeTerminalRecord(JSON.parse(text)), null, text);
 });
 
-test('the oldest final records move from their first place to the archive in one transaction', () => {
+test('the oldest terminal records move from the keys of the open records to the archive in one transaction', () => {
   const pushed: ReadyWrite[] = [];
   const archive = new Archive({
     maxUnarchived: 1,
@@ -195,14 +205,14 @@
   archive.add('req-000003', encodeTerminalRecord('done', 1));
   archive.tick();
   assert.equal(
-    pushed.map((job) => wire(job.mutations)).join('\n'),
+    pushed.map((job) => encodeMutations(job.mutations)).join('\n'),
     '{"if":[],"then":[{"drop":"o/req-000001"},{"set":"f/req-000001","data":{"s":"done","n":16}},{"drop":"o/req-000002"},{"set":"f/req-000002","data":{"s":"cancelled","n":3}}]}',
   );
 });
 
-// ---- starts of tasks ----
+// ---- start watermarks ----
 
-test('a page of start notes is read, and written again, as it was', () => {
+test('a page of start watermarks is decoded and encoded again unchanged', () => {
   for (const text of ['{"b":[]}', '{"b":[["req-000001",16],["req-000002",0],["req-000003",100000]]}']) {
     const entries = decodeStartWatermarks(JSON.parse(text));
     assert.ok(entries);
@@ -210,7 +220,7 @@
   }
 });
 
-test('what is not a page of start notes is answered with null', () => {
+test('a malformed page of start watermarks is decoded to null', () => {
   const damaged = [
     '{"b":"damaged"}',
     '{"b":[["req-000001"]]}',
@@ -222,50 +232,56 @@
     '{"b":[null]}',
     '{"b":{"req-000001":1}}',
   ];
-  for (const text of [...NO_RECORDS, ...damaged])
+  for (const text of [...INVALID_RECORDS, ...damaged])
     assert.equal(decodeStartWatermarks(JSON.parse(text)), null, text);
 });
 
-/** Start notes whose writes are taken in order when told to, each as the line of JSON that is sent. */
-function startNotes(pageBytes: number): { notes: StartWatermarks; sent: () => string } {
+/**
+ * Creates start watermarks. `commitQueued` commits the queued writes in order and returns each as the line of JSON that
+ * is sent.
+ */
+function createStartWatermarks(pageBytes: number): {
+  watermarks: StartWatermarks;
+  commitQueued: () => string;
+} {
   const queue: DeferredWrite[] = [];
-  const notes = new StartWatermarks({
+  const watermarks = new StartWatermarks({
     pageBytes,
     enqueueWrite: (job) => queue.push(job),
     enqueue: (command) => {
       command();
     },
   });
-  const sent = (): string =>
+  const commitQueued = (): string =>
     queue
       .splice(0)
       .map((job) => {
-        const line = wire([job.build()]);
+        const line = encodeMutations([job.build()]);
         job.onCommitted();
         return line;
       })
       .join('\n');
-  return { notes, sent };
+  return { watermarks, commitQueued };
 }
 
-test('the pages that start notes are written to, as jobs begin and end', () => {
-  const { notes, sent } = startNotes(80);
-  const told: string[] = [];
-  const note = (id: string, begun: number): void => {
-    notes.raise(id, begun, () => told.push(`${id} ${begun}`));
+test('the pages of start watermarks that are written as jobs start and end', () => {
+  const { watermarks, commitQueued } = createStartWatermarks(80);
+  const durable: string[] = [];
+  const raise = (id: string, watermark: number): void => {
+    watermarks.raise(id, watermark, () => durable.push(`${id} ${watermark}`));
   };
-  note('req-000001', 16);
-  note('req-000002', 4);
-  note('req-000003', 1);
-  note('req-000001', 8);
-  const lines = [sent()];
-  note('req-000001', 32);
-  lines.push(sent());
-  notes.drop('req-000002');
-  lines.push(sent());
-  note('req-000004', 2);
-  note('req-000005', 3);
-  lines.push(sent());
+  raise('req-000001', 16);
+  raise('req-000002', 4);
+  raise('req-000003', 1);
+  raise('req-000001', 8);
+  const lines = [commitQueued()];
+  raise('req-000001', 32);
+  lines.push(commitQueued());
+  watermarks.drop('req-000002');
+  lines.push(commitQueued());
+  raise('req-000004', 2);
+  raise('req-000005', 3);
+  lines.push(commitQueued());
   assert.equal(
     lines.join('\n--\n'),
     [
@@ -281,15 +297,15 @@
     ].join('\n'),
   );
   assert.equal(
-    told.join(', '),
+    durable.join(', '),
     'req-000001 16, req-000002 4, req-000001 8, req-000003 1, req-000001 32, req-000004 2, req-000005 3',
   );
 });
 
-test('start notes of an earlier leader: pages are read, and a damaged one is told of and never written again', () => {
-  const { notes, sent } = startNotes(80);
+test('start watermarks of an earlier leader are restored; a malformed page is reported and never overwritten', () => {
+  const { watermarks, commitQueued } = createStartWatermarks(80);
   const malformed: string[] = [];
-  const found = notes.restore(
+  const found = watermarks.restore(
     [
       item('b/0', '{"b":"damaged"}'),
       item('b/1', '{"b":[["req-000001",16],["req-000009",2]]}'),
@@ -304,9 +320,9 @@
   assert.equal(found.hasUnreadablePage, true);
   assert.equal(malformed.join(' '), 'b/0 b/x b/-1');
   for (const id of ['req-000001', 'req-000004', 'req-000005', 'req-000006', 'req-000007'])
-    notes.raise(id, 48, () => undefined);
+    watermarks.raise(id, 48, () => undefined);
   assert.equal(
-    sent(),
+    commitQueued(),
     [
       '{"if":[],"then":[{"set":"b/2","data":{"b":[["req-000001",48],["req-000004",48]]}}]}',
       '{"if":[],"then":[{"set":"b/1","data":{"b":[["req-000001",16],["req-000005",48]]}}]}',
@@ -315,7 +331,7 @@
   );
 });
 
-// ---- finished tasks ----
+// ---- completed tasks ----
 
 test('the completion chunks of a job', () => {
   const submission = decodeJob(ARRAY.replace('100000', '9000'));
@@ -356,8 +372,8 @@
   assert.equal(JSON.stringify(encodeChunk(bits)), '{"b":"BYA="}');
 });
 
-test('what is not a completion chunk is answered with null; damaged base64 is read as far as it goes', () => {
-  for (const text of [...NO_RECORDS, '{"b":7}', '{"b":[1]}']) {
+test('a malformed completion chunk is decoded to null; damaged base64 is decoded as far as possible', () => {
+  for (const text of [...INVALID_RECORDS, '{"b":7}', '{"b":[1]}']) {
     assert.equal(decodeChunk(JSON.parse(text)), null, text);
   }
   const damaged = decodeChunk({ b: 'BY!A' });
@@ -376,46 +392,48 @@
   spot: number % 3 === 0,
 });
 
-/** A machine registry whose writes are durable when told to, each as the line of JSON that is sent. */
-function registry(pageBytes: number): { machines: MachineRegistry; sent: () => string } {
+/**
+ * Creates a machine registry. `commitQueued` commits the queued writes and returns each as the line of JSON that is sent.
+ */
+function createRegistry(pageBytes: number): { machines: MachineRegistry; commitQueued: () => string } {
   const queue: string[] = [];
-  const confirm: (() => void)[] = [];
+  const onCommittedCallbacks: (() => void)[] = [];
   const machines = new MachineRegistry({
     pageBytes,
     enqueueWrite: (job, urgent) => {
-      queue.push(`${urgent ? 'urgent' : 'calm'} ${wire(job.mutations)}`);
-      confirm.push(job.onCommitted);
+      queue.push(`${urgent ? 'urgent' : 'calm'} ${encodeMutations(job.mutations)}`);
+      onCommittedCallbacks.push(job.onCommitted);
     },
     enqueue: (command) => {
       command();
     },
   });
-  const sent = (): string => {
-    for (const done of confirm.splice(0)) done();
+  const commitQueued = (): string => {
+    for (const onCommitted of onCommittedCallbacks.splice(0)) onCommitted();
     return queue.splice(0).join('\n');
   };
-  return { machines, sent };
+  return { machines, commitQueued };
 }
 
-test('the pages of the machine registry, as machines come and go', () => {
-  const { machines, sent } = registry(120);
+test('the pages of the machine registry that are written as machines are registered and removed', () => {
+  const { machines, commitQueued } = createRegistry(120);
   const lines: string[] = [];
   const flush = (calm: boolean): void => {
     machines.flush(calm);
-    lines.push(`-- ${sent()}`);
+    lines.push(`-- ${commitQueued()}`);
   };
-  const told: number[] = [];
-  const enroll = (number: number): void => {
-    machines.register(machine(number), () => told.push(number));
+  const durable: number[] = [];
+  const register = (number: number): void => {
+    machines.register(machine(number), () => durable.push(number));
   };
-  enroll(1);
+  register(1);
   flush(false);
-  for (const number of [2, 3, 4, 5, 6]) enroll(number);
+  for (const number of [2, 3, 4, 5, 6]) register(number);
   flush(false);
   machines.remove('n-000003');
   flush(false);
   flush(true);
-  enroll(7);
+  register(7);
   machines.remove('n-000001');
   machines.remove('n-000002');
   machines.remove('n-000009');
@@ -439,13 +457,13 @@
       'calm {"if":[],"then":[{"drop":"m/2"}]}',
     ].join('\n'),
   );
-  assert.equal(told.join(' '), '1 2 3 4 5 6 7');
+  assert.equal(durable.join(' '), '1 2 3 4 5 6 7');
 });
 
-test('the registry of an earlier leader is read, and written again, as it was', () => {
+test('the machine registry of an earlier leader is decoded and encoded again unchanged', () => {
   const page =
     '{"m":[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]}';
-  const { machines, sent } = registry(4000);
+  const { machines, commitQueued } = createRegistry(4000);
   const malformed: string[] = [];
   const found = machines.restore([item('m/0', page)], (key) => malformed.push(key));
   assert.equal(
@@ -456,18 +474,18 @@
   machines.register(machine(1), () => undefined);
   machines.flush(false);
   assert.equal(
-    sent(),
+    commitQueued(),
     'urgent {"if":[],"then":[{"set":"m/0","data":{"m":[["n-000002","10.1.0.2:9000","g8","a",false],["n-000001","10.1.0.1:9000","c16","b",true]]}}]}',
   );
 });
 
-test('a page of the registry that is not one is told of and leaves out its machines only', () => {
-  const { machines } = registry(4000);
+test('a malformed page of the machine registry is reported, and only its machines are left out', () => {
+  const { machines } = createRegistry(4000);
   const malformed: string[] = [];
   const entry = '["n-000001","10.1.0.1:9000","g8","a",false]';
   const found = machines.restore(
     [
-      ...NO_RECORDS.map((text, index) => item(`m/${index}`, text)),
+      ...INVALID_RECORDS.map((text, index) => item(`m/${index}`, text)),
       item('m/20', '{"m":7}'),
       item('m/21', '{"m":[["n-000001","10.1.0.1:9000","g8","a"]]}'),
       item('m/22', '{"m":[["n-000001","10.1.0.1:9000","g8","a",0]]}'),
@@ -496,13 +514,13 @@
   assert.equal(JSON.stringify(encodeStoredCatalog(new Catalog(types.value))), CATALOG);
 });
 
-test('the catalog record is read, and written again, as it was', () => {
+test('the catalog record is decoded and encoded again unchanged', () => {
   const catalog = decodeStoredCatalog(JSON.parse(CATALOG));
   assert.ok(catalog);
   assert.equal(JSON.stringify(encodeStoredCatalog(catalog)), CATALOG);
 });
 
-test('what is not a catalog is answered with null', () => {
+test('a malformed catalog record is decoded to null', () => {
   const text = CATALOG;
   const damaged = [
     '{"types":[]}',
@@ -510,28 +528,29 @@
     text.replace('"price":24.5,', ''),
     text.replace('"zones":[]', '"zones":[1]'),
   ];
-  for (const bad of [...NO_RECORDS, ...damaged]) {
+  for (const bad of [...INVALID_RECORDS, ...damaged]) {
     assert.notEqual(bad, text);
     assert.equal(decodeStoredCatalog(JSON.parse(bad)), null, bad);
   }
 });
 
-// ---- leadership, on the level of the requests that the state service gets ----
+// ---- leadership, at the level of requests to the state service ----
 
-interface Standing {
+interface ElectionHarness {
   election: Election;
   service: ScriptedStateService;
   pauses: number[];
-  /** Lets the election go on until it has won, or for so many pauses. */
+  /** Runs the election until it acquires leadership, or for the given number of pauses. */
   run: (pauses: number) => Promise<void>;
-  won: () => string;
+  /** Term, version and lease id of the acquired leadership; empty if there is none. */
+  acquiredLeadership: () => string;
 }
 
-/** An election on a scripted service: pauses are over at once, and move the clock. */
-function standing(records: Record<string, string>): Standing {
+/** An election on a scripted state service. Pauses end at once and advance the clock. */
+function createElection(records: Record<string, string>): ElectionHarness {
   const clock = new FakeClock();
   const pauses: number[] = [];
-  let left = 0;
+  let pausesLeft = 0;
   const won: string[] = [];
   const service = new ScriptedStateService((request) => {
     if (request.startsWith('GET /store/')) {
@@ -549,7 +568,7 @@
   const election = new Election({
     node: 'hearth-2',
     nonce: 'nonce-1',
-    store: service.client(() => clock.now()),
+    store: service.createStore(() => clock.now()),
     clock,
     random: () => 0.5,
     options: { ttlMs: leadership.lease_ms, renewMs: leadership.renew_ms },
@@ -558,8 +577,8 @@
     pause: (ms) => {
       pauses.push(ms);
       clock.at += ms;
-      left -= 1;
-      return left < 0 ? new Promise(() => undefined) : new Promise((resolve) => setImmediate(resolve));
+      pausesLeft -= 1;
+      return pausesLeft < 0 ? new Promise(() => undefined) : new Promise((resolve) => setImmediate(resolve));
     },
     requestPeerLeases: null,
     onFault: (error) => {
@@ -571,23 +590,23 @@
     service,
     pauses,
     run: async (count) => {
-      left = count;
+      pausesLeft = count;
       election.start();
-      while (left >= 0 && won.length === 0) await new Promise((resolve) => setImmediate(resolve));
+      while (pausesLeft >= 0 && won.length === 0) await new Promise((resolve) => setImmediate(resolve));
     },
-    won: () => won.join(' '),
+    acquiredLeadership: () => won.join(' '),
   };
 }
 
-test('the first leader and term records, and the renewal and end of the lease', async () => {
-  const { election, service, run, won } = standing({});
+test('the first leader and term records, and the renewal and revocation of the lease', async () => {
+  const { election, service, run, acquiredLeadership } = createElection({});
   await run(200);
-  assert.equal(won(), '1 131 77');
+  assert.equal(acquiredLeadership(), '1 131 77');
   await new Promise((resolve) => setImmediate(resolve));
   await new Promise((resolve) => setImmediate(resolve));
   election.stepDown('ends');
   assert.equal(
-    [...new Set(service.changing())].join('\n'),
+    [...new Set(service.mutatingRequests())].join('\n'),
     [
       'POST /grants {"ttlMs":3000}',
       'POST /multi {"if":[{"k":"leader","stamp":0},{"k":"term","stamp":0}],"then":[{"set":"leader","data":{"node":"hearth-2","term":1,"nonce":"nonce-1"},"permit":77},{"set":"term","data":{"n":1}}]}',
@@ -598,21 +617,21 @@
 });
 
 test('the leader and term records of a later term', async () => {
-  const { service, run, won, election } = standing({
+  const { service, run, acquiredLeadership, election } = createElection({
     term: '{"k":"term","data":{"n":41},"stamp":120,"permit":null}',
   });
   await run(500);
   election.stop();
-  assert.equal(won(), '42 131 77');
-  const transaction = service.changing().find((request) => request.startsWith('POST /multi'));
+  assert.equal(acquiredLeadership(), '42 131 77');
+  const transaction = service.mutatingRequests().find((request) => request.startsWith('POST /multi'));
   assert.equal(
     transaction,
     'POST /multi {"if":[{"k":"leader","stamp":0},{"k":"term","stamp":120}],"then":[{"set":"leader","data":{"node":"hearth-2","term":42,"nonce":"nonce-1"},"permit":77},{"set":"term","data":{"n":42}}]}',
   );
 });
 
-test('a leader record of this node from before: its lease is ended', async () => {
-  const { service, run } = standing({
+test('the lease of a leader record that this node wrote in an earlier run is revoked', async () => {
+  const { service, run } = createElection({
     leader: '{"k":"leader","data":{"node":"hearth-2","term":41,"nonce":"nonce-0"},"stamp":121,"permit":76}',
   });
   await run(1);
@@ -622,8 +641,8 @@
   );
 });
 
-test('a leader record of another node is followed', async () => {
-  const { service, run, election } = standing({
+test('the node that a leader record names becomes the known leader', async () => {
+  const { service, run, election } = createElection({
     leader: '{"k":"leader","data":{"node":"hearth-1","term":41,"nonce":"nonce-9"},"stamp":121,"permit":76}',
   });
   await run(1);
@@ -634,39 +653,41 @@
   );
 });
 
-test('beside a malformed leader record nobody stands', async () => {
+test('no election is attempted while the leader record is malformed', async () => {
   for (const data of [
-    ...NO_RECORDS,
+    ...INVALID_RECORDS,
     '{"node":"hearth-1","term":1.5,"nonce":"n"}',
     '{"node":"hearth-1","term":1}',
   ]) {
-    const { service, run, pauses, election } = standing({
+    const { service, run, pauses, election } = createElection({
       leader: `{"k":"leader","data":${data},"stamp":121,"permit":76}`,
     });
     await run(20);
-    assert.deepEqual(service.changing(), [], data);
+    assert.deepEqual(service.mutatingRequests(), [], data);
     assert.equal(election.leaderName(), null);
     assert.deepEqual([...new Set(pauses)], [500]);
   }
 });
 
-test('beside a malformed term record nobody stands', async () => {
-  for (const data of [...NO_RECORDS, '{"n":1.5}', '{"n":"1"}']) {
-    const { service, run, won } = standing({ term: `{"k":"term","data":${data},"stamp":120,"permit":null}` });
+test('no election is attempted while the term record is malformed', async () => {
+  for (const data of [...INVALID_RECORDS, '{"n":1.5}', '{"n":"1"}']) {
+    const { service, run, acquiredLeadership } = createElection({
+      term: `{"k":"term","data":${data},"stamp":120,"permit":null}`,
+    });
     await run(300);
-    assert.deepEqual(service.changing(), [], data);
-    assert.equal(won(), '');
+    assert.deepEqual(service.mutatingRequests(), [], data);
+    assert.equal(acquiredLeadership(), '');
   }
 });
 
-test('every write of a leader moves the fence, on the condition of the leader key and of the fence', async () => {
+test('every write of a leader updates the fence, on condition that the leader key and the fence are unchanged', async () => {
   const clock = new FakeClock();
   const now = (): number => clock.now();
   const service: ScriptedStateService = new ScriptedStateService(() => [
     200,
     `{"ledger":${200 + service.requests.length}}`,
   ]);
-  const client = service.client(now);
+  const client = service.createStore(now);
   const writer = new LeaderWriter({
     onError: failTest,
     host: {
@@ -719,10 +740,13 @@
   );
 });
 
-// ---- users' requests, on the same level ----
+// ---- users' requests, at the same level ----
 
-/** The users' side of a controller without a leader, on a service that holds these records. */
-function users(records: Record<string, string>): { requests: UserRequests; service: ScriptedStateService } {
+/** The user requests of a controller that knows no leader, on a state service with the given records. */
+function createUserRequests(records: Record<string, string>): {
+  requests: UserRequests;
+  service: ScriptedStateService;
+} {
   const clock = new FakeClock();
   const service = new ScriptedStateService((request) => {
     if (!request.startsWith('GET ')) return [200, '{"ledger":131}'];
@@ -731,7 +755,7 @@
     if (record === undefined) return [404, '{"ledger":130}'];
     return [200, `{"k":"${key}","data":${record},"stamp":125,"permit":null}`];
   });
-  const client = service.client(() => clock.now());
+  const client = service.createStore(() => clock.now());
   const types = decodeCatalog(CLOUD_CATALOG);
   assert.ok(types.ok);
   const catalog = new Catalog(types.value);
@@ -757,46 +781,43 @@
   return { requests, service };
 }
 
-interface Told {
+interface UserAnswer {
   status: number;
   body: string;
 }
-const show = (answer: Told): string => `${answer.status} ${answer.body}`;
-const submitted = ({ requests }: { requests: UserRequests }, body: string): Promise<string> =>
+const formatAnswer = (answer: UserAnswer): string => `${answer.status} ${answer.body}`;
+const submit = ({ requests }: { requests: UserRequests }, body: string): Promise<string> =>
   new Promise((resolve) => {
     requests.submit(body, (answer) => {
-      resolve(show(answer));
+      resolve(formatAnswer(answer));
     });
   });
-const polled = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
+const poll = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
   new Promise((resolve) => {
     requests.poll(id, (answer) => {
-      resolve(show(answer));
+      resolve(formatAnswer(answer));
     });
   });
-const cancelled = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
+const cancel = ({ requests }: { requests: UserRequests }, id: string): Promise<string> =>
   new Promise((resolve) => {
     requests.cancel(id, (answer) => {
-      resolve(show(answer));
+      resolve(formatAnswer(answer));
     });
   });
 
-test('a submission writes the open record where no record of the job is', async () => {
-  const side = users({});
-  assert.equal(
-    await submitted(side, GANG),
-    '201 {"uid":"req-000412","stage":"pending","done":0,"running":0}',
-  );
+test('a submission writes the open record on condition that the job has no record', async () => {
+  const side = createUserRequests({});
+  assert.equal(await submit(side, GANG), '201 {"uid":"req-000412","stage":"pending","done":0,"running":0}');
   assert.equal(
     side.service.requests.join('\n'),
     'POST /multi {"if":[{"k":"o/req-000412","stamp":0},{"k":"f/req-000412","stamp":0}],"then":[{"set":"o/req-000412","data":{"at":1800000000000,"job":{"uid":"req-000412","batch":"train","crew":"vision","shape":"ensemble","rank":"urgent","loaves":16,"cores":8,"accelerators":1,"memGb":64,"ovens":["g8"],"yard":null,"samePlace":true,"apart":false,"borrowed":true,"recipe":"img-07","imageGb":6.2,"bakeS":240,"proofS":30,"coolS":4,"dueS":900}}}]}',
   );
 });
 
-test('a cancellation without a leader writes the final record in the place of the open one', async () => {
-  const side = users({ 'o/req-000412': OPEN_RECORDS.gang });
+test('a cancellation without a leader replaces the open record by the terminal record', async () => {
+  const side = createUserRequests({ 'o/req-000412': OPEN_RECORDS.gang });
   assert.equal(
-    await cancelled(side, 'req-000412'),
+    await cancel(side, 'req-000412'),
     '200 {"uid":"req-000412","stage":"aborted","done":0,"running":0}',
   );
   assert.equal(
@@ -808,16 +829,17 @@
   );
 });
 
-test('what is told of a job by its records', async () => {
+test('answers to users for each stored record of a job, also a malformed one', async () => {
   const states = [
-    await polled(users({ 'o/req-000412': OPEN_RECORDS.gang }), 'req-000412'),
-    await polled(users({ 'o/req-000412': '{"s":"done","n":16}' }), 'req-000412'),
-    await polled(users({ 'f/req-000412': '{"s":"cancelled","n":3}' }), 'req-000412'),
-    await polled(users({}), 'req-000412'),
-    // Unreadable in the first place: some job it is. Unreadable in the archive: nothing can be said.
-    await polled(users({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
-    await polled(users({ 'f/req-000412': '{"at":7}' }), 'req-000412'),
-    await cancelled(users({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
+    await poll(createUserRequests({ 'o/req-000412': OPEN_RECORDS.gang }), 'req-000412'),
+    await poll(createUserRequests({ 'o/req-000412': '{"s":"done","n":16}' }), 'req-000412'),
+    await poll(createUserRequests({ 'f/req-000412': '{"s":"cancelled","n":3}' }), 'req-000412'),
+    await poll(createUserRequests({}), 'req-000412'),
+    // A malformed record under the open key still shows that the job exists. With a malformed archived record, its
+    // outcome is unknown.
+    await poll(createUserRequests({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
+    await poll(createUserRequests({ 'f/req-000412': '{"at":7}' }), 'req-000412'),
+    await cancel(createUserRequests({ 'o/req-000412': '{"at":7}' }), 'req-000412'),
   ];
   assert.equal(
     states.join('\n'),
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -1,3 +1,4 @@
+/** Values and fakes that the tests of several folders share. */
 import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../src/scheduling/snapshot.ts';
 import type { MachineTypeInfo } from '../src/wire/cloud.ts';
 import type { Clock } from '../src/base/clock.ts';
@@ -6,12 +7,12 @@
 export const SEED = 20261201;
 export const silent = pino({ level: 'silent' });
 
-/** Handles errors that only a defect can bring about: as an unhandled rejection it fails the test. */
+/** Handles errors that only a defect can cause: rethrows the error, and the unhandled rejection fails the test. */
 export function failTest(error: unknown): never {
   throw error;
 }
 
-/** A machine type. */
+/** A machine type with accelerators that is offered in two zones. */
 export const BIG: MachineTypeInfo = {
   name: 'big',
   cpus: 8,
@@ -25,6 +26,7 @@
   zones: ['a', 'b'],
 };
 
+/** A clock that a test sets through `at`. */
 export class FakeClock implements Clock {
   at = 0;
   now(): number {
@@ -35,7 +37,8 @@
   }
 }
 
-export function group(over: Partial<TaskGroup> = {}): TaskGroup {
+/** Creates a group of one small pending task that may run on on-demand machines of any type in any zone. */
+export function createTaskGroup(over: Partial<TaskGroup> = {}): TaskGroup {
   return {
     job: 0,
     team: 0,
@@ -70,7 +73,8 @@
   };
 }
 
-export function machine(over: Partial<MachineSnapshot> = {}): MachineSnapshot {
+/** Creates an idle machine that has booted. */
+export function createMachineSnapshot(over: Partial<MachineSnapshot> = {}): MachineSnapshot {
   return {
     machine: 0,
     type: 0,
@@ -90,7 +94,8 @@
   };
 }
 
-export function option(over: Partial<ProvisioningOption> = {}): ProvisioningOption {
+/** Creates an option to provision on-demand machines. */
+export function createProvisioningOption(over: Partial<ProvisioningOption> = {}): ProvisioningOption {
   return {
     option: 0,
     type: 0,
