--- a/src/base/batch-pacer.ts
+++ b/src/base/batch-pacer.ts
@@ -7,21 +7,21 @@
 
 /** Keeps a least time between two batches: the first is sent at once, what comes meanwhile waits for the next. */
 export class BatchPacer {
-  private sentAt = -Infinity;
+  private lastSentAt = -Infinity;
   private scheduled = false;
 
   constructor(
     private readonly timers: PacerTimers,
     /** Least time between two batches, in milliseconds. */
-    private readonly gapMs: number,
-    /** Sends what waits, and calls `noteSent` for a batch. */
+    private readonly minIntervalMs: number,
+    /** Sends what waits, and calls `recordBatch` for each batch. */
     private readonly flush: () => void,
   ) {}
 
   /** Something waits: flushes now or when the gap is over. */
   schedule(): void {
     if (this.scheduled) return;
-    const waitMs = this.sentAt + this.gapMs - this.timers.now();
+    const waitMs = this.lastSentAt + this.minIntervalMs - this.timers.now();
     if (waitMs <= 0) {
       this.flush();
       return;
@@ -34,7 +34,7 @@
   }
 
   /** A batch is sent now; the gap counts from here. */
-  noteSent(): void {
-    this.sentAt = this.timers.now();
+  recordBatch(): void {
+    this.lastSentAt = this.timers.now();
   }
 }
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -13,4 +13,4 @@
 };
 
 /** The steady clocks of two machines drift apart by up to 0.05%; twice that is kept as a margin. */
-export const DRIFT = 0.001;
+export const MAX_CLOCK_DRIFT_RATIO = 0.001;
--- a/src/base/command-queue.ts
+++ b/src/base/command-queue.ts
@@ -9,7 +9,7 @@
 
   constructor(
     private readonly afterBatch: () => void,
-    private readonly onFault: (error: unknown) => void,
+    private readonly onError: (error: unknown) => void,
     private readonly defer: (run: () => void) => void = setImmediate,
   ) {}
 
@@ -33,13 +33,13 @@
       try {
         command();
       } catch (error) {
-        this.onFault(error);
+        this.onError(error);
       }
     }
     try {
       this.afterBatch();
     } catch (error) {
-      this.onFault(error);
+      this.onError(error);
     }
     this.running = false;
   }
--- a/src/base/event-loop-lag.ts
+++ b/src/base/event-loop-lag.ts
@@ -1,5 +1,5 @@
 /** Weight of the newest measurement. */
-const NEWEST = 0.3;
+const NEWEST_SAMPLE_WEIGHT = 0.3;
 
 /**
  * How late a process gets to its work: how much longer than planned the pauses of a regular tick take. On a
@@ -7,28 +7,28 @@
  * again, and a leader that went on with its rounds once lost all its workers' leases that way.
  */
 export class EventLoopLag {
-  private lastAt: number;
-  private mean = 0;
+  private lastTickAt: number;
+  private meanDelayMs = 0;
 
   constructor(
-    private readonly tickMs: number,
+    private readonly tickIntervalMs: number,
     private readonly now: () => number,
   ) {
-    this.lastAt = now();
+    this.lastTickAt = now();
   }
 
-  tick(): void {
-    const at = this.now();
-    const late = Math.max(0, at - this.lastAt - this.tickMs);
-    this.lastAt = at;
-    this.mean += (late - this.mean) * NEWEST;
+  recordTick(): void {
+    const now = this.now();
+    const delayMs = Math.max(0, now - this.lastTickAt - this.tickIntervalMs);
+    this.lastTickAt = now;
+    this.meanDelayMs += (delayMs - this.meanDelayMs) * NEWEST_SAMPLE_WEIGHT;
   }
 
   /** What has not ticked yet counts, too. */
-  ms(): number {
-    return Math.max(this.mean, this.now() - this.lastAt - this.tickMs);
+  currentMs(): number {
+    return Math.max(this.meanDelayMs, this.now() - this.lastTickAt - this.tickIntervalMs);
   }
 }
 
 /** From here on a node is busy: what can wait, waits. */
-export const BUSY_MS = 300;
+export const MIN_BUSY_LAG_MS = 300;
--- a/src/base/name-index.ts
+++ b/src/base/name-index.ts
@@ -1,25 +1,25 @@
 /** Maps names to dense indices at the boundary; inside, everything is an index. */
 export class NameIndex {
-  private readonly byName = new Map<string, number>();
+  private readonly indexByName = new Map<string, number>();
   private readonly names: string[] = [];
 
-  constructor(initial: readonly string[] = []) {
-    for (const name of initial) this.index(name);
+  constructor(initialNames: readonly string[] = []) {
+    for (const name of initialNames) this.getOrAddIndex(name);
   }
 
-  index(name: string): number {
-    let found = this.byName.get(name);
-    if (found === undefined) {
-      found = this.names.length;
-      this.byName.set(name, found);
+  getOrAddIndex(name: string): number {
+    let index = this.indexByName.get(name);
+    if (index === undefined) {
+      index = this.names.length;
+      this.indexByName.set(name, index);
       this.names.push(name);
     }
-    return found;
+    return index;
   }
 
   /** The index of a name already known, or -1. */
-  find(name: string): number {
-    return this.byName.get(name) ?? -1;
+  findIndex(name: string): number {
+    return this.indexByName.get(name) ?? -1;
   }
 
   name(index: number): string {
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,18 +1,18 @@
 import { Command, CommanderError } from 'commander';
 import { ConfigError, loadSettings } from '../config/settings.ts';
-import { loadOptions, TUNABLES } from '../config/options.ts';
+import { loadOptions, OPTION_SPECS } from '../config/options.ts';
 import { errorText } from '../base/error-text.ts';
-import { makeLogger } from '../base/log.ts';
+import { createLogger } from '../base/log.ts';
 import { Service } from '../controller/service.ts';
 
 const VERSION = '0.1.0';
 
-const EXIT_CONFIG = 2;
+const EXIT_CODE_FAILURE = 2;
 
 async function serve(args: { config: string; options?: string }): Promise<void> {
   const settings = loadSettings(args.config);
   const options = await loadOptions(args.options);
-  const log = makeLogger(process.env.LOG_LEVEL, settings.host_name);
+  const log = createLogger(process.env.LOG_LEVEL, settings.host_name);
   // The owner catches faults of its commands; whatever else slips through is logged rather than ending all work.
   process.on('uncaughtException', (error) => {
     log.error({ error: errorText(error) }, 'uncaught');
@@ -24,10 +24,12 @@
 }
 
 function printOptions(): void {
-  for (const [section, fields] of Object.entries(TUNABLES)) {
+  for (const [section, fields] of Object.entries(OPTION_SPECS)) {
     process.stdout.write(`${section}:\n`);
-    for (const [name, t] of Object.entries(fields)) {
-      process.stdout.write(`  ${name}: ${t.value} # ${t.unit}, ${t.min} to ${t.max}: ${t.about}\n`);
+    for (const [name, spec] of Object.entries(fields)) {
+      process.stdout.write(
+        `  ${name}: ${spec.defaultValue} # ${spec.unit}, ${spec.min} to ${spec.max}: ${spec.description}\n`,
+      );
     }
   }
 }
@@ -70,11 +72,11 @@
   } catch (error) {
     if (error instanceof CommanderError) {
       // The library has printed its own message, or the help that was asked for.
-      process.exitCode = error.exitCode === 0 ? 0 : EXIT_CONFIG;
+      process.exitCode = error.exitCode === 0 ? 0 : EXIT_CODE_FAILURE;
       return;
     }
     if (error instanceof ConfigError) process.stderr.write(`pondwick: ${error.message}\n`);
     else process.stderr.write(`pondwick: ${(error as Error).message}\n`);
-    process.exitCode = EXIT_CONFIG;
+    process.exitCode = EXIT_CODE_FAILURE;
   }
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -7,13 +7,13 @@
 /** Below these no service is possible: calls to the state service, the cloud and the others need this many sockets. */
 const socketCount = z.int().check(z.minimum(32));
 /** A job's end, its final state and the writer's fence go together. */
-const changesAtOnce = z.int().check(z.minimum(3));
+const transactionOps = z.int().check(z.minimum(3));
 /** A job's record must fit a value. */
-const valueSize = z.number().check(z.minimum(1));
-const rate = z.number().check(z.minimum(1));
+const valueSizeKb = z.number().check(z.minimum(1));
+const requestRate = z.number().check(z.minimum(1));
 
 /** The platform's settings file, as DEPLOY shows it. Unknown fields are ignored. */
-const schema = z.object({
+const settingsSchema = z.object({
   host_name: z.string().check(z.minLength(1)),
   location: z.string(),
   serve_on: hostPort,
@@ -51,7 +51,12 @@
       gang_peer_s: amount,
       cancel_s: amount,
     }),
-    state: z.object({ rps: rate, write_rps: rate, value_kb: valueSize, txn_ops: changesAtOnce }),
+    state: z.object({
+      rps: requestRate,
+      write_rps: requestRate,
+      value_kb: valueSizeKb,
+      txn_ops: transactionOps,
+    }),
     cloud: z.object({ rps: amount, list_lag_s: amount }),
     limits: z.object({ cores: amount, memory_mb: amount, sockets: socketCount }),
     clock_off_ms: amount,
@@ -59,23 +64,23 @@
 });
 
 /** The platform's settings file. `_s` and `_ms` fields are seconds and milliseconds, `rps` requests a second. */
-export type Settings = z.infer<typeof schema>;
+export type Settings = z.infer<typeof settingsSchema>;
 
 /** A settings or options file that can't be used; the message names the field. */
 export class ConfigError extends Error {}
 
 /** Checks a value against a schema and names the first field that is off. */
-export function check<T>(kind: string, type: z.ZodMiniType<T>, value: unknown): T {
-  const result = type.safeParse(value);
+export function validate<T>(kind: string, schema: z.ZodMiniType<T>, value: unknown): T {
+  const result = schema.safeParse(value);
   if (result.success) return result.data;
   const issue = result.error.issues[0];
   const field = issue ? issue.path.join('.') : '';
-  const extra = issue?.code === 'unrecognized_keys' ? `: ${issue.keys.join(', ')}` : '';
-  throw new ConfigError(`${kind}: ${field || '(top)'}: ${issue?.message ?? 'invalid'}${extra}`);
+  const unrecognizedKeys = issue?.code === 'unrecognized_keys' ? `: ${issue.keys.join(', ')}` : '';
+  throw new ConfigError(`${kind}: ${field || '(top)'}: ${issue?.message ?? 'invalid'}${unrecognizedKeys}`);
 }
 
 /** Reads a text file. Throws a ConfigError with the system's error code if that fails; `kind` names the file's role. */
-export function readText(kind: string, path: string): string {
+export function readTextFile(kind: string, path: string): string {
   try {
     return readFileSync(path, 'utf8');
   } catch (error) {
@@ -91,10 +96,10 @@
   } catch {
     throw new ConfigError('settings: (top): not valid JSON');
   }
-  return check('settings', schema, raw);
+  return validate('settings', settingsSchema, raw);
 }
 
 /** Reads and checks a settings file. Throws a ConfigError if it is unreadable or invalid. */
 export function loadSettings(path: string): Settings {
-  return parseSettings(readText('settings', path));
+  return parseSettings(readTextFile('settings', path));
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -5,7 +5,7 @@
 import { NameIndex } from '../base/name-index.ts';
 import type { Options } from '../config/options.ts';
 import type { Settings } from '../config/settings.ts';
-import { failure, type Answer, type HttpRequest, type Reply } from '../http/server.ts';
+import { errorResponse, type HttpResponse, type HttpRequest, type Reply } from '../http/server.ts';
 import { TerminalStateCache } from '../jobs/terminal-state-cache.ts';
 import type { Leader } from '../leader/leader.ts';
 import type { Election } from '../leadership/election.ts';
@@ -131,7 +131,7 @@
       teams,
       zones,
       heartbeatGraceMs,
-      lagMs: () => this.lag.ms(),
+      lagMs: () => this.lag.currentMs(),
       directHeartbeatAgeMs: () => this.heartbeats.directHeartbeatAgeMs(),
     };
   }
@@ -143,7 +143,7 @@
     this.catalog.load().catch(onError);
     this.stopTimers.push(
       platform.timers.every(TICK_INTERVAL_MS, () => {
-        this.lag.tick();
+        this.lag.recordTick();
         this.commands.enqueue(() => undefined);
       }),
       platform.timers.every(CONNECTIVITY_CHECK_INTERVAL_MS, () => {
@@ -224,8 +224,8 @@
    * Healthy while this controller isn't isolated and the catalog is loaded, without which jobs can't be admitted. An
    * outage that affects all controllers alike doesn't make this one unhealthy.
    */
-  private checkHealth(): Answer {
-    if (!this.catalog.current) return failure(503, 'starting', 1);
-    return this.connectivity.isIsolated() ? failure(503, 'cut off', 1) : { status: 200, body: '{}' };
+  private checkHealth(): HttpResponse {
+    if (!this.catalog.current) return errorResponse(503, 'starting', 1);
+    return this.connectivity.isIsolated() ? errorResponse(503, 'cut off', 1) : { status: 200, body: '{}' };
   }
 }
--- a/src/controller/heartbeat-handler.ts
+++ b/src/controller/heartbeat-handler.ts
@@ -1,8 +1,8 @@
 /** Answers the heartbeats of workers, on the leader and on followers. */
-import { CountedLog, type Logger } from '../base/log.ts';
+import { RateLimitedLog, type Logger } from '../base/log.ts';
 import type { Options } from '../config/options.ts';
 import type { Settings } from '../config/settings.ts';
-import { failure, type Answer, type Reply } from '../http/server.ts';
+import { errorResponse, type HttpResponse, type Reply } from '../http/server.ts';
 import type { Leader } from '../leader/leader.ts';
 import type { HeartbeatResponse, PeerReply, PeerRequest } from '../peers/messages.ts';
 import { HeartbeatRelay, type RelayReply } from '../relay/heartbeat-relay.ts';
@@ -53,7 +53,7 @@
 /** On the leader, answers heartbeats with commands; on a follower, relays them or redirects workers to the leader. */
 export class HeartbeatHandler {
   private readonly decoder: HeartbeatDecoder;
-  private readonly malformedLog: CountedLog;
+  private readonly malformedLog: RateLimitedLog;
   private readonly relay: HeartbeatRelay;
   private readonly balancer: WorkerBalancer;
   private readonly heartbeatIntervalMs: number;
@@ -69,7 +69,7 @@
     const { workers, limits } = settings;
     this.heartbeatIntervalMs = workers.report_s * 1000;
     this.decoder = new HeartbeatDecoder(now, this.heartbeatIntervalMs * DECODER_CACHE_INTERVALS);
-    this.malformedLog = new CountedLog(now, MIN_MALFORMED_LOG_GAP_MS);
+    this.malformedLog = new RateLimitedLog(now, MIN_MALFORMED_LOG_GAP_MS);
     this.relay = new HeartbeatRelay({
       now,
       after: deps.after,
@@ -178,11 +178,11 @@
   }
 
   /** The leader's answer to a heartbeat; valid only at the time of the call, so it must not be kept. */
-  private answer(leader: HeartbeatLeader, heartbeat: string): Answer {
+  private answer(leader: HeartbeatLeader, heartbeat: string): HttpResponse {
     const decoded = this.decoder.decode(heartbeat);
     if (!decoded.ok) {
       this.logMalformed(decoded.reason);
-      return failure(400, decoded.reason);
+      return errorResponse(400, decoded.reason);
     }
     // During the grace after the lease has expired, answers keep running tasks alive without starting new ones.
     // After the grace, workers are redirected.
@@ -193,13 +193,13 @@
   }
 
   private logMalformed(reason: string): void {
-    this.malformedLog.note((unlogged) => {
+    this.malformedLog.logOrCount((unlogged) => {
       this.deps.log.error({ reason, unlogged }, 'malformed heartbeat');
     });
   }
 }
 
 /** Redirects a worker to a controller; null: to any controller that the worker knows. */
-function redirect(controller: string | null): Answer {
+function redirect(controller: string | null): HttpResponse {
   return { status: 421, body: encodeRedirect(controller) };
 }
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -1,7 +1,7 @@
 /** Factories of the parts of a controller. */
 import { CloudClient } from '../fleet/cloud.ts';
 import { AdaptiveLimit, USER_SLACK_MS, WORKER_SLACK_MS } from '../http/limit.ts';
-import type { Answer } from '../http/server.ts';
+import type { HttpResponse } from '../http/server.ts';
 import type { TeamQuota } from '../jobs/admission.ts';
 import { PollBatcher } from '../jobs/poll-batches.ts';
 import { SharedReads } from '../jobs/shared-reads.ts';
@@ -245,7 +245,7 @@
 export interface RouteTargets {
   userRequests: UserRequests;
   heartbeats: HeartbeatHandler;
-  health: () => Answer;
+  health: () => HttpResponse;
 }
 
 /** Creates the routes from HTTP requests to the parts that answer them. */
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -1,7 +1,7 @@
 /** Routes HTTP requests to the parts that answer them. */
 import type { Options } from '../config/options.ts';
 import type { AdaptiveLimit } from '../http/limit.ts';
-import { failure, type Answer, type HttpRequest, type Reply } from '../http/server.ts';
+import { errorResponse, type HttpResponse, type HttpRequest, type Reply } from '../http/server.ts';
 import type { UserRequests } from '../jobs/user-requests.ts';
 
 /** The path that workers send heartbeats to. */
@@ -31,7 +31,7 @@
   /** Adds a command to the controller's command queue. */
   enqueue: (command: () => void) => void;
   onHeartbeat: (body: string, reply: Reply) => void;
-  health: () => Answer;
+  health: () => HttpResponse;
 }
 
 /** The kind of client that sends requests to this path. */
@@ -77,7 +77,7 @@
       else reply(methodNotAllowed('POST'));
       return;
     }
-    reply(failure(404, 'no such path'));
+    reply(errorResponse(404, 'no such path'));
   }
 
   private handleHeartbeat(body: string, reply: Reply): void {
@@ -112,7 +112,7 @@
       reply(known);
       return;
     }
-    const release = pollLimit.enter();
+    const release = pollLimit.acquire();
     if (!release) {
       reply(this.tooManyRequests());
       return;
@@ -125,7 +125,7 @@
 
   /** Runs a request as a command of the queue; it counts against the limit until it is answered. */
   private enqueueLimited(limit: AdaptiveLimit, reply: Reply, run: (reply: Reply) => void): void {
-    const release = limit.enter();
+    const release = limit.acquire();
     if (!release) {
       reply(this.tooManyRequests());
       return;
@@ -138,11 +138,11 @@
     });
   }
 
-  private tooManyRequests(): Answer {
-    return failure(503, 'too many requests in progress', this.deps.options.users.retry_after_s);
+  private tooManyRequests(): HttpResponse {
+    return errorResponse(503, 'too many requests in progress', this.deps.options.users.retry_after_s);
   }
 }
 
-function methodNotAllowed(method: 'GET' | 'POST'): Answer {
-  return failure(405, `use ${method}`);
+function methodNotAllowed(method: 'GET' | 'POST'): HttpResponse {
+  return errorResponse(405, `use ${method}`);
 }
--- a/src/controller/service.ts
+++ b/src/controller/service.ts
@@ -2,8 +2,8 @@
 import { randomUUID } from 'node:crypto';
 import type { Options } from '../config/options.ts';
 import type { Settings } from '../config/settings.ts';
-import { HttpClient, passingAgent } from '../http/client.ts';
-import { socketShares } from '../http/connections.ts';
+import { HttpClient, createNonPersistentAgent } from '../http/client.ts';
+import { computeSocketLimits } from '../http/connections.ts';
 import { HttpServer } from '../http/server.ts';
 import { PeerRpc } from '../peers/peer-rpc.ts';
 import { systemClock } from '../base/clock.ts';
@@ -42,7 +42,7 @@
 const socketNetwork: Network = {
   connect: (address, sockets) => new HttpClient(address, sockets),
   shared: (sockets) => {
-    const agent = passingAgent(sockets);
+    const agent = createNonPersistentAgent(sockets);
     return {
       connect: (address) => new HttpClient(address, agent),
       close: () => {
@@ -78,13 +78,13 @@
         this.controller.handle(request, reply);
       },
       {
-        sockets: socketShares(limits.sockets, maxCommandConnections(limits.sockets)),
-        idleMs: {
+        socketLimits: computeSocketLimits(limits.sockets, maxCommandConnections(limits.sockets)),
+        idleTimeoutMs: {
           unknown: UNKNOWN_IDLE_TIMEOUT_MS,
           user: USER_IDLE_TIMEOUT_MS,
           worker: workers.report_s * 1000 * WORKER_IDLE_TIMEOUT_INTERVALS,
         },
-        peerOf,
+        clientKindOf: peerOf,
         heartbeatPath: HEARTBEAT_PATH,
         now: () => systemClock.now(),
       },
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -12,7 +12,7 @@
 
   /** Index of a machine type, or -1 if it is unknown. */
   typeIndex(name: string): number {
-    return this.names.find(name);
+    return this.names.findIndex(name);
   }
 }
 
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -16,7 +16,7 @@
   /** Whether the rate limit allows a request now, with `reserve` more requests left after it. */
   canRequest(reserve?: number): boolean;
   catalog(): Promise<wire.MachineTypeInfo[] | null>;
-  rent(request: wire.RentRequest): Promise<RentResult>;
+  rent(request: wire.ProvisioningRequest): Promise<RentResult>;
   /** Resolves to true once the machines and everything on them are gone. */
   terminate(names: readonly string[]): Promise<boolean>;
   /** All machines listed, or null if any page could not be read. */
@@ -56,14 +56,14 @@
     return null;
   }
 
-  async rent(request: wire.RentRequest): Promise<RentResult> {
+  async rent(request: wire.ProvisioningRequest): Promise<RentResult> {
     this.budget.take();
-    const body = wire.encodeRent(request);
-    const result = await this.http.send('POST', wire.CLOUD_PATHS.rent, body, TIMEOUT_MS);
+    const body = wire.encodeProvisioningRequest(request);
+    const result = await this.http.send('POST', wire.CLOUD_PATHS.provision, body, TIMEOUT_MS);
     if (result.kind === 'silent') return result.sent ? { kind: 'unknown' } : { kind: 'refused' };
     if (result.status === 503 && wire.isNoCapacity(result.body)) return { kind: 'no_capacity' };
     if (result.status !== 200) return { kind: 'refused' };
-    const decoded = wire.decodeRented(result.body);
+    const decoded = wire.decodeProvisionedMachines(result.body);
     if (decoded.ok) return { kind: 'rented', names: decoded.value };
     this.log.error({ reason: decoded.reason }, 'cloud: malformed answer to a rental');
     return { kind: 'unknown' };
@@ -73,8 +73,8 @@
     this.budget.take();
     const result = await this.http.send(
       'POST',
-      wire.CLOUD_PATHS.returned,
-      wire.encodeTermination(names),
+      wire.CLOUD_PATHS.terminate,
+      wire.encodeTerminationRequest(names),
       TIMEOUT_MS,
     );
     return result.kind === 'answer' && result.status === 200;
--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -91,7 +91,7 @@
           this.options.push({
             index: this.options.length,
             type: typeIndex,
-            zone: deps.zones.index(zone),
+            zone: deps.zones.getOrAddIndex(zone),
             spot,
             notBefore: -Infinity,
             refusals: 0,
@@ -399,7 +399,7 @@
             this.terminate([machine.name]);
           } else if (!known.has(machine.name) && !this.bootingByName.has(machine.name)) {
             const type = this.deps.catalog.typeIndex(machine.machineType);
-            const place = { type, zone: this.deps.zones.index(machine.zone), spot: machine.spot };
+            const place = { type, zone: this.deps.zones.getOrAddIndex(machine.zone), spot: machine.spot };
             unexpected.push(machine.name);
             if (type < 0) this.terminate([machine.name]);
             else
--- a/src/http/backlog.ts
+++ b/src/http/backlog.ts
@@ -6,31 +6,31 @@
  * its worker had given up waiting and stood at the end of the queue again, and so all leases ran out.
  */
 export class Backlog {
-  private since: number | null = null;
-  private turns = 0;
-  private lastTurn = -1;
+  private nonEmptySince: number | null = null;
+  private iteration = 0;
+  private lastAcceptIteration = -1;
 
   constructor(
     private readonly now: () => number,
     /** Whoever has waited this long is most likely gone. */
-    private readonly staleMs: number,
+    private readonly staleAfterMs: number,
   ) {}
 
   /** A connection was accepted. True: the queue is stale and should be dropped, so that who waits asks anew. */
-  accepted(): boolean {
-    this.lastTurn = this.turns;
+  recordAccept(): boolean {
+    this.lastAcceptIteration = this.iteration;
     const now = this.now();
-    this.since ??= now;
-    if (now - this.since < this.staleMs) return false;
-    this.since = null;
+    this.nonEmptySince ??= now;
+    if (now - this.nonEmptySince < this.staleAfterMs) return false;
+    this.nonEmptySince = null;
     return true;
   }
 
   /** A turn of the event loop is over. False: it brought no connection, so the queue was empty. */
-  turnOver(): boolean {
-    const brought = this.lastTurn === this.turns;
-    this.turns += 1;
-    if (!brought) this.since = null;
-    return brought;
+  endIteration(): boolean {
+    const hasAccepted = this.lastAcceptIteration === this.iteration;
+    this.iteration += 1;
+    if (!hasAccepted) this.nonEmptySince = null;
+    return hasAccepted;
   }
 }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -14,19 +14,19 @@
     path: string,
     body: string | null,
     timeoutMs: number,
-    wanted?: () => boolean,
+    shouldSend?: () => boolean,
   ): Promise<HttpResult>;
   close(): void;
 }
 
-const MAX_BODY = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
 /** An agent that keeps up to `socketsPerHost` connections to each host open between requests. */
-function keepAliveAgent(socketsPerHost: number): Agent {
+function createKeepAliveAgent(maxSocketsPerHost: number): Agent {
   return new Agent({
     keepAlive: true,
-    maxSockets: socketsPerHost,
-    maxFreeSockets: socketsPerHost,
+    maxSockets: maxSocketsPerHost,
+    maxFreeSockets: maxSocketsPerHost,
     noDelay: true,
   });
 }
@@ -35,8 +35,8 @@
  * For many hosts that are each spoken to seldom. Kept connections to hundreds of workers, beside those that the
  * workers keep to us, once used up the sockets of the node, and new workers could not connect any more.
  */
-export function passingAgent(socketsInAll: number): Agent {
-  return new Agent({ keepAlive: false, maxTotalSockets: socketsInAll, noDelay: true });
+export function createNonPersistentAgent(maxTotalSockets: number): Agent {
+  return new Agent({ keepAlive: false, maxTotalSockets, noDelay: true });
 }
 
 /** One host and port, with kept-alive connections. Requests are never repeated here. */
@@ -46,11 +46,12 @@
   private readonly port: number;
 
   /** `via`: an agent shared with other hosts, or how many sockets this host may have. */
-  constructor(address: string, via: Agent | number) {
+  constructor(address: string, agentOrMaxSockets: Agent | number) {
     const colon = address.lastIndexOf(':');
     this.host = address.slice(0, colon);
     this.port = Number(address.slice(colon + 1));
-    this.agent = typeof via === 'number' ? keepAliveAgent(via) : via;
+    this.agent =
+      typeof agentOrMaxSockets === 'number' ? createKeepAliveAgent(agentOrMaxSockets) : agentOrMaxSockets;
   }
 
   /**
@@ -62,11 +63,11 @@
     path: string,
     body: string | null,
     timeoutMs: number,
-    wanted?: () => boolean,
+    shouldSend?: () => boolean,
   ): Promise<HttpResult> {
     return new Promise((resolve) => {
       let settled = false;
-      const finish = (result: HttpResult): void => {
+      const settle = (result: HttpResult): void => {
         if (settled) return;
         settled = true;
         clearTimeout(timer);
@@ -84,45 +85,45 @@
           let size = 0;
           res.on('data', (chunk: Buffer) => {
             size += chunk.length;
-            if (size > MAX_BODY) req.destroy(new Error('answer too long'));
+            if (size > MAX_RESPONSE_BYTES) req.destroy(new Error('answer too long'));
             else chunks.push(chunk);
           });
           res.on('end', () => {
-            const after = Number(res.headers['retry-after']);
-            finish({
+            const retryAfterS = Number(res.headers['retry-after']);
+            settle({
               kind: 'answer',
               status: res.statusCode ?? 0,
               body: Buffer.concat(chunks).toString('utf8'),
-              retryAfterS: Number.isFinite(after) && after > 0 ? after : null,
+              retryAfterS: Number.isFinite(retryAfterS) && retryAfterS > 0 ? retryAfterS : null,
             });
           });
           res.on('error', (error: Error) => {
-            finish({ kind: 'silent', sent: true, reason: error.message });
+            settle({ kind: 'silent', sent: true, reason: error.message });
           });
         },
       );
       const timer = setTimeout(() => {
-        finish({ kind: 'silent', sent: true, reason: 'no answer in time' });
+        settle({ kind: 'silent', sent: true, reason: 'no answer in time' });
         req.destroy();
       }, timeoutMs);
       req.on('error', (error: NodeJS.ErrnoException) => {
-        finish({ kind: 'silent', sent: error.code !== 'ECONNREFUSED', reason: error.code ?? error.message });
+        settle({ kind: 'silent', sent: error.code !== 'ECONNREFUSED', reason: error.code ?? error.message });
       });
-      const write = (): void => {
+      const writeRequest = (): void => {
         if (settled) return;
-        if (wanted?.() === false) {
-          finish({ kind: 'silent', sent: false, reason: 'no longer wanted' });
+        if (shouldSend?.() === false) {
+          settle({ kind: 'silent', sent: false, reason: 'no longer wanted' });
           req.destroy();
           return;
         }
         if (body !== null) req.write(body);
         req.end();
       };
-      if (!wanted) write();
+      if (!shouldSend) writeRequest();
       else
         req.once('socket', (socket) => {
-          if (socket.connecting) socket.once('connect', write);
-          else write();
+          if (socket.connecting) socket.once('connect', writeRequest);
+          else writeRequest();
         });
     });
   }
--- a/src/http/connections.ts
+++ b/src/http/connections.ts
@@ -1,31 +1,31 @@
 /** Who is at the other end, as far as the requests tell. */
-export type Peer = 'unknown' | 'worker' | 'user';
+export type ClientKind = 'unknown' | 'worker' | 'user';
 
 /** How many of a node's sockets the HTTP server may use. */
-export interface SocketShares {
+export interface SocketLimits {
   /** Connections that may be open to the HTTP server at once; more are closed as they come. */
-  inbound: number;
+  maxInbound: number;
   /** From so many on, a worker's connection is closed with the answer to its report. */
-  crowded: number;
+  workerKeepAliveLimit: number;
 }
 
 /** Sockets that the node needs beside the HTTP server and commands to workers: state service, cloud, other controllers. */
-const OTHERS = 64;
-const CROWDED = 0.85;
+const OTHER_OUTBOUND_SOCKETS = 64;
+const WORKER_KEEP_ALIVE_RATIO = 0.85;
 
 /**
  * Shares out a node's sockets. The HTTP server has what outgoing calls leave. Workers keep theirs open while there is
  * room; the last part is for users, health checks and workers that connect anew.
  */
-export function socketShares(sockets: number, orders: number): SocketShares {
-  const inbound = Math.max(Math.ceil(sockets / 2), sockets - orders - OTHERS);
-  return { inbound, crowded: Math.floor(inbound * CROWDED) };
+export function computeSocketLimits(sockets: number, maxCommandConnections: number): SocketLimits {
+  const inbound = Math.max(Math.ceil(sockets / 2), sockets - maxCommandConnections - OTHER_OUTBOUND_SOCKETS);
+  return { maxInbound: inbound, workerKeepAliveLimit: Math.floor(inbound * WORKER_KEEP_ALIVE_RATIO) };
 }
 
-interface Entry {
-  peer: Peer;
-  lastAt: number;
-  inProgress: number;
+interface ConnectionState {
+  clientKind: ClientKind;
+  lastActiveAt: number;
+  requestsInProgress: number;
 }
 
 /**
@@ -34,55 +34,56 @@
  * and health checks could not connect any more.
  */
 export class Connections<K> {
-  private readonly entries = new Map<K, Entry>();
+  private readonly entries = new Map<K, ConnectionState>();
 
   constructor(
     private readonly now: () => number,
-    private readonly crowdedAt: number,
+    private readonly workerKeepAliveLimit: number,
     /** How long each kind may be silent between two requests. */
-    private readonly idleMs: Record<Peer, number>,
+    private readonly idleTimeoutMs: Record<ClientKind, number>,
   ) {}
 
-  get open(): number {
+  get count(): number {
     return this.entries.size;
   }
 
-  all(): K[] {
+  keys(): K[] {
     return [...this.entries.keys()];
   }
 
-  opened(key: K): void {
-    this.entries.set(key, { peer: 'unknown', lastAt: this.now(), inProgress: 0 });
+  add(key: K): void {
+    this.entries.set(key, { clientKind: 'unknown', lastActiveAt: this.now(), requestsInProgress: 0 });
   }
 
-  closed(key: K): void {
+  remove(key: K): void {
     this.entries.delete(key);
   }
 
   /** A request has arrived in full. */
-  asked(key: K, peer: Peer): void {
+  startRequest(key: K, clientKind: ClientKind): void {
     const entry = this.entries.get(key);
     if (!entry) return;
-    entry.peer = peer;
-    entry.lastAt = this.now();
-    entry.inProgress += 1;
+    entry.clientKind = clientKind;
+    entry.lastActiveAt = this.now();
+    entry.requestsInProgress += 1;
   }
 
   /** Its answer leaves; false: the connection is to be closed with it. */
-  answered(key: K): boolean {
+  finishRequest(key: K): boolean {
     const entry = this.entries.get(key);
     if (!entry) return true;
-    entry.inProgress -= 1;
-    entry.lastAt = this.now();
-    return entry.peer !== 'worker' || this.entries.size < this.crowdedAt;
+    entry.requestsInProgress -= 1;
+    entry.lastActiveAt = this.now();
+    return entry.clientKind !== 'worker' || this.entries.size < this.workerKeepAliveLimit;
   }
 
   /** Connections that have been silent for longer than their kind ever is. */
-  idle(): K[] {
+  findIdle(): K[] {
     const now = this.now();
-    const found: K[] = [];
-    for (const [key, e] of this.entries)
-      if (e.inProgress === 0 && now - e.lastAt > this.idleMs[e.peer]) found.push(key);
-    return found;
+    const idleKeys: K[] = [];
+    for (const [key, entry] of this.entries)
+      if (entry.requestsInProgress === 0 && now - entry.lastActiveAt > this.idleTimeoutMs[entry.clientKind])
+        idleKeys.push(key);
+    return idleKeys;
   }
 }
--- a/src/http/heartbeat-connection.ts
+++ b/src/http/heartbeat-connection.ts
@@ -1,20 +1,20 @@
 import type { Socket } from 'node:net';
 import { parseHeartbeatHead, type HeartbeatHead } from './heartbeat-head.ts';
 import { encodeResponse } from './response.ts';
-import type { Answer } from './server.ts';
+import type { HttpResponse } from './server.ts';
 
 /** A request head this long is no report. */
-const MAX_HEAD = 8 * 1024;
+const MAX_HEAD_BYTES = 8 * 1024;
 const HEAD_END = Buffer.from('\r\n\r\n');
 
 /** What the server does about the events of a report connection. */
 export interface HeartbeatConnectionEvents {
   /** A report has arrived in full. The reply may be called once, at any time. */
-  received(body: string, reply: (answer: Answer) => void): void;
+  onHeartbeat(body: string, reply: (answer: HttpResponse) => void): void;
   /** Something else has arrived: the connection goes to the general HTTP server, with these bytes first. */
-  handOver(unread: Buffer): void;
+  onHandOver(unread: Buffer): void;
   /** An answer leaves. False: the connection is to be closed with it. */
-  answering(): boolean;
+  onResponse(): boolean;
 }
 
 /**
@@ -26,12 +26,12 @@
 export class HeartbeatConnection {
   private unread: Buffer | null = null;
   private head: HeartbeatHead | null = null;
-  private answerDue = false;
+  private responseDue = false;
   private readonly onData = (chunk: Buffer): void => {
-    this.receive(chunk);
+    this.onBytes(chunk);
   };
   private readonly onEnd = (): void => {
-    if (!this.answerDue) this.socket.end();
+    if (!this.responseDue) this.socket.end();
   };
   private readonly onError = (): void => {
     this.socket.destroy();
@@ -40,7 +40,7 @@
   constructor(
     private readonly socket: Socket,
     private readonly path: string,
-    private readonly maxBody: number,
+    private readonly maxBodyBytes: number,
     private readonly events: HeartbeatConnectionEvents,
   ) {
     socket.on('data', this.onData);
@@ -49,44 +49,44 @@
   }
 
   /** Takes in bytes that the other side has sent. */
-  receive(chunk: Buffer): void {
+  onBytes(chunk: Buffer): void {
     this.unread = this.unread === null ? chunk : Buffer.concat([this.unread, chunk]);
-    this.read();
+    this.readHeartbeat();
   }
 
   /** Reads the next report, if it is complete and the one before is answered. */
-  private read(): void {
+  private readHeartbeat(): void {
     const { unread } = this;
-    if (unread === null || this.answerDue) return;
+    if (unread === null || this.responseDue) return;
     const headEnd = unread.indexOf(HEAD_END);
     if (headEnd < 0) {
-      if (unread.length > MAX_HEAD || !mayBecomeHeartbeat(unread, this.path)) this.leave();
+      if (unread.length > MAX_HEAD_BYTES || !isHeartbeatPrefix(unread, this.path)) this.handOver();
       return;
     }
     const text = unread.toString('latin1', 0, headEnd);
     // The head of a worker's reports changes only with the length of the body.
     if (this.head?.text !== text) this.head = parseHeartbeatHead(text, this.path);
-    if (this.head === null || this.head.contentLength > this.maxBody) {
-      this.leave();
+    if (this.head === null || this.head.contentLength > this.maxBodyBytes) {
+      this.handOver();
       return;
     }
     const bodyStart = headEnd + HEAD_END.length;
     const bodyEnd = bodyStart + this.head.contentLength;
     if (unread.length < bodyEnd) return;
     this.unread = unread.length === bodyEnd ? null : unread.subarray(bodyEnd);
-    this.answerDue = true;
+    this.responseDue = true;
     let answered = false;
-    this.events.received(unread.toString('utf8', bodyStart, bodyEnd), (answer) => {
+    this.events.onHeartbeat(unread.toString('utf8', bodyStart, bodyEnd), (answer) => {
       // A second answer must not go to the next report.
       if (answered) return;
       answered = true;
-      this.answer(answer);
+      this.sendResponse(answer);
     });
   }
 
-  private answer(answer: Answer): void {
-    this.answerDue = false;
-    const keepOpen = this.events.answering() && !this.socket.readableEnded;
+  private sendResponse(answer: HttpResponse): void {
+    this.responseDue = false;
+    const keepOpen = this.events.onResponse() && !this.socket.readableEnded;
     if (this.socket.destroyed) return;
     const bytes = encodeResponse(answer, keepOpen);
     if (!keepOpen) {
@@ -94,21 +94,21 @@
       return;
     }
     this.socket.write(bytes);
-    this.read();
+    this.readHeartbeat();
   }
 
-  private leave(): void {
+  private handOver(): void {
     this.socket.off('data', this.onData);
     this.socket.off('end', this.onEnd);
     this.socket.off('error', this.onError);
     const unread = this.unread ?? Buffer.alloc(0);
     this.unread = null;
-    this.events.handOver(unread);
+    this.events.onHandOver(unread);
   }
 }
 
 /** True while the bytes are the beginning of a request for the path. */
-export function mayBecomeHeartbeat(bytes: Buffer, path: string): boolean {
+export function isHeartbeatPrefix(bytes: Buffer, path: string): boolean {
   const start = `POST ${path} HTTP/1.1\r\n`;
   const length = Math.min(start.length, bytes.length);
   return bytes.toString('latin1', 0, length) === start.slice(0, length);
--- a/src/http/limit.ts
+++ b/src/http/limit.ts
@@ -15,9 +15,9 @@
 export class AdaptiveLimit {
   private limit: number;
   private inProgress = 0;
-  private best = Infinity;
+  private bestMs = Infinity;
   private bestAt = 0;
-  private lastCut = 0;
+  private lastDecreaseAt = 0;
 
   constructor(
     private readonly now: () => number,
@@ -33,35 +33,35 @@
   }
 
   /** Takes a place, or returns null when the request must be refused. The result is called when it is over. */
-  enter(): (() => void) | null {
+  acquire(): (() => void) | null {
     if (this.inProgress >= Math.floor(this.limit)) return null;
     this.inProgress += 1;
-    const started = this.now();
-    let left = false;
+    const startedAt = this.now();
+    let released = false;
     return () => {
-      if (left) return;
-      left = true;
-      this.leave(this.now() - started);
+      if (released) return;
+      released = true;
+      this.release(this.now() - startedAt);
     };
   }
 
-  private leave(tookMs: number): void {
+  private release(durationMs: number): void {
     const { min, max, slackMs, tolerance } = this.options;
     const now = this.now();
-    const busy = this.inProgress >= this.limit / 2;
+    const nearLimit = this.inProgress >= this.limit / 2;
     this.inProgress -= 1;
     // The best time is forgotten after a while, so that a lasting change of the machine is learnt.
-    if (tookMs < this.best || now - this.bestAt > 30_000) {
-      this.best = tookMs;
+    if (durationMs < this.bestMs || now - this.bestAt > 30_000) {
+      this.bestMs = durationMs;
       this.bestAt = now;
     }
-    if (tookMs > this.best * tolerance + slackMs) {
+    if (durationMs > this.bestMs * tolerance + slackMs) {
       // One cut per congestion: requests that were in progress together are one piece of news.
-      if (now - this.lastCut > tookMs) {
+      if (now - this.lastDecreaseAt > durationMs) {
         this.limit = Math.max(min, this.limit * 0.8);
-        this.lastCut = now;
+        this.lastDecreaseAt = now;
       }
-    } else if (busy) {
+    } else if (nearLimit) {
       this.limit = Math.min(max, this.limit + 1 / Math.max(1, this.limit));
     }
   }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,19 +1,19 @@
 import { createServer as createHttp, type IncomingMessage, type ServerResponse } from 'node:http';
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { Backlog } from './backlog.ts';
-import { Connections, type Peer, type SocketShares } from './connections.ts';
-import { mayBecomeHeartbeat, HeartbeatConnection } from './heartbeat-connection.ts';
-import { answerHeaders } from './response.ts';
+import { Connections, type ClientKind, type SocketLimits } from './connections.ts';
+import { isHeartbeatPrefix, HeartbeatConnection } from './heartbeat-connection.ts';
+import { createResponseHeaders } from './response.ts';
 
-const MAX_BODY = 64 * 1024;
+const MAX_BODY_BYTES = 64 * 1024;
 /** Workers wait for 4 s and users for 2 or 5 s: who has waited this long to be accepted will soon have given up. */
-const STALE_MS = 3000;
-const QUEUE = 511;
-const IDLE_CHECK_MS = 2000;
-const RELISTEN_MS = 50;
+const STALE_BACKLOG_MS = 3000;
+const LISTEN_BACKLOG = 511;
+const IDLE_CHECK_INTERVAL_MS = 2000;
+const RELISTEN_DELAY_MS = 50;
 
 /** An HTTP response with a JSON body. `retryAfterS`: seconds for the `Retry-After` header. */
-export interface Answer {
+export interface HttpResponse {
   status: number;
   body: string;
   retryAfterS?: number;
@@ -27,29 +27,29 @@
 }
 
 /** Sends the response of one request. Calls after the first do nothing. */
-export type Reply = (answer: Answer) => void;
+export type Reply = (answer: HttpResponse) => void;
 /** Serves a request; the reply may be called at any later time. */
 export type Handler = (request: HttpRequest, reply: Reply) => void;
 
 /** The response to a request that failed: the reason as `{"error": reason}`. */
-export function failure(status: number, reason: string, retryAfterS?: number): Answer {
+export function errorResponse(status: number, reason: string, retryAfterS?: number): HttpResponse {
   const body = JSON.stringify({ error: reason });
   return retryAfterS === undefined ? { status, body } : { status, body, retryAfterS };
 }
 
-function write(res: ServerResponse, answer: Answer): void {
+function writeResponse(res: ServerResponse, response: HttpResponse): void {
   if (res.destroyed || res.headersSent) return;
-  res.writeHead(answer.status, answerHeaders(answer));
-  res.end(answer.body);
+  res.writeHead(response.status, createResponseHeaders(response));
+  res.end(response.body);
 }
 
 /** Limits of the HTTP server, and what it must know of the paths it serves. */
 export interface HttpServerOptions {
-  sockets: SocketShares;
+  socketLimits: SocketLimits;
   /** How long a connection of each kind may be silent. */
-  idleMs: Record<Peer, number>;
+  idleTimeoutMs: Record<ClientKind, number>;
   /** Who sends requests to this path. */
-  peerOf(path: string): Peer;
+  clientKindOf(path: string): ClientKind;
   /** Where workers report: served without Node's `http` in its plain form. */
   heartbeatPath: string;
   /** Steady milliseconds. */
@@ -67,21 +67,25 @@
   private readonly acceptor: Server;
   private readonly connections: Connections<Socket>;
   private readonly backlog: Backlog;
-  private watching = false;
+  private watchingBacklog = false;
   private stopped = false;
-  private at: { host: string; port: number } = { host: '', port: 0 };
-  private idleTimer: NodeJS.Timeout | undefined;
+  private listenAddress: { host: string; port: number } = { host: '', port: 0 };
+  private idleCheckTimer: NodeJS.Timeout | undefined;
 
   constructor(
     private readonly handler: Handler,
     private readonly options: HttpServerOptions,
   ) {
-    this.connections = new Connections(options.now, options.sockets.crowded, options.idleMs);
-    this.backlog = new Backlog(options.now, STALE_MS);
+    this.connections = new Connections(
+      options.now,
+      options.socketLimits.workerKeepAliveLimit,
+      options.idleTimeoutMs,
+    );
+    this.backlog = new Backlog(options.now, STALE_BACKLOG_MS);
     this.acceptor = createServer({ noDelay: true, allowHalfOpen: true }, (socket) => {
       this.accept(socket);
     });
-    this.acceptor.maxConnections = options.sockets.inbound;
+    this.acceptor.maxConnections = options.socketLimits.maxInbound;
   }
 
   listen(address: string): Promise<void> {
@@ -89,54 +93,54 @@
     const host = address.slice(0, colon);
     return new Promise((resolve, reject) => {
       this.acceptor.once('error', reject);
-      this.acceptor.listen(Number(address.slice(colon + 1)), host, QUEUE, () => {
-        this.at = { host, port: (this.acceptor.address() as AddressInfo).port };
+      this.acceptor.listen(Number(address.slice(colon + 1)), host, LISTEN_BACKLOG, () => {
+        this.listenAddress = { host, port: (this.acceptor.address() as AddressInfo).port };
         this.acceptor.off('error', reject);
-        // Only dropQueue listens again; what is in its way is gone a moment later.
+        // Only dropBacklog listens again; what is in its way is gone a moment later.
         this.acceptor.on('error', () => {
           setTimeout(() => {
             this.relisten();
-          }, RELISTEN_MS);
+          }, RELISTEN_DELAY_MS);
         });
         resolve();
       });
-      this.idleTimer = setInterval(() => {
-        for (const socket of this.connections.idle()) socket.destroy();
-      }, IDLE_CHECK_MS);
+      this.idleCheckTimer = setInterval(() => {
+        for (const socket of this.connections.findIdle()) socket.destroy();
+      }, IDLE_CHECK_INTERVAL_MS);
     });
   }
 
   get address(): string {
-    return `${this.at.host}:${this.at.port}`;
+    return `${this.listenAddress.host}:${this.listenAddress.port}`;
   }
 
   /** Open connections. */
-  get open(): number {
-    return this.connections.open;
+  get connectionCount(): number {
+    return this.connections.count;
   }
 
   close(): void {
     this.stopped = true;
-    clearInterval(this.idleTimer);
+    clearInterval(this.idleCheckTimer);
     this.acceptor.close();
-    for (const socket of this.connections.all()) socket.destroy();
+    for (const socket of this.connections.keys()) socket.destroy();
   }
 
   private accept(socket: Socket): void {
-    this.connections.opened(socket);
+    this.connections.add(socket);
     socket.once('close', () => {
-      this.connections.closed(socket);
+      this.connections.remove(socket);
     });
     this.awaitFirstBytes(socket);
-    if (this.backlog.accepted()) this.dropQueue();
-    this.watchTurns();
+    if (this.backlog.recordAccept()) this.dropBacklog();
+    this.watchBacklog();
   }
 
   /** The first bytes of a connection tell by whom it is served. */
   private awaitFirstBytes(socket: Socket): void {
     const onData = (first: Buffer): void => {
       socket.off('end', onEnd);
-      if (mayBecomeHeartbeat(first, this.options.heartbeatPath)) this.serveHeartbeats(socket, first);
+      if (isHeartbeatPrefix(first, this.options.heartbeatPath)) this.serveHeartbeats(socket, first);
       else this.serveWithHttp(socket, first);
     };
     const onEnd = (): void => {
@@ -157,38 +161,39 @@
   }
 
   private serveHeartbeats(socket: Socket, first: Buffer): void {
-    const connection = new HeartbeatConnection(socket, this.options.heartbeatPath, MAX_BODY, {
-      received: (body, reply) => {
-        this.connections.asked(socket, 'worker');
+    const connection = new HeartbeatConnection(socket, this.options.heartbeatPath, MAX_BODY_BYTES, {
+      onHeartbeat: (body, reply) => {
+        this.connections.startRequest(socket, 'worker');
         this.handler({ method: 'POST', path: this.options.heartbeatPath, body }, reply);
       },
-      handOver: (unread) => {
+      onHandOver: (unread) => {
         this.serveWithHttp(socket, unread);
       },
-      answering: () => this.connections.answered(socket),
+      onResponse: () => this.connections.finishRequest(socket),
     });
-    connection.receive(first);
+    connection.onBytes(first);
   }
 
   /** Looks at the turns of the event loop for as long as each brings a connection. */
-  private watchTurns(): void {
-    if (this.watching) return;
-    this.watching = true;
-    const turn = (): void => {
-      if (this.backlog.turnOver()) setImmediate(turn);
-      else this.watching = false;
+  private watchBacklog(): void {
+    if (this.watchingBacklog) return;
+    this.watchingBacklog = true;
+    const checkIteration = (): void => {
+      if (this.backlog.endIteration()) setImmediate(checkIteration);
+      else this.watchingBacklog = false;
     };
-    setImmediate(turn);
+    setImmediate(checkIteration);
   }
 
   /** Closes what waits to be accepted, so that nobody waits in vain; open connections stay. */
-  private dropQueue(): void {
+  private dropBacklog(): void {
     this.acceptor.close();
     this.relisten();
   }
 
   private relisten(): void {
-    if (!this.stopped && !this.acceptor.listening) this.acceptor.listen(this.at.port, this.at.host, QUEUE);
+    if (!this.stopped && !this.acceptor.listening)
+      this.acceptor.listen(this.listenAddress.port, this.listenAddress.host, LISTEN_BACKLOG);
   }
 
   private receive(req: IncomingMessage, res: ServerResponse): void {
@@ -197,12 +202,12 @@
     let refused = false;
     req.on('data', (chunk: Buffer) => {
       size += chunk.length;
-      if (size <= MAX_BODY) {
+      if (size <= MAX_BODY_BYTES) {
         chunks.push(chunk);
       } else if (!refused) {
         refused = true;
         res.shouldKeepAlive = false;
-        write(res, failure(400, 'body is over 64 KiB'));
+        writeResponse(res, errorResponse(400, 'body is over 64 KiB'));
       }
     });
     req.on('end', () => {
@@ -211,15 +216,15 @@
       const query = url.indexOf('?');
       const path = query < 0 ? url : url.slice(0, query);
       const { socket } = req;
-      this.connections.asked(socket, this.options.peerOf(path));
+      this.connections.startRequest(socket, this.options.clientKindOf(path));
       let answered = false;
       const [first] = chunks;
       const body = chunks.length === 1 && first ? first : Buffer.concat(chunks);
       this.handler({ method: req.method ?? 'GET', path, body: body.toString('utf8') }, (answer) => {
         if (answered) return;
         answered = true;
-        if (!this.connections.answered(socket)) res.shouldKeepAlive = false;
-        write(res, answer);
+        if (!this.connections.finishRequest(socket)) res.shouldKeepAlive = false;
+        writeResponse(res, answer);
       });
     });
     req.on('error', () => {
--- a/src/jobs/job-query.ts
+++ b/src/jobs/job-query.ts
@@ -1,5 +1,5 @@
 /** Users' polls for the state of a job. */
-import type { Answer, Reply } from '../http/server.ts';
+import type { HttpResponse, Reply } from '../http/server.ts';
 import { isJobId } from '../wire/user.ts';
 import type { JobLookup } from './job-lookup.ts';
 import type { JobStateReader } from './job-state-reader.ts';
@@ -16,7 +16,7 @@
   ) {}
 
   /** The answer to a poll if this node's memory determines it, else null. */
-  pollFromMemory(id: string): Answer | null {
+  pollFromMemory(id: string): HttpResponse | null {
     if (!isJobId(id)) return this.answers.notFound();
     const known = this.reader.lookupInMemory(id);
     return known.kind === 'found' ? this.answers.status(id, known.status) : null;
@@ -35,7 +35,7 @@
       .catch(this.deps.onError);
   }
 
-  private answerTo(id: string, lookup: JobLookup): Answer {
+  private answerTo(id: string, lookup: JobLookup): HttpResponse {
     switch (lookup.kind) {
       case 'found':
         return this.answers.status(id, lookup.status);
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -1,5 +1,5 @@
 /** Users' submissions of new jobs. */
-import { failure, type Answer, type Reply } from '../http/server.ts';
+import { errorResponse, type HttpResponse, type Reply } from '../http/server.ts';
 import type { PeerReply } from '../peers/messages.ts';
 import { KEYS } from '../store/keys.ts';
 import { decodeJob, peekJobId, type JobRequest } from '../wire/user.ts';
@@ -46,20 +46,20 @@
     this.answerTo(body).then(reply).catch(this.deps.onError);
   }
 
-  private async answerTo(body: string): Promise<Answer> {
+  private async answerTo(body: string): Promise<HttpResponse> {
     const decoded = decodeJob(body);
     const id = decoded.ok ? decoded.value.id : peekJobId(body);
-    if (id === null) return failure(400, decoded.ok ? 'malformed' : decoded.reason);
+    if (id === null) return errorResponse(400, decoded.ok ? 'malformed' : decoded.reason);
     const known = this.reader.lookupInMemory(id);
     if (known.kind === 'found') return this.answers.status(id, known.status);
     if (known.kind === 'uncertain') return this.answerFromStore(id);
-    if (!decoded.ok) return this.refuseUnlessAccepted(id, failure(400, decoded.reason));
+    if (!decoded.ok) return this.refuseUnlessAccepted(id, errorResponse(400, decoded.reason));
     const job = decoded.value;
     const catalog = this.deps.catalog();
     const team = this.deps.teams.find(({ name }) => name === job.team);
     // An unknown team or a limit that is too small is detected even while the machine types are not known.
     const reason = findInfeasibility(job, team, catalog);
-    if (reason !== null) return this.refuseUnlessAccepted(id, failure(422, reason));
+    if (reason !== null) return this.refuseUnlessAccepted(id, errorResponse(422, reason));
     if (!catalog)
       return this.refuseUnlessAccepted(id, this.answers.unavailable('machine types not known yet'));
     const creation = await this.create(job);
@@ -70,7 +70,7 @@
   }
 
   /** Forwards the submission to the other controllers: the state service may refuse this node alone. */
-  private async createByPeers(id: string, body: string): Promise<Answer> {
+  private async createByPeers(id: string, body: string): Promise<HttpResponse> {
     const timeoutMs = this.deps.options.users.forward_ms * 2;
     const received: { reply: PeerReply | null } = { reply: null };
     const lookup = await this.reader.readUnlessStale(async () => {
@@ -82,7 +82,7 @@
   }
 
   /** Answers for a job whose terminal state is being written: only the store tells whether it is durable. */
-  private async answerFromStore(id: string): Promise<Answer> {
+  private async answerFromStore(id: string): Promise<HttpResponse> {
     const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
     if (lookup.kind === 'found') return this.answers.status(id, lookup.status);
     return this.answers.unavailable('state not known now');
@@ -92,13 +92,13 @@
    * Returns the refusal, unless the id belongs to an accepted job: to refuse its submission would tell the user that
    * the job has been lost.
    */
-  private async refuseUnlessAccepted(id: string, refusal: Answer): Promise<Answer> {
+  private async refuseUnlessAccepted(id: string, refusal: HttpResponse): Promise<HttpResponse> {
     const lookup = await this.reader.lookupInStoreOrByPeers(id, 'user');
     if (lookup.kind === 'found') return this.answers.status(id, lookup.status);
     return lookup.kind === 'notFound' ? refusal : this.storeUnavailable();
   }
 
-  private storeUnavailable(): Answer {
+  private storeUnavailable(): HttpResponse {
     return this.answers.unavailable('the state service can not be reached');
   }
 
--- a/src/jobs/poll-batches.ts
+++ b/src/jobs/poll-batches.ts
@@ -57,7 +57,7 @@
   private flush(): void {
     const batch = this.pendingPolls;
     this.pendingPolls = new Map();
-    this.pacer.noteSent();
+    this.pacer.recordBatch();
     this.deps
       .send([...batch.keys()])
       .then((answers) => {
--- a/src/jobs/user-answers.ts
+++ b/src/jobs/user-answers.ts
@@ -1,5 +1,5 @@
 /** Answers to users' requests about jobs, as HTTP statuses and bodies. */
-import { failure, type Answer } from '../http/server.ts';
+import { errorResponse, type HttpResponse } from '../http/server.ts';
 import { encodeStatus, type JobStatus } from '../wire/user.ts';
 import { isTerminal } from './job-lookup.ts';
 import type { UserRequestDeps } from './user-request-deps.ts';
@@ -9,7 +9,7 @@
   constructor(private readonly deps: Pick<UserRequestDeps, 'options' | 'terminalStates'>) {}
 
   /** The job's state, with `httpStatus` unless it is terminal (200). */
-  status(id: string, status: JobStatus, httpStatus = 200): Answer {
+  status(id: string, status: JobStatus, httpStatus = 200): HttpResponse {
     if (isTerminal(status)) this.deps.terminalStates.put(id, status);
     // This node may have learned of the terminal state while it was looking up an open one.
     const terminalState = this.deps.terminalStates.get(id);
@@ -17,12 +17,12 @@
     return { status: httpStatus, body: encodeStatus(id, status) };
   }
 
-  notFound(): Answer {
-    return failure(404, 'no such job');
+  notFound(): HttpResponse {
+    return errorResponse(404, 'no such job');
   }
 
   /** Refuses the request for now; the user retries after the time that the options name. */
-  unavailable(reason: string): Answer {
-    return failure(503, reason, this.deps.options.users.retry_after_s);
+  unavailable(reason: string): HttpResponse {
+    return errorResponse(503, reason, this.deps.options.users.retry_after_s);
   }
 }
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -1,5 +1,5 @@
 /** Handling of user requests on every controller: submission, query and cancellation of jobs. */
-import type { Answer, Reply } from '../http/server.ts';
+import type { HttpResponse, Reply } from '../http/server.ts';
 import type { PeerReply } from '../peers/messages.ts';
 import { decodeJob } from '../wire/user.ts';
 import { JobCancellation } from './job-cancellation.ts';
@@ -37,7 +37,7 @@
   }
 
   /** The answer to a poll if this node's memory determines it, else null. */
-  pollFromMemory(id: string): Answer | null {
+  pollFromMemory(id: string): HttpResponse | null {
     return this.query.pollFromMemory(id);
   }
 
--- a/src/leader/command-dispatcher.ts
+++ b/src/leader/command-dispatcher.ts
@@ -1,6 +1,6 @@
 /** Direct requests to workers: commands that can't wait for the next heartbeat, and probes of silent machines. */
 import { errorText } from '../base/error-text.ts';
-import { BUSY_MS } from '../base/event-loop-lag.ts';
+import { MIN_BUSY_LAG_MS } from '../base/event-loop-lag.ts';
 import type { Command, Heartbeat } from '../wire/worker.ts';
 import { attemptKey, type Attempt } from '../workers/attempt.ts';
 import type { Machine } from '../workers/machine.ts';
@@ -65,7 +65,7 @@
   /** Sends what is due. Only machines at which something changed are checked. */
   dispatchDue(): void {
     const now = this.deps.host.clock.now();
-    const busy = this.deps.host.lagMs() > BUSY_MS;
+    const busy = this.deps.host.lagMs() > MIN_BUSY_LAG_MS;
     for (const machine of this.cluster.commandsDue) {
       if (machine.commandInFlight || now < machine.commandNotBefore) continue;
       if (this.cluster.machines.get(machine.name) !== machine || !this.hasDueCommands(machine)) {
@@ -130,7 +130,7 @@
   }
 
   private maxConcurrentProbes(): number {
-    if (this.deps.host.lagMs() > BUSY_MS) return MAX_CONCURRENT_PROBES_BUSY;
+    if (this.deps.host.lagMs() > MIN_BUSY_LAG_MS) return MAX_CONCURRENT_PROBES_BUSY;
     const share = Math.floor(this.cluster.machines.size * CONCURRENT_PROBES_RATIO);
     return Math.max(MIN_CONCURRENT_PROBES, share);
   }
--- a/src/leader/machine-membership.ts
+++ b/src/leader/machine-membership.ts
@@ -57,7 +57,7 @@
       this.lastAnswerBeforeJoining,
     );
     const type = this.deps.catalog.typeIndex(identity.machineType);
-    const zone = this.deps.zones.index(identity.zone);
+    const zone = this.deps.zones.getOrAddIndex(identity.zone);
     return this.parts.cluster.addMachine(
       (index) => new Machine({ index, id: identity, type, zone, now: this.now(), leaseRenewedBefore }),
     );
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -1,5 +1,5 @@
 /** Monitors machines for expired leases, workers that don't respond, partitions and interruption notices. */
-import { BUSY_MS } from '../base/event-loop-lag.ts';
+import { MIN_BUSY_LAG_MS } from '../base/event-loop-lag.ts';
 import type { MachineProvisioner } from '../fleet/machine-provisioner.ts';
 import {
   isStartInDoubtOverdue,
@@ -103,7 +103,7 @@
     this.lastCheckAt = now;
     const liveness = this.livenessContext(now);
     const survey = surveyMachines(cluster.machines.values(), liveness);
-    const overloaded = host.lagMs() > BUSY_MS;
+    const overloaded = host.lagMs() > MIN_BUSY_LAG_MS;
     this.updateZones(survey, overloaded);
     const isolated = !overloaded && (isNearlyAllLost(survey) || this.reachesNoWorker());
     if (isolated) host.lostAllWorkers();
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -19,7 +19,7 @@
 import type { Attempts } from './attempts.ts';
 import type { Cluster } from './cluster.ts';
 import type { LeaderDeps } from './context.ts';
-import { BUSY_MS } from '../base/event-loop-lag.ts';
+import { MIN_BUSY_LAG_MS } from '../base/event-loop-lag.ts';
 import type { SchedulingSnapshots } from './scheduling-snapshots.ts';
 
 const MAX_PREEMPTING_GROUPS = 8;
@@ -70,7 +70,7 @@
   run(canPlace: boolean): void {
     const start = this.now();
     const { scheduling } = this.deps.options;
-    const busy = this.deps.host.lagMs() > BUSY_MS;
+    const busy = this.deps.host.lagMs() > MIN_BUSY_LAG_MS;
     const throttledIntervalMs = Math.min(
       MAX_THROTTLED_INTERVAL_MS,
       this.lastDurationMs / (busy ? MAX_ROUND_TIME_RATIO_BUSY : MAX_ROUND_TIME_RATIO),
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -61,7 +61,7 @@
   /** The only zone in which a job may be placed: the one that it asks for, or that of its reservation. -1: any zone. */
   private findRequiredZone(job: Job, now: number): number {
     const { spec, reservation } = job;
-    if (spec.zone !== null) return this.deps.zones.index(spec.zone);
+    if (spec.zone !== null) return this.deps.zones.getOrAddIndex(spec.zone);
     // A gang that may choose another zone during its reservation preempts tasks in both zones, again and again.
     return spec.oneZone && reservation && now <= reservation.until ? reservation.zone : -1;
   }
--- a/src/leadership/heartbeat-grace.ts
+++ b/src/leadership/heartbeat-grace.ts
@@ -1,5 +1,5 @@
 /** How long a leader may answer heartbeats after its lease has expired, derived from the bound on cancellations. */
-import { DRIFT } from '../base/clock.ts';
+import { MAX_CLOCK_DRIFT_RATIO } from '../base/clock.ts';
 
 /** Share of the cancellation time beyond the workers' lease that the grace may use; the rest is a safety reserve. */
 const GRACE_SHARE = 0.6;
@@ -21,13 +21,13 @@
  * clock that may be slow (docs/safety.md, "From a confirmed cancellation to the last task gone").
  */
 export function computeHeartbeatGraceMs(configuredS: number, times: CancellationTimes): number {
-  const availableS = times.cancelS / (1 + DRIFT) - times.leaseS;
+  const availableS = times.cancelS / (1 + MAX_CLOCK_DRIFT_RATIO) - times.leaseS;
   return Math.max(0, Math.min(configuredS, availableS * GRACE_SHARE)) * 1000;
 }
 
 /** The longest time from a confirmed cancellation until the last task of the job has ended, in s. */
 export function computeCancellationBoundS(graceMs: number, times: CancellationTimes): number {
-  return (graceMs / 1000 + times.leaseS) * (1 + DRIFT);
+  return (graceMs / 1000 + times.leaseS) * (1 + MAX_CLOCK_DRIFT_RATIO);
 }
 
 /**
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -2,7 +2,7 @@
  * The leader's lease in the key-value store: its time to live, and its expiry as the holder has to assume it. All
  * times are milliseconds on the steady clock of the process that holds the lease.
  */
-import { DRIFT } from '../base/clock.ts';
+import { MAX_CLOCK_DRIFT_RATIO } from '../base/clock.ts';
 
 /** Duration and renewal interval of the leader's lease. */
 export interface LeaseOptions {
@@ -34,5 +34,5 @@
  * lease before the store ends it.
  */
 export function computeLeaseExpiry(sentAt: number, ttlMs: number): number {
-  return sentAt + ttlMs * (1 - DRIFT) - SAFETY_MARGIN_MS;
+  return sentAt + ttlMs * (1 - MAX_CLOCK_DRIFT_RATIO) - SAFETY_MARGIN_MS;
 }
--- a/src/leadership/peer-leases.ts
+++ b/src/leadership/peer-leases.ts
@@ -16,7 +16,7 @@
  *
  * docs/safety.md has the proof.
  */
-import { DRIFT } from '../base/clock.ts';
+import { MAX_CLOCK_DRIFT_RATIO } from '../base/clock.ts';
 
 /**
  * The longest time to live of a peer lease, in ms. Long enough that a controller that is restarted in an outage can
@@ -43,12 +43,12 @@
 
 /** When the grantor's abstention ends, on the grantor's clock; drift and margin make it later. */
 export function computeAbstentionEnd(grantedAt: number, ttlMs: number): number {
-  return grantedAt + ttlMs * (1 + DRIFT) + SAFETY_MARGIN_MS;
+  return grantedAt + ttlMs * (1 + MAX_CLOCK_DRIFT_RATIO) + SAFETY_MARGIN_MS;
 }
 
 /** When a peer lease expires for the leader, on the leader's clock; drift and margin make it earlier. */
 export function computePeerLeaseExpiry(requestedAt: number, ttlMs: number): number {
-  return requestedAt + ttlMs * (1 - DRIFT) - SAFETY_MARGIN_MS;
+  return requestedAt + ttlMs * (1 - MAX_CLOCK_DRIFT_RATIO) - SAFETY_MARGIN_MS;
 }
 
 /** The peer leases that a leader holds. They are valid only together, until the first of them expires. */
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -1,6 +1,6 @@
 /** Relays the heartbeats of workers from a follower to the leader. */
 import { BatchPacer, type PacerTimers } from '../base/batch-pacer.ts';
-import { failure, type Answer } from '../http/server.ts';
+import { errorResponse, type HttpResponse } from '../http/server.ts';
 import type { HeartbeatResponse } from '../peers/messages.ts';
 
 /** Minimum time between two batches to the leader. */
@@ -36,7 +36,7 @@
 interface PendingHeartbeat {
   body: string;
   arrivedAt: number;
-  reply: (answer: Answer) => void;
+  reply: (answer: HttpResponse) => void;
 }
 
 /**
@@ -61,7 +61,7 @@
   }
 
   /** Queues a heartbeat to be relayed. False: not queued; the caller should redirect the worker to the leader. */
-  tryRelay(body: string, reply: (answer: Answer) => void): boolean {
+  tryRelay(body: string, reply: (answer: HttpResponse) => void): boolean {
     const now = this.deps.now();
     const leader = this.deps.leader();
     if (leader === null) return false;
@@ -97,7 +97,7 @@
     if (batch.length === 0) return;
     this.pending = [];
     this.pendingBytes = 0;
-    this.pacer.noteSent();
+    this.pacer.recordBatch();
     const leader = this.deps.leader();
     if (leader === null) {
       for (const heartbeat of batch) heartbeat.reply(leaderUnavailable());
@@ -123,7 +123,7 @@
     heartbeat: PendingHeartbeat,
     leader: string,
     response: HeartbeatResponse | undefined,
-  ): Answer {
+  ): HttpResponse {
     // The response took too long, for instance because this process was paused, or the leader has changed: the response
     // may no longer be valid and isn't passed on.
     const isStale =
@@ -134,6 +134,6 @@
 }
 
 /** The refusal of a heartbeat; the worker tries the next controller a second later. */
-function leaderUnavailable(): Answer {
-  return failure(503, 'the leader did not answer', 1);
+function leaderUnavailable(): HttpResponse {
+  return errorResponse(503, 'the leader did not answer', 1);
 }
--- a/src/sim/cloud.ts
+++ b/src/sim/cloud.ts
@@ -1,4 +1,4 @@
-import type { Answer } from '../http/server.ts';
+import type { HttpResponse } from '../http/server.ts';
 import { TokenBucket } from './bucket.ts';
 import type { Exchange, Host, Spell } from './network.ts';
 import { parse, type MachineType, type RentBody } from './protocol.ts';
@@ -42,7 +42,7 @@
 /** A machine that has died goes on being listed as running for this long. */
 const DEAD_LISTED_MS = 30_000;
 
-const answer = (status: number, body: object): Answer => ({ status, body: JSON.stringify(body) });
+const answer = (status: number, body: object): HttpResponse => ({ status, body: JSON.stringify(body) });
 
 /** The cloud: rents machines, takes them back, lists them with a lag. */
 export class SimCloud implements Host {
@@ -130,7 +130,7 @@
     return type.startupS * 1000 * this.random.between(BOOT.least, BOOT.most);
   }
 
-  private rent(text: string, reply: (answer: Answer) => void): void {
+  private rent(text: string, reply: (answer: HttpResponse) => void): void {
     const body = parse(text) as RentBody | null;
     const type = this.options.types.find((t) => t.name === body?.oven);
     if (
@@ -158,7 +158,7 @@
     if (!this.random.chance(this.options.lostAnswers)) reply(answer(200, { hearths: names }));
   }
 
-  private giveBack(text: string): Answer {
+  private giveBack(text: string): HttpResponse {
     const names = (parse(text) as { hearths?: string[] } | null)?.hearths;
     if (!names || names.length > MOST_RETURNED) return answer(400, { error: 'malformed' });
     for (const name of names) {
@@ -171,7 +171,7 @@
   }
 
   /** The list as it was some seconds ago. */
-  private list(query: URLSearchParams): Answer {
+  private list(query: URLSearchParams): HttpResponse {
     const since = query.get('since') ?? '';
     const most = Math.min(MOST_LISTED, Number(query.get('most') ?? MOST_LISTED));
     const lag = this.limits.list_lag_s * 1000 * (this.random.chance(0.1) ? 2 : 1);
--- a/src/sim/network.ts
+++ b/src/sim/network.ts
@@ -1,5 +1,5 @@
 import type { HttpResult } from '../http/client.ts';
-import type { Answer, HttpRequest } from '../http/server.ts';
+import type { HttpResponse, HttpRequest } from '../http/server.ts';
 import type { EventQueue } from './queue.ts';
 import type { Random } from './random.ts';
 
@@ -24,7 +24,7 @@
   request: HttpRequest;
   /** When the sender sent it. */
   sentAt: number;
-  reply: (answer: Answer) => void;
+  reply: (answer: HttpResponse) => void;
 }
 
 /** Which way a message goes. */
@@ -117,13 +117,13 @@
       const refused = (): void => {
         finish({ kind: 'silent', sent: false, reason: 'ECONNREFUSED' });
       };
-      const answer = ({ status, body, retryAfterS }: Answer): void => {
+      const answer = ({ status, body, retryAfterS }: HttpResponse): void => {
         observe(to, from, status, retryAfterS === undefined ? body : `${body} retry after ${retryAfterS} s`);
         this.carry(to, from, 'answer', () => {
           finish({ kind: 'answer', status, body, retryAfterS: retryAfterS ?? null });
         });
       };
-      const deliver = (reply: (answer: Answer) => void): void => {
+      const deliver = (reply: (answer: HttpResponse) => void): void => {
         this.carry(
           from,
           to,
--- a/src/sim/state.ts
+++ b/src/sim/state.ts
@@ -1,5 +1,5 @@
 import { required } from '../base/required.ts';
-import type { Answer, HttpRequest } from '../http/server.ts';
+import type { HttpResponse, HttpRequest } from '../http/server.ts';
 import { TokenBucket } from './bucket.ts';
 import type { Exchange, Host, Spell } from './network.ts';
 import { parse, type TransactionBody } from './protocol.ts';
@@ -37,7 +37,7 @@
   prefix: string;
   since: number;
   deadline: number;
-  reply: (answer: Answer) => void;
+  reply: (answer: HttpResponse) => void;
 }
 
 const RETAINED = 10_000;
@@ -48,7 +48,7 @@
 /** A lease may end as much later as this. */
 const LEASE_SLACK_MS = 100;
 
-const answer = (status: number, body: object): Answer => ({ status, body: JSON.stringify(body) });
+const answer = (status: number, body: object): HttpResponse => ({ status, body: JSON.stringify(body) });
 const UNAVAILABLE = answer(503, { error: 'unavailable' });
 const MALFORMED = answer(400, { error: 'malformed' });
 
@@ -123,7 +123,7 @@
   }
 
   serve({ from, request, reply }: Exchange): void {
-    const answered = (a: Answer | null): void => {
+    const answered = (a: HttpResponse | null): void => {
       if (a === null) return;
       if (this.queue.at >= this.slowUntil) reply(a);
       else
@@ -154,7 +154,7 @@
 
   // ---- reads ----
 
-  private get(key: string): Answer {
+  private get(key: string): HttpResponse {
     const entry = this.data.get(key);
     if (!entry) return answer(404, { ledger: this.revision });
     return answer(200, {
@@ -165,7 +165,7 @@
     });
   }
 
-  private list(query: URLSearchParams): Answer {
+  private list(query: URLSearchParams): HttpResponse {
     const prefix = query.get('starts') ?? '';
     const since = query.get('since') ?? '';
     const most = Math.min(MOST_ITEMS, Number(query.get('most') ?? MOST_ITEMS));
@@ -179,7 +179,7 @@
 
   // ---- transactions ----
 
-  private transaction(from: Host, body: string): Answer | null {
+  private transaction(from: Host, body: string): HttpResponse | null {
     const parsed = parse(body) as TransactionBody | null;
     if (!parsed || !this.withinLimits(parsed, body)) return MALFORMED;
     if (!this.writes.take(parsed.then?.length ?? 0)) return answer(429, { error: 'too many writes' });
@@ -207,7 +207,7 @@
     );
   }
 
-  private apply(from: Host, body: TransactionBody): Answer {
+  private apply(from: Host, body: TransactionBody): HttpResponse {
     const failed = (body.if ?? []).filter((c) => (this.data.get(c.k)?.version ?? 0) !== c.stamp);
     const changes = body.then ?? [];
     if (changes.some((c) => 'set' in c && c.permit !== undefined && !this.leases.has(c.permit))) {
@@ -240,7 +240,7 @@
 
   // ---- leases ----
 
-  private lease(request: HttpRequest, path: string): Answer {
+  private lease(request: HttpRequest, path: string): HttpResponse {
     const [, , id, verb] = path.split('/');
     if (id === undefined) {
       const ttlMs = (parse(request.body) as { ttlMs?: number } | null)?.ttlMs;
@@ -282,7 +282,7 @@
 
   // ---- watches ----
 
-  private follow(from: Host, query: URLSearchParams, reply: (answer: Answer) => void): void {
+  private follow(from: Host, query: URLSearchParams, reply: (answer: HttpResponse) => void): void {
     const holdMs = Math.min(60_000, Number(query.get('holdMs') ?? 0));
     const watch: MachineMonitor = {
       from,
@@ -309,7 +309,7 @@
     this.watches = waiting;
   }
 
-  private changes({ prefix, since, deadline }: MachineMonitor): Answer | null {
+  private changes({ prefix, since, deadline }: MachineMonitor): HttpResponse | null {
     const oldest = this.history[0]?.version ?? this.revision;
     if (this.history.length >= RETAINED && since < oldest - 1) return answer(410, { ledger: this.revision });
     let first = this.history.length;
--- a/src/store/key-value-store.ts
+++ b/src/store/key-value-store.ts
@@ -169,11 +169,11 @@
     const result = await this.call({
       method: 'POST',
       path: wire.STATE_PATHS.leases,
-      body: wire.encodeGrant(ttlMs),
+      body: wire.encodeLeaseRequest(ttlMs),
       timeoutMs: WRITE_TIMEOUT_MS,
       urgency: 'lease',
     });
-    return this.toStoreResult(result, wire.decodeGrant);
+    return this.toStoreResult(result, wire.decodeLeaseId);
   }
 
   /** Renews a lease for its full time to live; the value false means that the lease has expired. */
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -69,7 +69,7 @@
 }
 
 /** Asks for `count` equal machines. */
-export interface RentRequest {
+export interface ProvisioningRequest {
   /** Idempotency key: a request that is repeated under the same one provisions nothing twice. */
   request: string;
   machineType: string;
@@ -79,7 +79,7 @@
 }
 
 /** Encodes the request that provisions machines. */
-export function encodeRent(request: RentRequest): string {
+export function encodeProvisioningRequest(request: ProvisioningRequest): string {
   return JSON.stringify({
     booking: request.request,
     oven: request.machineType,
@@ -90,7 +90,7 @@
 }
 
 /** Decodes the names of the machines that were provisioned, which may be fewer than were asked for. */
-export function decodeRented(text: string): Decoded<string[]> {
+export function decodeProvisionedMachines(text: string): Decoded<string[]> {
   const decoded = decodeText(wireMachineNames, text);
   return decoded.ok ? { ok: true, value: decoded.value.hearths } : decoded;
 }
@@ -102,7 +102,7 @@
 }
 
 /** Encodes the request that terminates machines by name. */
-export function encodeTermination(names: readonly string[]): string {
+export function encodeTerminationRequest(names: readonly string[]): string {
   return JSON.stringify({ hearths: names });
 }
 
@@ -159,7 +159,7 @@
 /** Paths of the cloud's HTTP interface, with their queries. */
 export const CLOUD_PATHS = {
   types: '/catalog',
-  rent: '/rentals',
-  returned: '/rentals/return',
+  provision: '/rentals',
+  terminate: '/rentals/return',
   list: (after: string, limit: number) => `/rentals?since=${encodeURIComponent(after)}&most=${limit}`,
 };
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -21,7 +21,7 @@
 const wireRevision = z.object({ ledger: count });
 const wireConflict = z.object({ failed: z.array(z.string()) });
 const wireError = z.object({ error: z.string() });
-const wireGrant = z.object({ permit: count });
+const wireLease = z.object({ permit: count });
 
 const NO_LEASE_ERROR = 'no such lease';
 
@@ -108,13 +108,13 @@
 }
 
 /** Encodes the request for a new lease; time to live in milliseconds. */
-export function encodeGrant(ttlMs: number): string {
+export function encodeLeaseRequest(ttlMs: number): string {
   return JSON.stringify({ ttlMs });
 }
 
 /** Decodes the id of a new lease. */
-export function decodeGrant(text: string): Decoded<number> {
-  const decoded = decodeText(wireGrant, text);
+export function decodeLeaseId(text: string): Decoded<number> {
+  const decoded = decodeText(wireLease, text);
   return decoded.ok ? { ok: true, value: decoded.value.permit } : decoded;
 }
 
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -113,7 +113,7 @@
   stored: StoredJob;
 }
 
-function toRequest(stored: StoredJob): JobRequest {
+function createJobRequest(stored: StoredJob): JobRequest {
   return {
     id: stored.uid,
     className: stored.batch,
@@ -139,18 +139,18 @@
   };
 }
 
-function toJobRequest(decoded: Decoded<StoredJob>): Decoded<JobRequest> {
-  return decoded.ok ? { ok: true, value: toRequest(decoded.value) } : decoded;
+function mapToJobRequest(decoded: Decoded<StoredJob>): Decoded<JobRequest> {
+  return decoded.ok ? { ok: true, value: createJobRequest(decoded.value) } : decoded;
 }
 
 /** Decodes a user's submission; a failure names the first field that is missing or invalid. */
 export function decodeJob(text: string): Decoded<JobRequest> {
-  return toJobRequest(decodeText(wireSubmission, text));
+  return mapToJobRequest(decodeText(wireSubmission, text));
 }
 
 /** Decodes the record of a job that was accepted, possibly by an earlier version. */
 export function decodeStoredJob(raw: unknown): Decoded<JobRequest> {
-  return toJobRequest(decodeValue(wireJob, raw));
+  return mapToJobRequest(decodeValue(wireJob, raw));
 }
 
 /** The job id in a body that may otherwise be malformed: a known job is answered with its state whatever else is sent. */
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -125,14 +125,14 @@
 
 /** The sequence number in a heartbeat's text. Matches only a number without a sign or exponent. */
 const SEQUENCE_FIELD = /"tick":(0|[1-9]\d{0,14})(?=[,}])/;
-const SEQUENCE_NAME = '"tick"';
+const SEQUENCE_FIELD_NAME = '"tick"';
 
 /** False if the number found may not be the heartbeat's own: a name is used twice, or may be written with escapes. */
 function namesSequenceOnce(start: string, rest: string): boolean {
-  return [start, rest].every((text) => !text.includes(SEQUENCE_NAME) && !text.includes('\\'));
+  return [start, rest].every((text) => !text.includes(SEQUENCE_FIELD_NAME) && !text.includes('\\'));
 }
 
-interface LastHeartbeat {
+interface CachedHeartbeat {
   /** The text after the sequence number. */
   rest: string;
   heartbeat: Heartbeat;
@@ -146,19 +146,19 @@
  */
 export class HeartbeatDecoder {
   /** By the text before the sequence number, which names machine and incarnation. */
-  private readonly last = new Map<string, LastHeartbeat>();
-  private sweptAt = -Infinity;
+  private readonly cache = new Map<string, CachedHeartbeat>();
+  private lastSweepAt = -Infinity;
 
   constructor(
     /** Steady milliseconds. */
     private readonly now: () => number,
     /** After so many milliseconds without a heartbeat of a machine its last one is dropped. */
-    private readonly keptMs: number,
+    private readonly retentionMs: number,
   ) {}
 
   /** Heartbeats in the cache. */
   get size(): number {
-    return this.last.size;
+    return this.cache.size;
   }
 
   /** Decodes a heartbeat as `decodeHeartbeat` does. */
@@ -166,25 +166,26 @@
     const sequence = SEQUENCE_FIELD.exec(text);
     if (!sequence) return decodeHeartbeat(text);
     const now = this.now();
-    this.sweep(now);
+    this.dropExpired(now);
     const start = text.slice(0, sequence.index);
     const rest = text.slice(sequence.index + sequence[0].length);
-    const known = this.last.get(start);
-    if (known?.rest === rest) {
-      known.usedAt = now;
-      return { ok: true, value: { ...known.heartbeat, sequence: Number(sequence[1]) } };
+    const cached = this.cache.get(start);
+    if (cached?.rest === rest) {
+      cached.usedAt = now;
+      return { ok: true, value: { ...cached.heartbeat, sequence: Number(sequence[1]) } };
     }
     const decoded = decodeHeartbeat(text);
     if (decoded.ok && namesSequenceOnce(start, rest)) {
-      this.last.set(start, { rest, heartbeat: decoded.value, usedAt: now });
+      this.cache.set(start, { rest, heartbeat: decoded.value, usedAt: now });
     }
     return decoded;
   }
 
-  private sweep(now: number): void {
-    if (now - this.sweptAt < this.keptMs) return;
-    this.sweptAt = now;
-    for (const [start, entry] of this.last) if (now - entry.usedAt > this.keptMs) this.last.delete(start);
+  private dropExpired(now: number): void {
+    if (now - this.lastSweepAt < this.retentionMs) return;
+    this.lastSweepAt = now;
+    for (const [start, entry] of this.cache)
+      if (now - entry.usedAt > this.retentionMs) this.cache.delete(start);
   }
 }
 
--- a/src/workers/attempt-deadlines.ts
+++ b/src/workers/attempt-deadlines.ts
@@ -1,5 +1,5 @@
 /** Decides when an attempt that must end, or that its machine can't hold any longer, takes a step of the leader. */
-import { DRIFT } from '../base/clock.ts';
+import { MAX_CLOCK_DRIFT_RATIO } from '../base/clock.ts';
 import type { Attempt } from './attempt.ts';
 
 /** From the end of lease renewals: a heartbeat that is being answered and the monitor's own rhythm included. */
@@ -36,7 +36,7 @@
 export function mustAwaitLeaseExpiry(attempt: Attempt, times: CancellationTimes, now: number): boolean {
   if (!isCancelled(attempt) || attempt.observed || !attempt.inDoubt || attempt.awaitingLeaseExpiry)
     return false;
-  const mostMs = times.cancelMs - times.leaseMs * (1 + DRIFT) - LEASE_EXPIRY_MARGIN_MS;
+  const mostMs = times.cancelMs - times.leaseMs * (1 + MAX_CLOCK_DRIFT_RATIO) - LEASE_EXPIRY_MARGIN_MS;
   return attempt.trackUnwanted(now) >= mostMs;
 }
 
--- a/src/workers/liveness.ts
+++ b/src/workers/liveness.ts
@@ -1,5 +1,5 @@
 /** Decides from the state of a machine and the time whether its worker is alive, in contact, and under a lease. */
-import { DRIFT } from '../base/clock.ts';
+import { MAX_CLOCK_DRIFT_RATIO } from '../base/clock.ts';
 import type { Machine } from './machine.ts';
 
 /**
@@ -25,7 +25,7 @@
 
 /** The worker's lease has surely expired, on its own clock too. */
 export function hasLeaseExpired(machine: Machine, leaseMs: number, now: number): boolean {
-  return now > machine.leaseRenewedBefore + leaseMs * (1 + DRIFT) + LEASE_ALLOWANCE_MS;
+  return now > machine.leaseRenewedBefore + leaseMs * (1 + MAX_CLOCK_DRIFT_RATIO) + LEASE_ALLOWANCE_MS;
 }
 
 /** How long there has been no sign that messages to and from the machine arrive, in milliseconds. */
--- a/test/controller/heartbeat-handler.test.ts
+++ b/test/controller/heartbeat-handler.test.ts
@@ -4,7 +4,7 @@
 import { defaultOptions } from '../../src/config/options.ts';
 import { parseSettings } from '../../src/config/settings.ts';
 import { HeartbeatHandler, type HeartbeatLeader } from '../../src/controller/heartbeat-handler.ts';
-import type { Answer } from '../../src/http/server.ts';
+import type { HttpResponse } from '../../src/http/server.ts';
 import type { PeerReply } from '../../src/peers/messages.ts';
 import { SETTINGS } from '../config/sample.ts';
 import { FakeClock } from '../helpers.ts';
@@ -55,8 +55,8 @@
   }
 
   /** The answer to a heartbeat, if it is given synchronously. */
-  answerTo(body: string): Answer | null {
-    let answer: Answer | null = null;
+  answerTo(body: string): HttpResponse | null {
+    let answer: HttpResponse | null = null;
     this.handler.onHeartbeat(body, (given) => {
       answer = given;
     });
@@ -76,11 +76,11 @@
   return { term: 41, machineCount: 1, onHeartbeat: () => [], ...fields };
 }
 
-const redirectTo = (leader: string | null): Answer => ({
+const redirectTo = (leader: string | null): HttpResponse => ({
   status: 421,
   body: JSON.stringify(leader === null ? {} : { foreman: leader }),
 });
-const RESPONSE: Answer = { status: 200, body: '{"baton":41,"orders":[]}' };
+const RESPONSE: HttpResponse = { status: 200, body: '{"baton":41,"orders":[]}' };
 
 test('a follower redirects workers to the leader it knows, and never to itself', () => {
   const harness = new HandlerHarness();
--- a/test/controller/routes.test.ts
+++ b/test/controller/routes.test.ts
@@ -4,11 +4,11 @@
 import { Routes, type RoutedUserRequests } from '../../src/controller/routes.ts';
 import type { HttpSender } from '../../src/http/client.ts';
 import { AdaptiveLimit } from '../../src/http/limit.ts';
-import type { Answer } from '../../src/http/server.ts';
+import type { HttpResponse } from '../../src/http/server.ts';
 import { KeyValueStore } from '../../src/store/key-value-store.ts';
 import { FakeClock, silent } from '../helpers.ts';
 
-const OK: Answer = { status: 200, body: '{}' };
+const OK: HttpResponse = { status: 200, body: '{}' };
 /** Maximum number of requests of each kind in progress. */
 const LIMIT = 4;
 
@@ -26,12 +26,12 @@
 
 interface RoutesHarness {
   /** Answers by method and path, separated by a space. */
-  answers: Map<string, Answer>;
+  answers: Map<string, HttpResponse>;
   send: (method: string, path: string) => void;
 }
 
 function createRoutesHarness(): RoutesHarness {
-  const answers = new Map<string, Answer>();
+  const answers = new Map<string, HttpResponse>();
   const limit = (): AdaptiveLimit =>
     new AdaptiveLimit(() => 0, { initial: LIMIT, min: LIMIT, max: LIMIT, slackMs: 1, tolerance: 2 });
   const routes = new Routes({
--- a/test/fleet/machine-provisioner.test.ts
+++ b/test/fleet/machine-provisioner.test.ts
@@ -6,15 +6,15 @@
 import { Catalog } from '../../src/fleet/catalog.ts';
 import type { Cloud } from '../../src/fleet/cloud.ts';
 import { MachineProvisioner, type MachineProvisionerDeps } from '../../src/fleet/machine-provisioner.ts';
-import type { RentRequest } from '../../src/wire/cloud.ts';
+import type { ProvisioningRequest } from '../../src/wire/cloud.ts';
 import { BIG, FakeClock, silent } from '../helpers.ts';
 
 function setup(overrides: Partial<MachineProvisionerDeps> = {}): {
   provisioner: MachineProvisioner;
-  rentals: RentRequest[];
+  rentals: ProvisioningRequest[];
   settle: () => Promise<void>;
 } {
-  const rentals: RentRequest[] = [];
+  const rentals: ProvisioningRequest[] = [];
   const cloud: Cloud = {
     canRequest: () => true,
     catalog: () => Promise.resolve([BIG]),
@@ -80,10 +80,10 @@
 test('a rental without an answer is not repeated once the lease is over', async () => {
   // A leader that was paused between two attempts must not make the second one in another leader's term.
   let leaseValid = true;
-  const rentals: RentRequest[] = [];
+  const rentals: ProvisioningRequest[] = [];
   const cloud = {
     canRequest: () => true,
-    rent: (request: RentRequest) => {
+    rent: (request: ProvisioningRequest) => {
       rentals.push(request);
       leaseValid = rentals.length < 2;
       return Promise.resolve({ kind: 'unknown' as const });
--- a/test/golden/messages.test.ts
+++ b/test/golden/messages.test.ts
@@ -5,19 +5,19 @@
   CLOUD_PATHS,
   decodeCatalog,
   decodeMachineList,
-  decodeRented,
-  encodeRent,
-  encodeTermination,
+  decodeProvisionedMachines,
+  encodeProvisioningRequest,
+  encodeTerminationRequest,
   isNoCapacity,
 } from '../../src/wire/cloud.ts';
 import {
   decodeConflict,
   decodeEvents,
-  decodeGrant,
+  decodeLeaseId,
   decodeItem,
   decodeItems,
   decodeRevision,
-  encodeGrant,
+  encodeLeaseRequest,
   encodeTransaction,
   isNoLease,
   STATE_PATHS,
@@ -62,7 +62,7 @@
 });
 
 test('the request for a lease', () => {
-  assert.equal(encodeGrant(3000), '{"ttlMs":3000}');
+  assert.equal(encodeLeaseRequest(3000), '{"ttlMs":3000}');
 });
 
 test('the paths of the state service', () => {
@@ -103,8 +103,8 @@
     values(decodeRevision('{"ledger":1.5}')),
     values(decodeConflict('{"failed":["leader","fence"]}')),
     values(decodeConflict('{"failed":"leader"}')),
-    values(decodeGrant('{"permit":77}')),
-    values(decodeGrant('{"permit":"77"}')),
+    values(decodeLeaseId('{"permit":77}')),
+    values(decodeLeaseId('{"permit":"77"}')),
     values(decodeEvents('{"ledger":9,"log":[{"set":"o/1","data":[1],"stamp":8},{"drop":"o/2","stamp":9}]}')),
     values(decodeEvents('{"ledger":9,"log":[{"stamp":8}]}')),
     String(isNoLease('{"error":"no such lease"}')),
@@ -215,12 +215,15 @@
 
 test('requests to the cloud', () => {
   const rental = { request: 'r-1', machineType: 'g8', zone: 'a', spot: true, count: 3 };
-  assert.equal(encodeRent(rental), '{"booking":"r-1","oven":"g8","yard":"a","borrowed":true,"count":3}');
-  assert.equal(encodeTermination(['n-000001', 'n-000002']), '{"hearths":["n-000001","n-000002"]}');
+  assert.equal(
+    encodeProvisioningRequest(rental),
+    '{"booking":"r-1","oven":"g8","yard":"a","borrowed":true,"count":3}',
+  );
+  assert.equal(encodeTerminationRequest(['n-000001', 'n-000002']), '{"hearths":["n-000001","n-000002"]}');
   const paths = [
     CLOUD_PATHS.types,
-    CLOUD_PATHS.rent,
-    CLOUD_PATHS.returned,
+    CLOUD_PATHS.provision,
+    CLOUD_PATHS.terminate,
     CLOUD_PATHS.list('', 500),
     CLOUD_PATHS.list('n/1', 500),
   ];
@@ -239,8 +242,8 @@
 test('answers of the cloud', () => {
   const machine = '"uid":"n-1","oven":"g8","yard":"a","borrowed":false';
   const read = [
-    values(decodeRented('{"hearths":["n-1"]}')),
-    values(decodeRented('{"hearths":[1]}')),
+    values(decodeProvisionedMachines('{"hearths":["n-1"]}')),
+    values(decodeProvisionedMachines('{"hearths":[1]}')),
     values(
       decodeMachineList(
         `{"hearths":[{${machine},"address":"10.1.0.1:9000","stage":"starting","ageS":3},{${machine},"stage":"running"},{${machine},"stage":"failed"},{${machine},"stage":"novelty"}],"hasNext":true}`,
--- a/test/http/connections.test.ts
+++ b/test/http/connections.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import { Backlog } from '../../src/http/backlog.ts';
-import { Connections, socketShares } from '../../src/http/connections.ts';
+import { Connections, computeSocketLimits } from '../../src/http/connections.ts';
 import { FakeClock, SEED } from '../helpers.ts';
 
 const IDLE = { unknown: 10_000, user: 90_000, worker: 20_000 };
@@ -14,25 +14,25 @@
       fc.integer({ min: 50, max: 200 }),
       fc.integer({ min: 1, max: 8 }),
       (sockets, percent, users) => {
-        const shares = socketShares(sockets, Math.floor(sockets / 10));
-        assert.ok(shares.inbound <= sockets && shares.crowded < shares.inbound);
+        const shares = computeSocketLimits(sockets, Math.floor(sockets / 10));
+        assert.ok(shares.maxInbound <= sockets && shares.workerKeepAliveLimit < shares.maxInbound);
         const clock = new FakeClock();
-        const connections = new Connections<number>(() => clock.now(), shares.crowded, IDLE);
+        const connections = new Connections<number>(() => clock.now(), shares.workerKeepAliveLimit, IDLE);
         const workers = Math.floor((sockets * percent) / 100);
         const open = new Set<number>();
         let refused = 0;
         const ask = (key: number, peer: 'worker' | 'user'): void => {
           if (!open.has(key)) {
-            if (connections.open >= shares.inbound) {
+            if (connections.count >= shares.maxInbound) {
               refused += 1;
               return;
             }
-            connections.opened(key);
+            connections.add(key);
             open.add(key);
           }
-          connections.asked(key, peer);
-          if (connections.answered(key)) return;
-          connections.closed(key);
+          connections.startRequest(key, peer);
+          if (connections.finishRequest(key)) return;
+          connections.remove(key);
           open.delete(key);
         };
         for (let round = 0; round < 4; round++) {
@@ -44,7 +44,7 @@
           }
         }
         assert.equal(refused, 0, 'nobody is refused');
-        assert.ok(connections.open <= shares.crowded + users);
+        assert.ok(connections.count <= shares.workerKeepAliveLimit + users);
       },
     ),
     { seed: SEED, numRuns: 40 },
@@ -54,24 +54,24 @@
 test('connections that fell silent are found, those with an answer due never', () => {
   const clock = new FakeClock();
   const connections = new Connections<string>(() => clock.now(), 100, IDLE);
-  for (const key of ['dead worker', 'worker', 'user', 'waiting', 'says nothing']) connections.opened(key);
+  for (const key of ['dead worker', 'worker', 'user', 'waiting', 'says nothing']) connections.add(key);
   for (const [key, peer] of [
     ['dead worker', 'worker'],
     ['worker', 'worker'],
     ['user', 'user'],
     ['waiting', 'user'],
   ] as const) {
-    connections.asked(key, peer);
-    if (key !== 'waiting') connections.answered(key);
+    connections.startRequest(key, peer);
+    if (key !== 'waiting') connections.finishRequest(key);
   }
   clock.at = 11_000;
-  assert.deepEqual(connections.idle(), ['says nothing']);
-  connections.asked('worker', 'worker');
-  connections.answered('worker');
+  assert.deepEqual(connections.findIdle(), ['says nothing']);
+  connections.startRequest('worker', 'worker');
+  connections.finishRequest('worker');
   clock.at = 21_000;
-  assert.deepEqual(connections.idle(), ['dead worker', 'says nothing']);
+  assert.deepEqual(connections.findIdle(), ['dead worker', 'says nothing']);
   clock.at = 1_000_000;
-  assert.deepEqual(connections.idle(), ['dead worker', 'worker', 'user', 'says nothing']);
+  assert.deepEqual(connections.findIdle(), ['dead worker', 'worker', 'user', 'says nothing']);
 });
 
 /**
@@ -102,12 +102,12 @@
         served.add(next.worker);
         comesAt.delete(next.worker);
       }
-      if (backlog.accepted() && drop) {
+      if (backlog.recordAccept() && drop) {
         for (const { worker } of queue) if (comesAt.has(worker)) comesAt.set(worker, clock.at + AGAIN_MS);
         queue = [];
       }
     }
-    backlog.turnOver();
+    backlog.endIteration();
   }
   return served.size;
 }
@@ -123,8 +123,8 @@
   const backlog = new Backlog(() => clock.now(), 3000);
   for (let i = 0; i < 500; i++) {
     clock.at += 20;
-    assert.equal(backlog.accepted(), false);
-    backlog.turnOver();
-    if (i % 50 === 0) assert.equal(backlog.turnOver(), false);
+    assert.equal(backlog.recordAccept(), false);
+    backlog.endIteration();
+    if (i % 50 === 0) assert.equal(backlog.endIteration(), false);
   }
 });
--- a/test/http/heartbeat-connection.test.ts
+++ b/test/http/heartbeat-connection.test.ts
@@ -24,9 +24,9 @@
       });
     },
     {
-      sockets: { inbound: 200, crowded },
-      idleMs: { unknown: 60_000, user: 60_000, worker: 60_000 },
-      peerOf: (path) => (path === PATH ? 'worker' : 'user'),
+      socketLimits: { maxInbound: 200, workerKeepAliveLimit: crowded },
+      idleTimeoutMs: { unknown: 60_000, user: 60_000, worker: 60_000 },
+      clientKindOf: (path) => (path === PATH ? 'worker' : 'user'),
       heartbeatPath: PATH,
       now: () => performance.now(),
     },
--- a/test/http/limit.test.ts
+++ b/test/http/limit.test.ts
@@ -18,8 +18,8 @@
   });
   const wave = (tookMs: number): number => {
     const leaves: (() => void)[] = [];
-    for (let leave = limit.enter(); leave; leave = limit.enter()) leaves.push(leave);
-    assert.equal(limit.enter(), null, 'over the limit a request is refused at once');
+    for (let leave = limit.acquire(); leave; leave = limit.acquire()) leaves.push(leave);
+    assert.equal(limit.acquire(), null, 'over the limit a request is refused at once');
     clock.at += tookMs;
     for (const leave of leaves) leave();
     return leaves.length;
@@ -37,11 +37,11 @@
 
 test('a request that leaves twice frees one place', () => {
   const limit = new AdaptiveLimit(() => 0, { initial: 1, min: 1, max: 1, slackMs: 1, tolerance: 2 });
-  const leave = required(limit.enter(), 'place');
+  const leave = required(limit.acquire(), 'place');
   leave();
   leave();
-  assert.ok(limit.enter());
-  assert.equal(limit.enter(), null);
+  assert.ok(limit.acquire());
+  assert.equal(limit.acquire(), null);
 });
 
 test('the budget keeps its rate and what is set aside for urgent calls', () => {
@@ -79,7 +79,7 @@
       ),
       (stalls) => {
         for (const { stallMs, reports } of stalls) {
-          const leaves = Array.from({ length: reports }, () => limit.enter());
+          const leaves = Array.from({ length: reports }, () => limit.acquire());
           clock.at += stallMs;
           for (const leave of leaves) {
             assert.ok(leave, 'a report was refused');
@@ -92,9 +92,9 @@
   );
   // Answers that come too late for workers still cut it.
   const late = make();
-  required(late.enter(), 'place')();
+  required(late.acquire(), 'place')();
   for (let i = 0; i < 15; i++) {
-    const leave = required(late.enter(), 'place');
+    const leave = required(late.acquire(), 'place');
     clock.at += WORKER_SLACK_MS + 100;
     leave();
     clock.at += 1;
--- a/test/http/server.test.ts
+++ b/test/http/server.test.ts
@@ -10,9 +10,9 @@
       reply({ status: 200, body: '{}' });
     },
     {
-      sockets: { inbound, crowded },
-      idleMs: { unknown: 60_000, user: 60_000, worker: 60_000 },
-      peerOf: (path) => (path === '/checkin' ? 'worker' : 'user'),
+      socketLimits: { maxInbound: inbound, workerKeepAliveLimit: crowded },
+      idleTimeoutMs: { unknown: 60_000, user: 60_000, worker: 60_000 },
+      clientKindOf: (path) => (path === '/checkin' ? 'worker' : 'user'),
       heartbeatPath: '/checkin',
       now: () => performance.now(),
     },
@@ -43,7 +43,7 @@
   for (let round = 0; round < 3; round++) {
     for (const agent of workers) {
       assert.equal(await ask(server, '/checkin', agent), 200);
-      most = Math.max(most, server.open);
+      most = Math.max(most, server.connectionCount);
     }
     assert.equal(await ask(server, '/work', user), 200);
   }
@@ -57,9 +57,9 @@
   const kept = new Agent({ keepAlive: true, maxSockets: 1 });
   assert.equal(await ask(server, '/work', kept), 200);
   const port = server.address;
-  for (let i = 0; i < 3; i++) (server as unknown as { dropQueue(): void }).dropQueue();
+  for (let i = 0; i < 3; i++) (server as unknown as { dropBacklog(): void }).dropBacklog();
   assert.equal(await ask(server, '/work', kept), 200);
-  assert.equal(server.open, 1);
+  assert.equal(server.connectionCount, 1);
   assert.equal(server.address, port);
   const fresh = new Agent();
   let status = 0;
--- a/test/jobs/support/answer-history.ts
+++ b/test/jobs/support/answer-history.ts
@@ -1,5 +1,5 @@
 /** Checks every answer to users against those that any controller gave before its request. */
-import type { Answer } from '../../../src/http/server.ts';
+import type { HttpResponse } from '../../../src/http/server.ts';
 
 export type RequestKind = 'submit' | 'poll' | 'cancel';
 
@@ -16,11 +16,11 @@
   node: number;
   kind: RequestKind;
   job: number;
-  answer: Answer | null;
+  answer: HttpResponse | null;
 }
 
 /** The stage in an answer, or null if it has none. */
-function stageOf(answer: Answer): Stage | null {
+function stageOf(answer: HttpResponse): Stage | null {
   if (answer.status === 404) return 'unknown';
   if (answer.status !== 200 && answer.status !== 201) return null;
   const { stage } = JSON.parse(answer.body) as { stage: string };
@@ -48,7 +48,7 @@
    * Records an answer. `before`: the newest stage when its request was sent. `at`: time of the answer in simulated ms.
    * Returns whether the answer advanced the newest stage.
    */
-  recordAnswer(request: UserRequest, answer: Answer, before: Stage, at: number): boolean {
+  recordAnswer(request: UserRequest, answer: HttpResponse, before: Stage, at: number): boolean {
     const stage = stageOf(answer);
     if (!stage) return false;
     this.counts[stage] += 1;
--- a/test/jobs/support/user-requests.ts
+++ b/test/jobs/support/user-requests.ts
@@ -1,7 +1,7 @@
 /** The handling of user requests over fakes, and functions that send requests to it. */
 import { defaultOptions } from '../../../src/config/options.ts';
 import { Catalog } from '../../../src/fleet/catalog.ts';
-import type { Answer, Reply } from '../../../src/http/server.ts';
+import type { HttpResponse, Reply } from '../../../src/http/server.ts';
 import type { TeamQuota } from '../../../src/jobs/admission.ts';
 import { TerminalStateCache } from '../../../src/jobs/terminal-state-cache.ts';
 import type { UserRequestDeps } from '../../../src/jobs/user-request-deps.ts';
@@ -62,29 +62,29 @@
   compareAndSwap: () => Promise.resolve({ kind: 'refused' }),
 };
 
-function answerTo(send: (reply: Reply) => void): Promise<Answer> {
+function answerTo(send: (reply: Reply) => void): Promise<HttpResponse> {
   return new Promise(send);
 }
 
-export function submit(userRequests: UserRequests, body: string): Promise<Answer> {
+export function submit(userRequests: UserRequests, body: string): Promise<HttpResponse> {
   return answerTo((reply) => {
     userRequests.submit(body, reply);
   });
 }
 
-export function poll(userRequests: UserRequests, id: string): Promise<Answer> {
+export function poll(userRequests: UserRequests, id: string): Promise<HttpResponse> {
   return answerTo((reply) => {
     userRequests.poll(id, reply);
   });
 }
 
-export function cancel(userRequests: UserRequests, id: string): Promise<Answer> {
+export function cancel(userRequests: UserRequests, id: string): Promise<HttpResponse> {
   return answerTo((reply) => {
     userRequests.cancel(id, reply);
   });
 }
 
 /** The stage in an answer, as users see it. */
-export function stageIn({ body }: Answer): unknown {
+export function stageIn({ body }: HttpResponse): unknown {
   return (JSON.parse(body) as { stage?: string }).stage;
 }
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import type { Answer } from '../../src/http/server.ts';
+import type { HttpResponse } from '../../src/http/server.ts';
 import { MAX_LOOKUP_AGE_MS } from '../../src/jobs/job-lookup.ts';
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import type { LocalLeader } from '../../src/jobs/user-request-deps.ts';
@@ -161,7 +161,7 @@
   return { userRequests, clock, peerRequests };
 }
 
-const submitJob = (userRequests: UserRequests, number: number): Promise<Answer> =>
+const submitJob = (userRequests: UserRequests, number: number): Promise<HttpResponse> =>
   submit(userRequests, sampleSubmission(jobId(number)));
 
 test('a terminal state replaces the open record, and is found before and after it is archived', async () => {
--- a/test/leader/standstill.test.ts
+++ b/test/leader/standstill.test.ts
@@ -6,8 +6,8 @@
 import { defaultOptions } from '../../src/config/options.ts';
 import { parseSettings } from '../../src/config/settings.ts';
 import { Catalog } from '../../src/fleet/catalog.ts';
-import { HttpClient, passingAgent } from '../../src/http/client.ts';
-import type { Answer } from '../../src/http/server.ts';
+import { HttpClient, createNonPersistentAgent } from '../../src/http/client.ts';
+import type { HttpResponse } from '../../src/http/server.ts';
 import { encodeTerminalRecord, encodeOpenRecord } from '../../src/jobs/records.ts';
 import { TerminalStateCache } from '../../src/jobs/terminal-state-cache.ts';
 import { UserRequests } from '../../src/jobs/user-requests.ts';
@@ -16,7 +16,7 @@
 import { RateBudget } from '../../src/store/budget.ts';
 import { KEYS } from '../../src/store/keys.ts';
 import { LeaderWriter } from '../../src/store/leader-writer.ts';
-import type { RentRequest } from '../../src/wire/cloud.ts';
+import type { ProvisioningRequest } from '../../src/wire/cloud.ts';
 import type { Item } from '../../src/wire/state.ts';
 import { decodeJob, type JobRequest } from '../../src/wire/user.ts';
 import type { Command } from '../../src/wire/worker.ts';
@@ -60,7 +60,7 @@
   readonly clock = new FakeClock();
   /** When a task was started, in milliseconds, once for each start. */
   readonly starts: number[] = [];
-  readonly rentals: RentRequest[] = [];
+  readonly rentals: ProvisioningRequest[] = [];
   readonly terminated: string[] = [];
   /** The key-value store as all controllers see it. */
   readonly store = new Map<string, unknown>();
@@ -189,7 +189,7 @@
     this.clock.at += PAUSE_MS;
   }
 
-  poll(): Promise<Answer> {
+  poll(): Promise<HttpResponse> {
     return new Promise((resolve) => {
       this.users.poll(JOB_ID, resolve);
     });
@@ -249,7 +249,7 @@
   const server: Server = createServer((_req, res) => res.end('{}'));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const agent = passingAgent(4);
+  const agent = createNonPersistentAgent(4);
   const client = new HttpClient(address, agent);
   let checks = 0;
   const expired = await client.send('POST', '/orders', '{}', 5000, () => {
--- a/test/relay/heartbeat-relay.test.ts
+++ b/test/relay/heartbeat-relay.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import type { Answer } from '../../src/http/server.ts';
+import type { HttpResponse } from '../../src/http/server.ts';
 import { encodeFrame, MAX_FRAME_BYTES } from '../../src/peers/frame-codec.ts';
 import { MAX_RESPONSE_AGE_MS } from '../../src/relay/heartbeat-relay.ts';
 import { SEED } from '../helpers.ts';
@@ -24,7 +24,7 @@
       async (sizes) => {
         const harness = new RelayHarness();
         await harness.startRelaying();
-        const answers = new Map<string, Answer>();
+        const answers = new Map<string, HttpResponse>();
         let frames = 0;
         for (const [index, [size, gapMs]] of sizes.entries()) {
           const body = `${index}:`.padEnd(size, 'x').slice(0, MAX_HEARTBEAT_BYTES);
