--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -12,5 +12,5 @@
   wall: () => Date.now(),
 };
 
-/** The steady clocks of two machines drift apart by up to 0.05%; twice that is kept as a margin. */
+/** Bound on the drift between the steady clocks of two machines: twice the expected maximum of 0.05%. */
 export const MAX_CLOCK_DRIFT_RATIO = 0.001;
--- a/src/base/event-loop-lag.ts
+++ b/src/base/event-loop-lag.ts
@@ -1,10 +1,10 @@
-/** Weight of the newest measurement. */
+/** Weight of the newest delay in the exponential moving average. */
 const NEWEST_SAMPLE_WEIGHT = 0.3;
 
 /**
- * How late a process gets to its work: how much longer than planned the pauses of a regular tick take. On a
- * node that has more to do than it can, everything that can wait has to: reports that are answered too late come
- * again, and a leader that went on with its rounds once lost all its workers' leases that way.
+ * Measures the lag of the event loop: how much later than planned a periodic tick runs. An overloaded node must postpone
+ * work that can wait: heartbeats that are answered too late are sent again, and if a leader continues its rounds
+ * regardless, the leases of all its workers expire.
  */
 export class EventLoopLag {
   private lastTickAt: number;
@@ -24,11 +24,11 @@
     this.meanDelayMs += (delayMs - this.meanDelayMs) * NEWEST_SAMPLE_WEIGHT;
   }
 
-  /** What has not ticked yet counts, too. */
+  /** The lag in milliseconds. A tick that is overdue counts as well. */
   currentMs(): number {
     return Math.max(this.meanDelayMs, this.now() - this.lastTickAt - this.tickIntervalMs);
   }
 }
 
-/** From here on a node is busy: what can wait, waits. */
+/** From this lag on a node is busy, and work that can wait is postponed. */
 export const MIN_BUSY_LAG_MS = 300;
--- a/src/http/backlog.ts
+++ b/src/http/backlog.ts
@@ -1,9 +1,10 @@
 /**
- * Tells how long connections may have been waiting to be accepted. The event loop accepts one a turn; while every
- * turn brings one, the queue has not been empty, and whoever is accepted now may have come when that began.
+ * Estimates how long connections may have waited in the accept queue. The event loop accepts one connection per
+ * iteration. While each iteration accepts one, the queue has not been empty, and the connection that is accepted now may
+ * have been queued since that period began.
  *
- * A new leader once took up connections in the order of their coming for a quarter of a minute: when it came to one,
- * its worker had given up waiting and stood at the end of the queue again, and so all leases ran out.
+ * If a new leader accepts a long queue in order, for example for 15 s, each worker has timed out before its connection
+ * is accepted and is queued again at the end, so all leases expire.
  */
 export class Backlog {
   private nonEmptySince: number | null = null;
@@ -12,11 +13,11 @@
 
   constructor(
     private readonly now: () => number,
-    /** Whoever has waited this long is most likely gone. */
+    /** A client that has waited this long has most likely timed out, in milliseconds. */
     private readonly staleAfterMs: number,
   ) {}
 
-  /** A connection was accepted. True: the queue is stale and should be dropped, so that who waits asks anew. */
+  /** A connection was accepted. True: the queue is stale and should be dropped, so that its clients reconnect. */
   recordAccept(): boolean {
     this.lastAcceptIteration = this.iteration;
     const now = this.now();
@@ -26,7 +27,7 @@
     return true;
   }
 
-  /** A turn of the event loop is over. False: it brought no connection, so the queue was empty. */
+  /** An iteration of the event loop is over. False: it accepted no connection, so the queue was empty. */
   endIteration(): boolean {
     const hasAccepted = this.lastAcceptIteration === this.iteration;
     this.iteration += 1;
