--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -8,7 +8,7 @@
 
 /** Sends requests to one host. Requests are never repeated here. */
 export interface HttpSender {
-  /** `wanted`: whether the request may still be sent, asked right before it is written. */
+  /** `shouldSend`: whether the request may still be sent; called right before it is written. */
   send(
     method: string,
     path: string,
@@ -32,8 +32,9 @@
 }
 
 /**
- * For many hosts that are each spoken to seldom. Kept connections to hundreds of workers, beside those that the
- * workers keep to us, once used up the sockets of the node, and new workers could not connect any more.
+ * An agent without persistent connections, for many hosts that each get few requests. Kept connections to hundreds of
+ * workers, in addition to those that the workers keep open to this node, use up the sockets of the node, and new workers
+ * can't connect.
  */
 export function createNonPersistentAgent(maxTotalSockets: number): Agent {
   return new Agent({ keepAlive: false, maxTotalSockets, noDelay: true });
@@ -45,7 +46,7 @@
   private readonly host: string;
   private readonly port: number;
 
-  /** `via`: an agent shared with other hosts, or how many sockets this host may have. */
+  /** `agentOrMaxSockets`: an agent shared with other hosts, or the maximum number of sockets to this host. */
   constructor(address: string, agentOrMaxSockets: Agent | number) {
     const colon = address.lastIndexOf(':');
     this.host = address.slice(0, colon);
@@ -55,8 +56,8 @@
   }
 
   /**
-   * `wanted` is asked once the connection stands, right before the request is written: a process may stand still
-   * while it connects, and what it meant to send then may no longer be its to send.
+   * `shouldSend` is called once the connection is established, right before the request is written: the process may be
+   * paused while it connects, and may have lost the right to send the request meanwhile.
    */
   send(
     method: string,
--- a/src/http/connections.ts
+++ b/src/http/connections.ts
@@ -1,15 +1,15 @@
-/** Who is at the other end, as far as the requests tell. */
+/** The kind of client of a connection, as its requests show. */
 export type ClientKind = 'unknown' | 'worker' | 'user';
 
 /** How many of a node's sockets the HTTP server may use. */
 export interface SocketLimits {
-  /** Connections that may be open to the HTTP server at once; more are closed as they come. */
+  /** Connections that may be open to the HTTP server at once; further ones are closed on arrival. */
   maxInbound: number;
-  /** From so many on, a worker's connection is closed with the answer to its report. */
+  /** From this number of open connections on, a worker's connection is closed with the response to its heartbeat. */
   workerKeepAliveLimit: number;
 }
 
-/** Sockets that the node needs beside the HTTP server and commands to workers: state service, cloud, other controllers. */
+/** Sockets reserved for other outbound connections than commands to workers: state service, cloud, other controllers. */
 const OTHER_OUTBOUND_SOCKETS = 64;
 const WORKER_KEEP_ALIVE_RATIO = 0.85;
 
@@ -29,9 +29,9 @@
 }
 
 /**
- * The open connections of the HTTP server, and which of them to close. Machines that end or are cut off never close
- * theirs: over a day of a thousand machines such connections took all sockets of a node, and healthy workers, users
- * and health checks could not connect any more.
+ * The open connections of the HTTP server, and which of them to close. Machines that are terminated or partitioned never
+ * close their connections. With a thousand machines, such connections take all sockets of a node within a day, and
+ * healthy workers, users and health checks can't connect.
  */
 export class Connections<K> {
   private readonly entries = new Map<K, ConnectionState>();
@@ -39,7 +39,7 @@
   constructor(
     private readonly now: () => number,
     private readonly workerKeepAliveLimit: number,
-    /** How long each kind may be silent between two requests. */
+    /** Maximum time without a request, for each kind of client. */
     private readonly idleTimeoutMs: Record<ClientKind, number>,
   ) {}
 
@@ -68,7 +68,7 @@
     entry.requestsInProgress += 1;
   }
 
-  /** Its answer leaves; false: the connection is to be closed with it. */
+  /** The response to a request is sent. False: the connection is to be closed with it. */
   finishRequest(key: K): boolean {
     const entry = this.entries.get(key);
     if (!entry) return true;
@@ -77,7 +77,7 @@
     return entry.clientKind !== 'worker' || this.entries.size < this.workerKeepAliveLimit;
   }
 
-  /** Connections that have been silent for longer than their kind ever is. */
+  /** Connections that have been idle for longer than the timeout of their kind. */
   findIdle(): K[] {
     const now = this.now();
     const idleKeys: K[] = [];
--- a/src/http/limit.ts
+++ b/src/http/limit.ts
@@ -1,9 +1,10 @@
-/** Time over the best that a user's request may take before the limit is cut. */
+/** Time above the tolerated multiple of the best duration that a user's request may take before the limit is lowered. */
 export const USER_SLACK_MS = 300;
 /**
- * A worker waits 4 s for its answer, and one that is refused comes back by way of two other nodes, over new
- * connections: refusing costs more than answering, unless answers would come too late. With the slack of users each
- * long round cut the limit until a slow leader answered a third of its workers, and the others' leases ran out.
+ * The same for a worker's heartbeat. A worker waits 4 s for the response, and one that is refused retries through two
+ * other nodes, over new connections: refusing costs more than answering, unless responses would come too late. With the
+ * slack of users, each long round lowers the limit until a slow leader answers a third of its workers, and the leases of
+ * the other workers expire.
  */
 export const WORKER_SLACK_MS = 1500;
 
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -6,7 +6,7 @@
 import { createResponseHeaders } from './response.ts';
 
 const MAX_BODY_BYTES = 64 * 1024;
-/** Workers wait for 4 s and users for 2 or 5 s: who has waited this long to be accepted will soon have given up. */
+/** Workers wait for 4 s and users for 2 or 5 s: a client that has waited this long to be accepted soon times out. */
 const STALE_BACKLOG_MS = 3000;
 const LISTEN_BACKLOG = 511;
 const IDLE_CHECK_INTERVAL_MS = 2000;
@@ -48,7 +48,7 @@
   socketLimits: SocketLimits;
   /** How long a connection of each kind may be silent. */
   idleTimeoutMs: Record<ClientKind, number>;
-  /** Who sends requests to this path. */
+  /** The kind of client that sends requests to this path. */
   clientKindOf(path: string): ClientKind;
   /** Where workers report: served without Node's `http` in its plain form. */
   heartbeatPath: string;
@@ -136,7 +136,7 @@
     this.watchBacklog();
   }
 
-  /** The first bytes of a connection tell by whom it is served. */
+  /** The first bytes of a connection decide which server handles it. */
   private awaitFirstBytes(socket: Socket): void {
     const onData = (first: Buffer): void => {
       socket.off('end', onEnd);
@@ -185,7 +185,7 @@
     setImmediate(checkIteration);
   }
 
-  /** Closes what waits to be accepted, so that nobody waits in vain; open connections stay. */
+  /** Closes the connections that wait to be accepted, so that their clients reconnect; open connections stay. */
   private dropBacklog(): void {
     this.acceptor.close();
     this.relisten();
