--- a/src/base/command-queue.ts
+++ b/src/base/command-queue.ts
@@ -1,6 +1,6 @@
 /**
- * The one owner of all state: commands queue up and are worked through in batches. Whatever comes out of a
- * batch (answers, orders, writes) leaves after it, so that one round serves everything that arrived together.
+ * Runs commands, the only code that changes the state, in batches and in order. The output of a batch (responses, commands
+ * to workers, writes) is sent after the batch, so that one scheduling round serves all requests that arrived together.
  */
 export class CommandQueue {
   private queue: (() => void)[] = [];
--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -2,7 +2,7 @@
 
 export type { Logger };
 
-/** Structured log lines on standard error. Synchronous: what was decided must be out before a kill. */
+/** Structured log lines on standard error. Written synchronously, so that no line is lost when the process is killed. */
 export function createLogger(level: string | undefined, node: string): Logger {
   const enabledLevel = level === 'debug' || level === 'error' ? level : 'info';
   return pino(
@@ -11,7 +11,7 @@
   );
 }
 
-/** Bounds how often an event is logged that others can cause at any rate. */
+/** Limits how often an event is logged that clients can cause at any rate. */
 export class RateLimitedLog {
   private lastLoggedAt = -Infinity;
   private unlogged = 0;
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -13,7 +13,7 @@
   const settings = loadSettings(args.config);
   const options = await loadOptions(args.options);
   const log = createLogger(process.env.LOG_LEVEL, settings.host_name);
-  // The owner catches faults of its commands; whatever else slips through is logged rather than ending all work.
+  // The command queue catches the errors of its commands; all other errors are logged instead of ending the process.
   process.on('uncaughtException', (error) => {
     log.error({ error: errorText(error) }, 'uncaught');
   });
@@ -63,7 +63,7 @@
 
 /** Runs the command line. Sets exit code 2 for wrong usage, invalid settings or a failed start; never rejects. */
 export async function main(argv: readonly string[]): Promise<void> {
-  // A reader that has seen enough, such as head, is no failure.
+  // A reader that closes the pipe early, such as `head`, is no failure.
   process.stdout.on('error', () => {
     process.exit();
   });
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -4,9 +4,9 @@
 const amount = z.number().check(z.minimum(0));
 const hostPort = z.string().check(z.regex(/^[^:\s]+:\d{1,5}$/));
 const positiveInt = z.int().check(z.minimum(1));
-/** Below these no service is possible: calls to the state service, the cloud and the others need this many sockets. */
+/** Calls to the state service, the cloud and the other controllers need at least this many sockets. */
 const socketCount = z.int().check(z.minimum(32));
-/** A job's end, its final state and the writer's fence go together. */
+/** A transaction holds at least the end of a job, its terminal state and the writer's fence. */
 const transactionOps = z.int().check(z.minimum(3));
 /** A job's record must fit a value. */
 const valueSizeKb = z.number().check(z.minimum(1));
--- a/src/http/heartbeat-connection.ts
+++ b/src/http/heartbeat-connection.ts
@@ -3,7 +3,7 @@
 import { encodeResponse } from './response.ts';
 import type { HttpResponse } from './server.ts';
 
-/** A request head this long is no report. */
+/** A longer request head is not that of a heartbeat. */
 const MAX_HEAD_BYTES = 8 * 1024;
 const HEAD_END = Buffer.from('\r\n\r\n');
 
--- a/src/http/heartbeat-head.ts
+++ b/src/http/heartbeat-head.ts
@@ -5,7 +5,7 @@
   contentLength: number;
 }
 
-/** Headers that say nothing of how the message is read, or do so in the plain way. */
+/** A header field: its name and its value. */
 const HEADER_FIELD = /^([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*(.*?)[ \t]*$/;
 const CONTENT_LENGTH = /^\d{1,9}$/;
 /** Headers that change how the body or the connection is read; only Node's `http` handles them. */
--- a/test/http/connections.test.ts
+++ b/test/http/connections.test.ts
@@ -51,7 +51,7 @@
   );
 });
 
-test('connections that fell silent are found, those with an answer due never', () => {
+test('idle connections are found, except those with a request in progress', () => {
   const clock = new FakeClock();
   const connections = new Connections<string>(() => clock.now(), 100, IDLE);
   for (const key of ['dead worker', 'worker', 'user', 'waiting', 'says nothing']) connections.add(key);
@@ -112,7 +112,7 @@
   return served.size;
 }
 
-test('a queue of those who have given up is dropped, so that all workers are served within a lease', () => {
+test('a stale accept queue is dropped, so that all workers are served within a lease', () => {
   assert.equal(storm(true), 500);
   // Without that, whoever is accepted has gone away meanwhile.
   assert.ok(storm(false) < 400, `${storm(false)}`);
