--- a/test/http/connections.test.ts
+++ b/test/http/connections.test.ts
@@ -75,8 +75,8 @@
 });
 
 /**
- * Workers that wait 4 s for their answer and then come again, at a node that accepts them one by one in the order
- * of their coming, more slowly than they come.
+ * Workers wait 4 s for a response and then reconnect. The node accepts connections in the order of their arrival, more
+ * slowly than they arrive. Returns the number of workers that are served.
  */
 function storm(drop: boolean): number {
   const clock = new FakeClock();
@@ -114,7 +114,7 @@
 
 test('a stale accept queue is dropped, so that all workers are served within a lease', () => {
   assert.equal(storm(true), 500);
-  // Without that, whoever is accepted has gone away meanwhile.
+  // If it is not dropped, the workers have timed out before they are accepted.
   assert.ok(storm(false) < 400, `${storm(false)}`);
 });
 
--- a/test/http/limit.test.ts
+++ b/test/http/limit.test.ts
@@ -7,7 +7,7 @@
 import { RateBudget } from '../../src/store/budget.ts';
 import { FakeClock, SEED } from '../helpers.ts';
 
-test('the limit falls while times grow and rises again when they are good', () => {
+test('the limit falls while requests are slow and rises again when they are fast', () => {
   const clock = new FakeClock();
   const limit = new AdaptiveLimit(() => clock.now(), {
     initial: 16,
@@ -58,8 +58,8 @@
 });
 
 test('long rounds of a slow leader do not make it refuse its workers', () => {
-  // Each stall once cut the limit, to a tenth in the end: refused workers came back by way of two other nodes, which
-  // kept the leader slow, until most leases had run out.
+  // If each stall lowers the limit, it ends at a tenth: refused workers retry through two other nodes, which keeps the
+  // leader slow, until most leases have expired.
   const clock = new FakeClock();
   const { workers_min } = defaultOptions().http;
   const sockets = 1500;
--- a/test/wire/codecs.test.ts
+++ b/test/wire/codecs.test.ts
@@ -34,7 +34,7 @@
 });
 
 test('the third shape, which users send on real processes only, is an array that ends when it is cancelled', () => {
-  // It is not on the protocol's page, and was rejected as malformed until the check on real processes asked for it.
+  // The protocol's page doesn't list this shape, but the check on real processes sends it.
   const read = decodeJob(withField(JOB, 'shape', 'daemon'));
   assert.ok(read.ok && !read.value.gang);
 });
@@ -88,7 +88,7 @@
 });
 
 test('a deletion without a value is an event like any other', () => {
-  // A watch response with a deletion was once rejected whole, and the leader learnt of no job until it listed again.
+  // If the whole watch response is rejected, the leader learns of no job until it lists the keys again.
   const read = decodeEvents(
     '{"ledger":433,"log":[{"drop":"c/d","stamp":432},{"set":"c/e","data":1,"stamp":433}]}',
   );
