--- a/src/sim/cloud.ts
+++ b/src/sim/cloud.ts
@@ -1,4 +1,4 @@
-import type { Answer } from '../http/server.ts';
+import type { HttpResponse } from '../http/server.ts';
 import { TokenBucket } from './bucket.ts';
 import type { Exchange, Host, FaultWindow } from './network.ts';
 import { parseJson, type MachineType, type RentBody } from './protocol.ts';
@@ -44,7 +44,7 @@
 /** A failed machine stays listed as running for this long. */
 const FAILED_LISTED_MS = 30_000;
 
-const answer = (status: number, body: object): Answer => ({ status, body: JSON.stringify(body) });
+const answer = (status: number, body: object): HttpResponse => ({ status, body: JSON.stringify(body) });
 
 /** The cloud: provisions machines, takes them back, and lists them with a lag. */
 export class SimCloud implements Host {
@@ -138,7 +138,7 @@
     return type.startupS * 1000 * this.random.between(BOOT_TIME_RATIO.min, BOOT_TIME_RATIO.max);
   }
 
-  private rentMachines(text: string, reply: (answer: Answer) => void): void {
+  private rentMachines(text: string, reply: (answer: HttpResponse) => void): void {
     const body = parseJson(text) as RentBody | null;
     const type = this.options.types.find((t) => t.name === body?.oven);
     if (
@@ -166,7 +166,7 @@
     if (!this.random.chance(this.options.lostAnswers)) reply(answer(200, { hearths: machines }));
   }
 
-  private returnMachines(text: string): Answer {
+  private returnMachines(text: string): HttpResponse {
     const names = (parseJson(text) as { hearths?: string[] } | null)?.hearths;
     if (!names || names.length > MAX_MACHINES_PER_RETURN) return answer(400, { error: 'malformed' });
     for (const name of names) {
@@ -179,7 +179,7 @@
   }
 
   /** Lists the machines as of some seconds ago. */
-  private listMachines(query: URLSearchParams): Answer {
+  private listMachines(query: URLSearchParams): HttpResponse {
     const since = query.get('since') ?? '';
     const limit = Math.min(MAX_LISTED_MACHINES, Number(query.get('most') ?? MAX_LISTED_MACHINES));
     const lagMs = this.limits.list_lag_s * 1000 * (this.random.chance(0.1) ? 2 : 1);
--- a/src/sim/network.ts
+++ b/src/sim/network.ts
@@ -1,5 +1,5 @@
 import type { HttpResult } from '../http/client.ts';
-import type { Answer, HttpRequest } from '../http/server.ts';
+import type { HttpResponse, HttpRequest } from '../http/server.ts';
 import type { EventQueue } from './queue.ts';
 import type { Random } from './random.ts';
 
@@ -24,7 +24,7 @@
   request: HttpRequest;
   /** When the request was sent, in milliseconds of simulated time. */
   sentAt: number;
-  reply: (answer: Answer) => void;
+  reply: (answer: HttpResponse) => void;
 }
 
 /** Whether a message is a request or the answer to one. */
@@ -123,13 +123,13 @@
       const onRefused = (): void => {
         settle({ kind: 'silent', sent: false, reason: 'ECONNREFUSED' });
       };
-      const answer = ({ status, body, retryAfterS }: Answer): void => {
+      const answer = ({ status, body, retryAfterS }: HttpResponse): void => {
         observe(to, from, status, retryAfterS === undefined ? body : `${body} retry after ${retryAfterS} s`);
         this.transmit(to, from, 'answer', () => {
           settle({ kind: 'answer', status, body, retryAfterS: retryAfterS ?? null });
         });
       };
-      const deliver = (reply: (answer: Answer) => void): void => {
+      const deliver = (reply: (answer: HttpResponse) => void): void => {
         this.transmit(
           from,
           to,
--- a/src/sim/state.ts
+++ b/src/sim/state.ts
@@ -1,5 +1,5 @@
 import { required } from '../base/required.ts';
-import type { Answer, HttpRequest } from '../http/server.ts';
+import type { HttpResponse, HttpRequest } from '../http/server.ts';
 import { TokenBucket } from './bucket.ts';
 import type { Exchange, Host, FaultWindow } from './network.ts';
 import { parseJson, type TransactionBody } from './protocol.ts';
@@ -37,7 +37,7 @@
   prefix: string;
   since: number;
   deadline: number;
-  reply: (answer: Answer) => void;
+  reply: (answer: HttpResponse) => void;
 }
 
 const MAX_RETAINED_CHANGES = 10_000;
@@ -48,7 +48,7 @@
 /** A lease ends up to this much after its expiry. */
 const MAX_LEASE_SLACK_MS = 100;
 
-const answer = (status: number, body: object): Answer => ({ status, body: JSON.stringify(body) });
+const answer = (status: number, body: object): HttpResponse => ({ status, body: JSON.stringify(body) });
 const UNAVAILABLE = answer(503, { error: 'unavailable' });
 const MALFORMED = answer(400, { error: 'malformed' });
 
@@ -124,7 +124,7 @@
   }
 
   serve({ from, request, reply }: Exchange): void {
-    const replyWhenReady = (a: Answer | null): void => {
+    const replyWhenReady = (a: HttpResponse | null): void => {
       if (a === null) return;
       if (this.queue.nowMs >= this.slowUntil) reply(a);
       else
@@ -157,7 +157,7 @@
 
   // ---- reads ----
 
-  private getItem(key: string): Answer {
+  private getItem(key: string): HttpResponse {
     const entry = this.data.get(key);
     if (!entry) return answer(404, { ledger: this.revision });
     return answer(200, {
@@ -168,7 +168,7 @@
     });
   }
 
-  private listItems(query: URLSearchParams): Answer {
+  private listItems(query: URLSearchParams): HttpResponse {
     const prefix = query.get('starts') ?? '';
     const since = query.get('since') ?? '';
     const limit = Math.min(MAX_LISTED_ITEMS, Number(query.get('most') ?? MAX_LISTED_ITEMS));
@@ -182,7 +182,7 @@
 
   // ---- transactions ----
 
-  private runTransaction(from: Host, body: string): Answer | null {
+  private runTransaction(from: Host, body: string): HttpResponse | null {
     const parsed = parseJson(body) as TransactionBody | null;
     if (!parsed || !this.isWithinLimits(parsed, body)) return MALFORMED;
     if (!this.writes.take(parsed.then?.length ?? 0)) return answer(429, { error: 'too many writes' });
@@ -212,7 +212,7 @@
     );
   }
 
-  private applyTransaction(from: Host, body: TransactionBody): Answer {
+  private applyTransaction(from: Host, body: TransactionBody): HttpResponse {
     const failed = (body.if ?? []).filter((c) => (this.data.get(c.k)?.version ?? 0) !== c.stamp);
     const changes = body.then ?? [];
     if (changes.some((c) => 'set' in c && c.permit !== undefined && !this.leases.has(c.permit))) {
@@ -246,7 +246,7 @@
 
   // ---- leases ----
 
-  private handleLeaseRequest(request: HttpRequest, path: string): Answer {
+  private handleLeaseRequest(request: HttpRequest, path: string): HttpResponse {
     const [, , id, action] = path.split('/');
     if (id === undefined) {
       const ttlMs = (parseJson(request.body) as { ttlMs?: number } | null)?.ttlMs;
@@ -288,7 +288,7 @@
 
   // ---- watches ----
 
-  private startWatch(from: Host, query: URLSearchParams, reply: (answer: Answer) => void): void {
+  private startWatch(from: Host, query: URLSearchParams, reply: (answer: HttpResponse) => void): void {
     const holdMs = Math.min(60_000, Number(query.get('holdMs') ?? 0));
     const watch: Watch = {
       from,
@@ -315,7 +315,7 @@
     this.watches = waiting;
   }
 
-  private findWatchAnswer({ prefix, since, deadline }: Watch): Answer | null {
+  private findWatchAnswer({ prefix, since, deadline }: Watch): HttpResponse | null {
     const oldest = this.history[0]?.version ?? this.revision;
     if (this.history.length >= MAX_RETAINED_CHANGES && since < oldest - 1)
       return answer(410, { ledger: this.revision });
--- a/src/workers/attempt-deadlines.ts
+++ b/src/workers/attempt-deadlines.ts
@@ -1,5 +1,5 @@
 /** Decides when the leader must act on an attempt that must not run, or whose machine the cloud reclaims. */
-import { DRIFT } from '../base/clock.ts';
+import { MAX_CLOCK_DRIFT_RATIO } from '../base/clock.ts';
 import type { Attempt } from './attempt.ts';
 
 /**
@@ -43,7 +43,7 @@
 export function mustAwaitLeaseExpiry(attempt: Attempt, times: CancellationTimes, now: number): boolean {
   if (!isCancelled(attempt) || attempt.observed || !attempt.startInDoubt || attempt.awaitingLeaseExpiry)
     return false;
-  const maxUnwantedMs = times.cancelMs - times.leaseMs * (1 + DRIFT) - LEASE_EXPIRY_MARGIN_MS;
+  const maxUnwantedMs = times.cancelMs - times.leaseMs * (1 + MAX_CLOCK_DRIFT_RATIO) - LEASE_EXPIRY_MARGIN_MS;
   return attempt.trackUnwantedStart(now) >= maxUnwantedMs;
 }
 
--- a/src/workers/liveness.ts
+++ b/src/workers/liveness.ts
@@ -1,5 +1,5 @@
 /** Decides from the state of a machine and the time whether its worker is alive, in contact, and holds a lease. */
-import { DRIFT } from '../base/clock.ts';
+import { MAX_CLOCK_DRIFT_RATIO } from '../base/clock.ts';
 import type { Machine } from './machine.ts';
 
 /**
@@ -26,7 +26,9 @@
 
 /** Whether the worker's lease has surely expired, by the worker's own clock too. */
 export function hasLeaseExpired(machine: Machine, leaseMs: number, now: number): boolean {
-  return now > machine.leaseRenewedBefore + leaseMs * (1 + DRIFT) + MESSAGE_DELAY_ALLOWANCE_MS;
+  return (
+    now > machine.leaseRenewedBefore + leaseMs * (1 + MAX_CLOCK_DRIFT_RATIO) + MESSAGE_DELAY_ALLOWANCE_MS
+  );
 }
 
 /** Computes how long there has been no sign that messages pass in both directions, in milliseconds. */
--- a/test/golden/messages.test.ts
+++ b/test/golden/messages.test.ts
@@ -5,19 +5,19 @@
   CLOUD_PATHS,
   decodeCatalog,
   decodeMachineList,
-  decodeRented,
-  encodeRent,
-  encodeTermination,
+  decodeProvisionedMachines,
+  encodeProvisioningRequest,
+  encodeTerminationRequest,
   isNoCapacity,
 } from '../../src/wire/cloud.ts';
 import {
   decodeConflict,
   decodeEvents,
-  decodeGrant,
+  decodeLeaseId,
   decodeItem,
   decodeItems,
   decodeRevision,
-  encodeGrant,
+  encodeLeaseRequest,
   encodeTransaction,
   isNoLease,
   STATE_PATHS,
@@ -62,7 +62,7 @@
 });
 
 test('the body of a lease request', () => {
-  assert.equal(encodeGrant(3000), '{"ttlMs":3000}');
+  assert.equal(encodeLeaseRequest(3000), '{"ttlMs":3000}');
 });
 
 test('the paths of the state service', () => {
@@ -105,8 +105,8 @@
     decodedValues(decodeRevision('{"ledger":1.5}')),
     decodedValues(decodeConflict('{"failed":["leader","fence"]}')),
     decodedValues(decodeConflict('{"failed":"leader"}')),
-    decodedValues(decodeGrant('{"permit":77}')),
-    decodedValues(decodeGrant('{"permit":"77"}')),
+    decodedValues(decodeLeaseId('{"permit":77}')),
+    decodedValues(decodeLeaseId('{"permit":"77"}')),
     decodedValues(
       decodeEvents('{"ledger":9,"log":[{"set":"o/1","data":[1],"stamp":8},{"drop":"o/2","stamp":9}]}'),
     ),
@@ -222,12 +222,15 @@
 
 test('requests to the cloud', () => {
   const rental = { request: 'r-1', machineType: 'g8', zone: 'a', spot: true, count: 3 };
-  assert.equal(encodeRent(rental), '{"booking":"r-1","oven":"g8","yard":"a","borrowed":true,"count":3}');
-  assert.equal(encodeTermination(['n-000001', 'n-000002']), '{"hearths":["n-000001","n-000002"]}');
+  assert.equal(
+    encodeProvisioningRequest(rental),
+    '{"booking":"r-1","oven":"g8","yard":"a","borrowed":true,"count":3}',
+  );
+  assert.equal(encodeTerminationRequest(['n-000001', 'n-000002']), '{"hearths":["n-000001","n-000002"]}');
   const paths = [
     CLOUD_PATHS.types,
-    CLOUD_PATHS.rent,
-    CLOUD_PATHS.returned,
+    CLOUD_PATHS.provision,
+    CLOUD_PATHS.terminate,
     CLOUD_PATHS.list('', 500),
     CLOUD_PATHS.list('n/1', 500),
   ];
@@ -246,8 +249,8 @@
 test('answers of the cloud are decoded', () => {
   const machine = '"uid":"n-1","oven":"g8","yard":"a","borrowed":false';
   const read = [
-    decodedValues(decodeRented('{"hearths":["n-1"]}')),
-    decodedValues(decodeRented('{"hearths":[1]}')),
+    decodedValues(decodeProvisionedMachines('{"hearths":["n-1"]}')),
+    decodedValues(decodeProvisionedMachines('{"hearths":[1]}')),
     decodedValues(
       decodeMachineList(
         `{"hearths":[{${machine},"address":"10.1.0.1:9000","stage":"starting","ageS":3},{${machine},"stage":"running"},{${machine},"stage":"failed"},{${machine},"stage":"novelty"}],"hasNext":true}`,
