--- a/src/base/batch-pacer.ts
+++ b/src/base/batch-pacer.ts
@@ -5,20 +5,20 @@
   after(ms: number, run: () => void): void;
 }
 
-/** Keeps a least time between two batches: the first is sent at once, what comes meanwhile waits for the next. */
+/** Keeps a minimum interval between batches. The first is sent at once; items that arrive within the interval wait. */
 export class BatchPacer {
   private lastSentAt = -Infinity;
   private scheduled = false;
 
   constructor(
     private readonly timers: PacerTimers,
-    /** Least time between two batches, in milliseconds. */
+    /** Minimum time between two batches, in milliseconds. */
     private readonly minIntervalMs: number,
-    /** Sends what waits, and calls `recordBatch` for each batch. */
+    /** Sends the waiting items, and calls `recordBatch` for each batch. */
     private readonly flush: () => void,
   ) {}
 
-  /** Something waits: flushes now or when the gap is over. */
+  /** Called when items are waiting: flushes now, or when the minimum interval is over. */
   schedule(): void {
     if (this.scheduled) return;
     const waitMs = this.lastSentAt + this.minIntervalMs - this.timers.now();
@@ -33,7 +33,7 @@
     });
   }
 
-  /** A batch is sent now; the gap counts from here. */
+  /** Called for each batch that is sent: the minimum interval starts now. */
   recordBatch(): void {
     this.lastSentAt = this.timers.now();
   }
--- a/src/base/command-queue.ts
+++ b/src/base/command-queue.ts
@@ -1,6 +1,7 @@
 /**
- * Runs commands, the only code that changes the state, in batches and in order. The output of a batch (responses, commands
- * to workers, writes) is sent after the batch, so that one scheduling round serves all requests that arrived together.
+ * Runs commands, the only code that changes the controller's state, in order and in batches. The output of a batch
+ * (responses, commands to workers, writes) is sent after the batch, so that one scheduling round serves all requests
+ * that arrived together.
  */
 export class CommandQueue {
   private queue: (() => void)[] = [];
@@ -13,7 +14,7 @@
     private readonly defer: (run: () => void) => void = setImmediate,
   ) {}
 
-  /** Puts a command in the queue; it runs in the next batch, in order. */
+  /** Appends a command, which runs in the next batch. */
   enqueue(command: () => void): void {
     this.queue.push(command);
     if (this.scheduled) return;
--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -2,7 +2,10 @@
 
 export type { Logger };
 
-/** Structured log lines on standard error. Written synchronously, so that no line is lost when the process is killed. */
+/**
+ * Creates a logger of JSON lines on standard error. Lines are written synchronously, so that no line is lost when the
+ * process is killed.
+ */
 export function createLogger(level: string | undefined, node: string): Logger {
   const enabledLevel = level === 'debug' || level === 'error' ? level : 'info';
   return pino(
@@ -11,18 +14,20 @@
   );
 }
 
-/** Limits how often an event is logged that clients can cause at any rate. */
+/** Limits the rate of log lines about an event that clients can cause at any rate. */
 export class RateLimitedLog {
   private lastLoggedAt = -Infinity;
   private unlogged = 0;
 
   constructor(
     private readonly now: () => number,
-    /** Least time between two log lines, in milliseconds. */
+    /** Minimum time between two log lines, in milliseconds. */
     private readonly minIntervalMs: number,
   ) {}
 
-  /** Calls `log` with the number of events that were not logged since the last call, or counts this one. */
+  /**
+   * Calls `log` with the number of events not logged since the last line; within the interval it only counts the event.
+   */
   logOrCount(log: (unlogged: number) => void): void {
     const now = this.now();
     if (now - this.lastLoggedAt < this.minIntervalMs) {
--- a/src/base/name-index.ts
+++ b/src/base/name-index.ts
@@ -1,4 +1,4 @@
-/** Maps names to dense indices at the boundary; inside, everything is an index. */
+/** Assigns dense indices to names. Messages hold names; the code between decoding and encoding uses the indices. */
 export class NameIndex {
   private readonly indexByName = new Map<string, number>();
   private readonly names: string[] = [];
@@ -17,7 +17,7 @@
     return index;
   }
 
-  /** The index of a name already known, or -1. */
+  /** The index of a name, or -1 if the name has none. */
   findIndex(name: string): number {
     return this.indexByName.get(name) ?? -1;
   }
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -15,10 +15,10 @@
   const log = createLogger(process.env.LOG_LEVEL, settings.host_name);
   // The command queue catches the errors of its commands; all other errors are logged instead of ending the process.
   process.on('uncaughtException', (error) => {
-    log.error({ error: errorText(error) }, 'uncaught');
+    log.error({ error: errorText(error) }, 'uncaught exception');
   });
   process.on('unhandledRejection', (reason) => {
-    log.error({ error: errorText(reason) }, 'unhandled');
+    log.error({ error: errorText(reason) }, 'unhandled promise rejection');
   });
   await new Service(settings, options, log).start();
 }
@@ -63,7 +63,7 @@
 
 /** Runs the command line. Sets exit code 2 for wrong usage, invalid settings or a failed start; never rejects. */
 export async function main(argv: readonly string[]): Promise<void> {
-  // A reader that closes the pipe early, such as `head`, is no failure.
+  // A reader that closes the pipe early, such as `head`, is not an error.
   process.stdout.on('error', () => {
     process.exit();
   });
@@ -71,7 +71,7 @@
     await buildProgram().parseAsync([...argv]);
   } catch (error) {
     if (error instanceof CommanderError) {
-      // The library has printed its own message, or the help that was asked for.
+      // Commander has already printed its error message, or the requested help or version.
       process.exitCode = error.exitCode === 0 ? 0 : EXIT_CODE_FAILURE;
       return;
     }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -6,9 +6,9 @@
 const positiveInt = z.int().check(z.minimum(1));
 /** Calls to the state service, the cloud and the other controllers need at least this many sockets. */
 const socketCount = z.int().check(z.minimum(32));
-/** A transaction holds at least the end of a job, its terminal state and the writer's fence. */
+/** Archiving a job takes three mutations: its record is deleted, its terminal state put, and the fence key changed. */
 const transactionOps = z.int().check(z.minimum(3));
-/** A job's record must fit a value. */
+/** A value must be able to hold a job's record. */
 const valueSizeKb = z.number().check(z.minimum(1));
 const requestRate = z.number().check(z.minimum(1));
 
@@ -69,7 +69,7 @@
 /** A settings or options file that can't be used; the message names the field. */
 export class ConfigError extends Error {}
 
-/** Checks a value against a schema and names the first field that is off. */
+/** Checks a value against a schema. Throws a ConfigError that names the first invalid field. */
 export function validate<T>(kind: string, schema: z.ZodMiniType<T>, value: unknown): T {
   const result = schema.safeParse(value);
   if (result.success) return result.data;
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,12 +1,12 @@
 import { Agent, request } from 'node:http';
 
-/** How a request ended. Failures are results, not errors: what follows from them depends on `sent`. */
+/** The outcome of a request. A failure is a result and not an exception: callers handle it according to `sent`. */
 export type HttpResult =
   | { kind: 'answer'; status: number; body: string; retryAfterS: number | null }
-  /** Nothing came back in time, or the connection failed. `sent` is false only when it can't have arrived. */
+  /** No response arrived in time, or the connection failed. `sent`: false only if the host can't have received it. */
   | { kind: 'silent'; sent: boolean; reason: string };
 
-/** Sends requests to one host. Requests are never repeated here. */
+/** Sends requests to one host. It never retries a request. */
 export interface HttpSender {
   /** `shouldSend`: whether the request may still be sent; called right before it is written. */
   send(
@@ -21,7 +21,7 @@
 
 const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
-/** An agent that keeps up to `socketsPerHost` connections to each host open between requests. */
+/** Returns an agent that keeps up to `maxSocketsPerHost` connections to each host open between requests. */
 function createKeepAliveAgent(maxSocketsPerHost: number): Agent {
   return new Agent({
     keepAlive: true,
@@ -32,15 +32,15 @@
 }
 
 /**
- * An agent without persistent connections, for many hosts that each get few requests. Kept connections to hundreds of
- * workers, in addition to those that the workers keep open to this node, use up the sockets of the node, and new workers
- * can't connect.
+ * Returns an agent without persistent connections, for many hosts that each get few requests. Open connections to
+ * hundreds of workers, in addition to those that the workers keep open to this node, use up the sockets of the node,
+ * and new workers can't connect.
  */
 export function createNonPersistentAgent(maxTotalSockets: number): Agent {
   return new Agent({ keepAlive: false, maxTotalSockets, noDelay: true });
 }
 
-/** One host and port, with kept-alive connections. Requests are never repeated here. */
+/** Sends requests to one host and port over the connections of an agent. It never retries a request. */
 export class HttpClient implements HttpSender {
   private readonly agent: Agent;
   private readonly host: string;
@@ -57,7 +57,7 @@
 
   /**
    * `shouldSend` is called once the connection is established, right before the request is written: the process may be
-   * paused while it connects, and may have lost the right to send the request meanwhile.
+   * paused while it connects, and may lose the right to send the request in that time.
    */
   send(
     method: string,
@@ -86,7 +86,7 @@
           let size = 0;
           res.on('data', (chunk: Buffer) => {
             size += chunk.length;
-            if (size > MAX_RESPONSE_BYTES) req.destroy(new Error('answer too long'));
+            if (size > MAX_RESPONSE_BYTES) req.destroy(new Error('response is over 64 MiB'));
             else chunks.push(chunk);
           });
           res.on('end', () => {
@@ -113,7 +113,7 @@
       const writeRequest = (): void => {
         if (settled) return;
         if (shouldSend?.() === false) {
-          settle({ kind: 'silent', sent: false, reason: 'no longer wanted' });
+          settle({ kind: 'silent', sent: false, reason: 'request no longer allowed' });
           req.destroy();
           return;
         }
--- a/src/http/connections.ts
+++ b/src/http/connections.ts
@@ -1,4 +1,4 @@
-/** The kind of client of a connection, as its requests show. */
+/** The kind of client of a connection, derived from the path of its last request. */
 export type ClientKind = 'unknown' | 'worker' | 'user';
 
 /** How many of a node's sockets the HTTP server may use. */
@@ -9,13 +9,14 @@
   workerKeepAliveLimit: number;
 }
 
-/** Sockets reserved for other outbound connections than commands to workers: state service, cloud, other controllers. */
+/** Sockets reserved for outbound connections to the state service, the cloud and other controllers. */
 const OTHER_OUTBOUND_SOCKETS = 64;
 const WORKER_KEEP_ALIVE_RATIO = 0.85;
 
 /**
- * Shares out a node's sockets. The HTTP server has what outgoing calls leave. Workers keep theirs open while there is
- * room; the last part is for users, health checks and workers that connect anew.
+ * Divides a node's sockets. The HTTP server gets those that outbound calls leave, and at least half of all. Workers
+ * keep their connections open up to `workerKeepAliveLimit`; the rest is for users, health checks and workers that
+ * reconnect.
  */
 export function computeSocketLimits(sockets: number, maxCommandConnections: number): SocketLimits {
   const inbound = Math.max(Math.ceil(sockets / 2), sockets - maxCommandConnections - OTHER_OUTBOUND_SOCKETS);
@@ -29,9 +30,9 @@
 }
 
 /**
- * The open connections of the HTTP server, and which of them to close. Machines that are terminated or partitioned never
- * close their connections. With a thousand machines, such connections take all sockets of a node within a day, and
- * healthy workers, users and health checks can't connect.
+ * The open connections of the HTTP server, and which of them to close. Machines that are terminated or partitioned
+ * never close their connections. With a thousand machines, such connections take all sockets of a node within a day,
+ * and healthy workers, users and health checks can't connect.
  */
 export class Connections<K> {
   private readonly entries = new Map<K, ConnectionState>();
@@ -59,7 +60,7 @@
     this.entries.delete(key);
   }
 
-  /** A request has arrived in full. */
+  /** A request has been received in full. */
   startRequest(key: K, clientKind: ClientKind): void {
     const entry = this.entries.get(key);
     if (!entry) return;
@@ -68,7 +69,7 @@
     entry.requestsInProgress += 1;
   }
 
-  /** The response to a request is sent. False: the connection is to be closed with it. */
+  /** The response to a request is about to be sent. False: the connection must be closed after it. */
   finishRequest(key: K): boolean {
     const entry = this.entries.get(key);
     if (!entry) return true;
--- a/src/http/heartbeat-connection.ts
+++ b/src/http/heartbeat-connection.ts
@@ -7,21 +7,23 @@
 const MAX_HEAD_BYTES = 8 * 1024;
 const HEAD_END = Buffer.from('\r\n\r\n');
 
-/** What the server does about the events of a report connection. */
+/** Callbacks for the events of a heartbeat connection. */
 export interface HeartbeatConnectionEvents {
-  /** A report has arrived in full. The reply may be called once, at any time. */
-  onHeartbeat(body: string, reply: (answer: HttpResponse) => void): void;
-  /** Something else has arrived: the connection goes to the general HTTP server, with these bytes first. */
+  /**
+   * A heartbeat has been received in full. `reply` may be called at any later time; calls after the first do nothing.
+   */
+  onHeartbeat(body: string, reply: (response: HttpResponse) => void): void;
+  /** The next request is not a plain heartbeat: Node's `http` takes over the connection, starting with these bytes. */
   onHandOver(unread: Buffer): void;
-  /** An answer leaves. False: the connection is to be closed with it. */
+  /** A response is about to be sent. False: the connection must be closed after it. */
   onResponse(): boolean;
 }
 
 /**
- * Serves the reports of one worker's connection without the general HTTP server, whose objects for each request and
- * response cost several times what the report itself does. It reads one plain form only: `POST` of one path with a
- * content length, one request at a time, as workers send them. The first bytes that differ go to Node's `http`, which
- * serves the rest of the connection.
+ * Serves the heartbeats of one worker's connection without Node's `http`, whose objects for each request and response
+ * cost several times as much as the heartbeat itself. Only the plain form that workers send is read: a `POST` to one
+ * path with a content length, one request at a time. From the first request in another form on, Node's `http` serves
+ * the connection.
  */
 export class HeartbeatConnection {
   private unread: Buffer | null = null;
@@ -48,13 +50,13 @@
     socket.on('error', this.onError);
   }
 
-  /** Takes in bytes that the other side has sent. */
+  /** Processes bytes that the worker has sent. */
   onBytes(chunk: Buffer): void {
     this.unread = this.unread === null ? chunk : Buffer.concat([this.unread, chunk]);
     this.readHeartbeat();
   }
 
-  /** Reads the next report, if it is complete and the one before is answered. */
+  /** Reads the next heartbeat, if it is complete and the previous one has been answered. */
   private readHeartbeat(): void {
     const { unread } = this;
     if (unread === null || this.responseDue) return;
@@ -64,7 +66,7 @@
       return;
     }
     const text = unread.toString('latin1', 0, headEnd);
-    // The head of a worker's reports changes only with the length of the body.
+    // The head of a worker's heartbeats changes only with the length of the body, so the parsed head is reused.
     if (this.head?.text !== text) this.head = parseHeartbeatHead(text, this.path);
     if (this.head === null || this.head.contentLength > this.maxBodyBytes) {
       this.handOver();
@@ -76,19 +78,19 @@
     this.unread = unread.length === bodyEnd ? null : unread.subarray(bodyEnd);
     this.responseDue = true;
     let answered = false;
-    this.events.onHeartbeat(unread.toString('utf8', bodyStart, bodyEnd), (answer) => {
-      // A second answer must not go to the next report.
+    this.events.onHeartbeat(unread.toString('utf8', bodyStart, bodyEnd), (response) => {
+      // A second response would be taken for that to the next heartbeat.
       if (answered) return;
       answered = true;
-      this.sendResponse(answer);
+      this.sendResponse(response);
     });
   }
 
-  private sendResponse(answer: HttpResponse): void {
+  private sendResponse(response: HttpResponse): void {
     this.responseDue = false;
     const keepOpen = this.events.onResponse() && !this.socket.readableEnded;
     if (this.socket.destroyed) return;
-    const bytes = encodeResponse(answer, keepOpen);
+    const bytes = encodeResponse(response, keepOpen);
     if (!keepOpen) {
       this.socket.end(bytes);
       return;
@@ -107,7 +109,7 @@
   }
 }
 
-/** True while the bytes are the beginning of a request for the path. */
+/** True if the bytes may be the start of a `POST` to the path: they agree with its request line as far as they go. */
 export function isHeartbeatPrefix(bytes: Buffer, path: string): boolean {
   const start = `POST ${path} HTTP/1.1\r\n`;
   const length = Math.min(start.length, bytes.length);
--- a/src/http/limit.ts
+++ b/src/http/limit.ts
@@ -1,17 +1,19 @@
-/** Time above the tolerated multiple of the best duration that a user's request may take before the limit is lowered. */
+/**
+ * Time above the tolerated multiple of the best duration that a user's request may take before the limit is lowered.
+ */
 export const USER_SLACK_MS = 300;
 /**
  * The same for a worker's heartbeat. A worker waits 4 s for the response, and one that is refused retries through two
  * other nodes, over new connections: refusing costs more than answering, unless responses would come too late. With the
- * slack of users, each long round lowers the limit until a slow leader answers a third of its workers, and the leases of
- * the other workers expire.
+ * slack of users, each long round lowers the limit until a slow leader answers a third of its workers, and the leases
+ * of the other workers expire.
  */
 export const WORKER_SLACK_MS = 1500;
 
 /**
- * A limit on requests in progress that adjusts itself to measured times: additive increase, multiplicative
- * decrease against the best time seen lately (the scheme of TCP Vegas, as used for service concurrency).
- * Over the limit a request is refused at once.
+ * A limit on requests in progress that adapts to measured durations. Durations are compared with the shortest recent
+ * one: additive increase while they stay near it, multiplicative decrease when they don't (the scheme of TCP Vegas, as
+ * used for service concurrency). A request over the limit is refused at once.
  */
 export class AdaptiveLimit {
   private limit: number;
@@ -33,7 +35,7 @@
     this.limit = options.initial;
   }
 
-  /** Takes a place, or returns null when the request must be refused. The result is called when it is over. */
+  /** Counts a request as in progress and returns the function that ends it; null if the request must be refused. */
   acquire(): (() => void) | null {
     if (this.inProgress >= Math.floor(this.limit)) return null;
     this.inProgress += 1;
@@ -51,13 +53,13 @@
     const now = this.now();
     const nearLimit = this.inProgress >= this.limit / 2;
     this.inProgress -= 1;
-    // The best time is forgotten after a while, so that a lasting change of the machine is learnt.
+    // The best duration expires, so that the limit adapts to a lasting change in the speed of the machine.
     if (durationMs < this.bestMs || now - this.bestAt > 30_000) {
       this.bestMs = durationMs;
       this.bestAt = now;
     }
     if (durationMs > this.bestMs * tolerance + slackMs) {
-      // One cut per congestion: requests that were in progress together are one piece of news.
+      // One decrease per congestion: a request that was in progress at the last decrease causes no further one.
       if (now - this.lastDecreaseAt > durationMs) {
         this.limit = Math.max(min, this.limit * 0.8);
         this.lastDecreaseAt = now;
--- a/src/http/response.ts
+++ b/src/http/response.ts
@@ -5,7 +5,7 @@
 let cachedDate = '';
 let cachedAt = -Infinity;
 
-/** The value of the `Date` header, made anew once a second. */
+/** Returns the value of the `Date` header, which is formatted at most once per second. */
 function getHttpDate(): string {
   const now = Date.now();
   if (now - cachedAt >= DATE_CACHE_MS || now < cachedAt) {
@@ -15,7 +15,7 @@
   return cachedDate;
 }
 
-/** The headers of an answer besides those of the connection. */
+/** Returns the headers that describe the body, and `Retry-After`. */
 export function createResponseHeaders(response: HttpResponse): Record<string, string | number> {
   const headers: Record<string, string | number> = {
     'content-type': 'application/json',
@@ -26,7 +26,7 @@
   return headers;
 }
 
-/** A whole response as text (RFC 9112), for connections that are served without Node's `http`. */
+/** Encodes a complete HTTP/1.1 response (RFC 9112) for connections that are served without Node's `http`. */
 export function encodeResponse(response: HttpResponse, keepOpen: boolean): string {
   let head = `HTTP/1.1 ${response.status} ${STATUS_CODES[response.status] ?? 'Unknown'}\r\n`;
   for (const [name, value] of Object.entries(createResponseHeaders(response)))
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -19,7 +19,7 @@
   retryAfterS?: number;
 }
 
-/** A request that has arrived in full; `path` is without the query. */
+/** A request that has been received in full; `path` excludes the query. */
 export interface HttpRequest {
   method: string;
   path: string;
@@ -27,7 +27,7 @@
 }
 
 /** Sends the response of one request. Calls after the first do nothing. */
-export type Reply = (answer: HttpResponse) => void;
+export type Reply = (response: HttpResponse) => void;
 /** Serves a request; the reply may be called at any later time. */
 export type Handler = (request: HttpRequest, reply: Reply) => void;
 
@@ -43,22 +43,22 @@
   res.end(response.body);
 }
 
-/** Limits of the HTTP server, and what it must know of the paths it serves. */
+/** Limits of the HTTP server, and how it classifies request paths. */
 export interface HttpServerOptions {
   socketLimits: SocketLimits;
-  /** How long a connection of each kind may be silent. */
+  /** Maximum time without a request, for each kind of client. */
   idleTimeoutMs: Record<ClientKind, number>;
   /** The kind of client that sends requests to this path. */
   clientKindOf(path: string): ClientKind;
-  /** Where workers report: served without Node's `http` in its plain form. */
+  /** Path of the workers' heartbeats; `HeartbeatConnection` serves requests for it that have the plain form. */
   heartbeatPath: string;
   /** Steady milliseconds. */
   now: () => number;
 }
 
 /**
- * The HTTP server for users, workers and health checks. Connections stay open until one side closes them: the other, or
- * this one where sockets get short or nothing was heard for long.
+ * The HTTP server for users, workers and health checks. A connection stays open until the client closes it, or until
+ * the server does because sockets are short or the connection has been idle for too long.
  */
 export class HttpServer {
   private readonly http = createHttp({ keepAliveTimeout: 0 }, (req, res) => {
@@ -96,7 +96,8 @@
       this.acceptor.listen(Number(address.slice(colon + 1)), host, LISTEN_BACKLOG, () => {
         this.listenAddress = { host, port: (this.acceptor.address() as AddressInfo).port };
         this.acceptor.off('error', reject);
-        // Only dropBacklog listens again; what is in its way is gone a moment later.
+        // From here on only dropBacklog calls listen, for the same port. What makes it fail does not last: it is
+        // retried.
         this.acceptor.on('error', () => {
           setTimeout(() => {
             this.relisten();
@@ -136,7 +137,7 @@
     this.watchBacklog();
   }
 
-  /** The first bytes of a connection decide which server handles it. */
+  /** The first bytes of a connection decide whether it is served as a heartbeat connection or by Node's `http`. */
   private awaitFirstBytes(socket: Socket): void {
     const onData = (first: Buffer): void => {
       socket.off('end', onEnd);
@@ -174,7 +175,7 @@
     connection.onBytes(first);
   }
 
-  /** Looks at the turns of the event loop for as long as each brings a connection. */
+  /** Reports each iteration of the event loop to the backlog, until one accepts no connection. */
   private watchBacklog(): void {
     if (this.watchingBacklog) return;
     this.watchingBacklog = true;
@@ -220,11 +221,11 @@
       let answered = false;
       const [first] = chunks;
       const body = chunks.length === 1 && first ? first : Buffer.concat(chunks);
-      this.handler({ method: req.method ?? 'GET', path, body: body.toString('utf8') }, (answer) => {
+      this.handler({ method: req.method ?? 'GET', path, body: body.toString('utf8') }, (response) => {
         if (answered) return;
         answered = true;
         if (!this.connections.finishRequest(socket)) res.shouldKeepAlive = false;
-        writeResponse(res, answer);
+        writeResponse(res, response);
       });
     });
     req.on('error', () => {
--- a/src/wire/amounts.ts
+++ b/src/wire/amounts.ts
@@ -1,17 +1,19 @@
-/** Building blocks of the codecs: types of fields, and decoding whose failure is a result. */
+/** Shared parts of the codecs: field types, and decoders that return a failure as a result. */
 import * as z from 'zod/mini';
 
-/** Length to which a reason is cut. */
+/** Longer reasons are truncated to this length. */
 const MAX_REASON_LENGTH = 200;
 
 /** An amount of something, such as cores, GB or seconds: a number of at least 0. */
 export const amount = z.number().check(z.minimum(0));
-/** A count, revision or numeric id. They reach 2^64 on the wire; past 2^53 they are refused, never rounded. */
+/** A count, revision or numeric id. On the wire they may reach 2^64; those past 2^53 are rejected, never rounded. */
 export const count = z.int().check(z.minimum(0));
 /** A field that may be absent or null. */
 export const orNull = <T>(type: z.ZodMiniType<T>) => z.nullish(type);
 
-/** A decoded message, or in one line why it is malformed. Malformed messages are ordinary, so this is no exception. */
+/**
+ * A decoded message, or a one-line reason why it is malformed. Malformed messages are expected, so they throw no error.
+ */
 export type Decoded<T> = { ok: true; value: T } | { ok: false; reason: string };
 
 /** Decodes JSON text; a failure carries a one-line reason. */
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,6 +1,7 @@
 /**
- * Codec of the cloud's interface: the only place of its wire names. On the wire a machine type is an `oven`, a machine a
- * `hearth`, a zone a `yard`, a spot machine `borrowed`, and the request id of a provisioning a `booking`.
+ * Codec of the cloud's interface, and the only module that uses its wire names. On the wire a machine type is an
+ * `oven`, a machine a `hearth`, a zone a `yard`, a spot machine `borrowed`, and the id of a provisioning request a
+ * `booking`.
  */
 import * as z from 'zod/mini';
 import { amount, decodeText, type Decoded } from './amounts.ts';
@@ -68,9 +69,9 @@
   };
 }
 
-/** Asks for `count` equal machines. */
+/** A request for `count` machines of one type in one zone. */
 export interface ProvisioningRequest {
-  /** Idempotency key: a request that is repeated under the same one provisions nothing twice. */
+  /** Idempotency key: a retry with the same key provisions no further machines. */
   request: string;
   machineType: string;
   zone: string;
@@ -89,13 +90,13 @@
   });
 }
 
-/** Decodes the names of the machines that were provisioned, which may be fewer than were asked for. */
+/** Decodes the names of the machines that were provisioned, which may be fewer than requested. */
 export function decodeProvisionedMachines(text: string): Decoded<string[]> {
   const decoded = decodeText(wireMachineNames, text);
   return decoded.ok ? { ok: true, value: decoded.value.hearths } : decoded;
 }
 
-/** True when a refusal says that there is no capacity, rather than that the cloud has an outage. */
+/** True if the cloud refused a request for lack of capacity, rather than because of an outage. */
 export function isNoCapacity(text: string): boolean {
   const decoded = decodeText(wireError, text);
   return decoded.ok && decoded.value.error === NO_CAPACITY_ERROR;
@@ -129,11 +130,11 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Time since the request that provisioned it, as of the list. */
+  /** Time from the request that provisioned the machine to the list. */
   ageS: number;
 }
 
-/** States by their wire names; one that this version does not know counts as running. */
+/** States by their wire names. A state that this version does not know counts as running. */
 const MACHINE_STATES: Record<string, ListedMachine['state']> = {
   starting: 'booting',
   running: 'running',
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,6 +1,6 @@
 /**
- * Codec of the key-value store (the "state service" of PROTOCOL): the only place of its wire names. On the wire a
- * revision is a `ledger`, a version a `stamp`, a lease a `permit`, a put a `set` and a delete a `drop`.
+ * Codec of the key-value store (the "state service" of PROTOCOL), and the only module that uses its wire names. On the
+ * wire a revision is a `ledger`, a version a `stamp`, a lease a `permit`, a put a `set` and a delete a `drop`.
  */
 import * as z from 'zod/mini';
 import { count, decodeText, orNull, type Decoded } from './amounts.ts';
@@ -75,7 +75,7 @@
   return { ok: true, value: { items: rows.map(toItem), more: hasNext, revision: ledger } };
 }
 
-/** Encodes a transaction: all mutations at once if every condition holds, otherwise none. */
+/** Encodes a transaction, which applies all mutations atomically if every condition holds, and otherwise none. */
 export function encodeTransaction(conditions: readonly Condition[], mutations: readonly Mutation[]): string {
   return JSON.stringify({
     if: conditions.map((condition) => ({ k: condition.key, stamp: condition.version })),
@@ -101,7 +101,7 @@
   return decoded.ok ? { ok: true, value: decoded.value.failed } : decoded;
 }
 
-/** True when a rejected transaction says that a lease has expired, rather than that it is malformed. */
+/** True if a transaction was rejected because a lease has expired, rather than as malformed. */
 export function isNoLease(text: string): boolean {
   const decoded = decodeText(wireError, text);
   return decoded.ok && decoded.value.error === NO_LEASE_ERROR;
@@ -131,7 +131,7 @@
   return { ok: true, value: { revision: decoded.value.ledger, events } };
 }
 
-/** Paths of the service. Slashes within keys are not escaped in a path, as the protocol asks. */
+/** Paths of the service. Slashes within keys are not escaped in a path, as the protocol requires. */
 export const STATE_PATHS = {
   key: (key: string) => `/store/${key}`,
   list: (prefix: string, after: string, limit: number) =>
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -1,8 +1,9 @@
 /**
- * Codec of the users' interface: the only place of its wire names. On the wire a job's class is a `batch`, its team a
- * `crew`, its tasks `loaves`, a machine type an `oven`, a zone a `yard`, an image a `recipe`; `borrowed` allows spot
- * machines, `samePlace` asks for one zone and `apart` for a spread over zones. Times are in seconds: `bakeS` the estimated
- * run time, `proofS` the checkpoint interval, `coolS` the time that a checkpoint takes, `dueS` the deadline.
+ * Codec of the users' interface, and the only module that uses its wire names. On the wire a job's class is a `batch`,
+ * its team a `crew`, its tasks `loaves`, a machine type an `oven`, a zone a `yard`, an image a `recipe`; `borrowed`
+ * allows spot machines, `samePlace` asks for one zone and `apart` for a spread over zones. Times are in seconds:
+ * `bakeS` the estimated run time, `proofS` the checkpoint interval, `coolS` the time that a checkpoint takes, `dueS`
+ * the deadline.
  */
 import * as z from 'zod/mini';
 import { amount, decodeText, decodeValue, orNull, type Decoded } from './amounts.ts';
@@ -10,7 +11,7 @@
 const MAX_TASKS = 100_000;
 const JOB_ID = /^req-\d{1,20}$/;
 
-/** `daemon` is sent by the users' checks on real processes: an array whose tasks run until it is cancelled. */
+/** `daemon` is an array whose tasks run until it is cancelled; only the users' checks on real processes send it. */
 const SHAPES = { array: 'array', ensemble: 'gang', daemon: 'array' } as const;
 const RANKS = { critical: 3, urgent: 2, standard: 1, low: 0 } as const;
 
@@ -48,13 +49,13 @@
   dueS: orNull(amount),
 });
 
-/** Larger amounts are no amounts of anything, and sums over tasks and milliseconds would lose their precision. */
+/** Larger amounts can't be meant, and sums over tasks and conversions to milliseconds would lose precision. */
 const submittedAmount = amount.check(z.maximum(Number.MAX_SAFE_INTEGER));
 const submittedName = z.string().check(z.minLength(1));
 
 /**
- * What a new submission must hold. Stricter than the stored form: a record that an earlier version accepted must
- * stay readable, whatever later versions ask of new ones.
+ * The form of a new submission. It is stricter than the stored form, since a record that an earlier version accepted
+ * must stay readable when later versions require more of new submissions.
  */
 const wireSubmission = z.extend(wireJob, {
   batch: submittedName,
@@ -72,27 +73,27 @@
   dueS: orNull(submittedAmount),
 });
 
-/** A submission in its wire form, in which it is also kept in the key-value store. */
+/** A submission in its wire form, which is also its form in the key-value store. */
 type StoredJob = z.infer<typeof wireJob>;
 
-/** A submission in the service's own terms. Teams, machine types, zones and images go by their names here. */
+/** A decoded submission. Teams, machine types, zones and images are given by name. */
 export interface JobRequest {
   id: string;
   className: string;
   team: string;
   gang: boolean;
-  /** The larger, the more urgent. */
+  /** A larger value is more urgent. */
   priority: number;
   /** Number of tasks. */
   tasks: number;
-  /** Of each task, as are `gpus` and `memory`. */
+  /** Per task, as are `gpus` and `memory`. */
   cpus: number;
   gpus: number;
   /** GB. */
   memory: number;
-  /** Machine types that are allowed; null: all. */
+  /** Allowed machine types; null: all. */
   types: string[] | null;
-  /** The zone that is asked for; null: any. */
+  /** The requested zone; null: any. */
   zone: string | null;
   /** All tasks must run in the same zone. */
   oneZone: boolean;
@@ -108,7 +109,7 @@
   checkpointIntervalS: number;
   /** Time that a task needs to save a checkpoint when it is stopped. */
   checkpointDurationS: number;
-  /** From submission to the time at which the job should be complete; null: no deadline. */
+  /** Time from the submission until the job should be complete; null: no deadline. */
   deadlineS: number | null;
   stored: StoredJob;
 }
@@ -153,7 +154,9 @@
   return mapToJobRequest(decodeValue(wireJob, raw));
 }
 
-/** The job id in a body that may otherwise be malformed: a known job is answered with its state whatever else is sent. */
+/**
+ * The job id in a body that may otherwise be malformed: the state of a known job is returned whatever the body holds.
+ */
 export function peekJobId(text: string): string | null {
   const decoded = decodeText(wireJobId, text);
   return decoded.ok && isJobId(decoded.value.uid) ? decoded.value.uid : null;
@@ -164,7 +167,7 @@
   return JOB_ID.test(id);
 }
 
-/** What a user is told of a job: its stage, and how many of its tasks have completed and are running. */
+/** The status of a job as its user sees it: its stage, and the numbers of tasks that have completed and are running. */
 export interface JobStatus {
   stage: JobStage;
   done: number;
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,7 +1,8 @@
 /**
- * Codec of the messages between workers and controllers: the only place of their wire names. On the wire a machine is a
- * `hearth`, its type an `oven`, a zone a `yard`, a spot machine `borrowed`, an incarnation a `shift`, a heartbeat's
- * sequence number a `tick`, a fencing token a `baton`, a task a `loaf`, a command an order, and the leader a `foreman`.
+ * Codec of the messages between workers and controllers, and the only module that uses their wire names. On the wire a
+ * machine is a `hearth`, its type an `oven`, a zone a `yard`, a spot machine `borrowed`, an incarnation a `shift`, a
+ * heartbeat's sequence number a `tick`, a fencing token a `baton`, a task a `loaf`, a command an order, and the leader
+ * a `foreman`.
  */
 import * as z from 'zod/mini';
 import { amount, count, decodeText, orNull, type Decoded } from './amounts.ts';
@@ -29,7 +30,7 @@
 };
 
 const TASK_PHASES = ['fetching', 'waiting', 'running', 'saving', 'ended'] as const;
-/** Where a task's attempt stands on its machine. */
+/** The phase of a task's attempt on its machine. */
 export type TaskPhase = (typeof TASK_PHASES)[number];
 
 const wireHeartbeat = z.object({
@@ -60,13 +61,15 @@
   task: number;
   attempt: number;
   phase: TaskPhase;
-  /** Set once the task has ended. One that this version doesn't know counts as an error. */
+  /** Set once the attempt has ended. A reason that this version doesn't know counts as an error. */
   exitReason: ExitReason | null;
-  /** Its progress was saved when it was stopped. */
+  /** The progress of the task was saved when the attempt was stopped. */
   checkpointed: boolean;
 }
 
-/** A worker's heartbeat with the status of all its tasks. Incarnation and sequence order the heartbeats of a machine. */
+/**
+ * A worker's heartbeat with the status of all its tasks. Incarnation and sequence order the heartbeats of a machine.
+ */
 export interface Heartbeat {
   machine: string;
   /** Host and port of the worker. */
@@ -77,7 +80,7 @@
   incarnation: number;
   /** Grows with each heartbeat of an incarnation. */
   sequence: number;
-  /** The highest that the worker has seen. */
+  /** The highest fencing token that the worker has seen. */
   fencingToken: number;
   /** Seconds until the cloud reclaims a spot machine; null: no notice. */
   interruptionNoticeS: number | null;
@@ -127,8 +130,8 @@
 const SEQUENCE_FIELD = /"tick":(0|[1-9]\d{0,14})(?=[,}])/;
 const SEQUENCE_FIELD_NAME = '"tick"';
 
-/** False if the number found may not be the heartbeat's own: a name is used twice, or may be written with escapes. */
-function namesSequenceOnce(start: string, rest: string): boolean {
+/** False if the number found may not be the heartbeat's own: its name occurs again, or may be written with escapes. */
+function isSequenceUnambiguous(start: string, rest: string): boolean {
   return [start, rest].every((text) => !text.includes(SEQUENCE_FIELD_NAME) && !text.includes('\\'));
 }
 
@@ -136,13 +139,13 @@
   /** The text after the sequence number. */
   rest: string;
   heartbeat: Heartbeat;
-  /** When it was last decoded or repeated, in steady milliseconds. */
+  /** When the heartbeat was last decoded or repeated, in steady milliseconds. */
   usedAt: number;
 }
 
 /**
- * Decodes heartbeats, with a cache of the last one of each machine: most heartbeats differ from the one before only in
- * their sequence number, and are then not decoded again. One that isn't written that way is decoded in full.
+ * Decodes heartbeats, with a cache of the last one of each machine: most heartbeats differ from the previous one only
+ * in their sequence number, and are then not decoded again. Any other heartbeat is decoded in full.
  */
 export class HeartbeatDecoder {
   /** By the text before the sequence number, which names machine and incarnation. */
@@ -152,7 +155,7 @@
   constructor(
     /** Steady milliseconds. */
     private readonly now: () => number,
-    /** After so many milliseconds without a heartbeat of a machine its last one is dropped. */
+    /** Time without a heartbeat after which the cached heartbeat of a machine is dropped, in milliseconds. */
     private readonly retentionMs: number,
   ) {}
 
@@ -175,7 +178,7 @@
       return { ok: true, value: { ...cached.heartbeat, sequence: Number(sequence[1]) } };
     }
     const decoded = decodeHeartbeat(text);
-    if (decoded.ok && namesSequenceOnce(start, rest)) {
+    if (decoded.ok && isSequenceUnambiguous(start, rest)) {
       this.cache.set(start, { rest, heartbeat: decoded.value, usedAt: now });
     }
     return decoded;
@@ -207,12 +210,14 @@
   }
 }
 
-/** Encodes the response to a heartbeat: commands under the fencing token of the leader that gives them. */
+/** Encodes the response to a heartbeat: commands, with the fencing token of the leader that sends them. */
 export function encodeHeartbeatResponse(fencingToken: number, commands: readonly Command[]): string {
   return JSON.stringify({ baton: fencingToken, orders: commands.map(encodeCommand) });
 }
 
-/** Encodes direct commands. The worker refuses them in another incarnation, or after a higher fencing token. */
+/**
+ * Encodes direct commands. The worker refuses them if its incarnation differs or it has seen a higher fencing token.
+ */
 export function encodeCommands(
   fencingToken: number,
   incarnation: number,
@@ -221,7 +226,7 @@
   return JSON.stringify({ baton: fencingToken, shift: incarnation, orders: commands.map(encodeCommand) });
 }
 
-/** Encodes the body that sends a worker to the controller `node`; null: none is known. */
+/** Encodes the redirect of a worker to the leader, the controller `node`; null: no leader is known. */
 export function encodeRedirect(node: string | null): string {
   return JSON.stringify(node === null ? {} : { foreman: node });
 }
