--- a/src/config/options.ts
+++ b/src/config/options.ts
@@ -9,12 +9,18 @@
   description: string;
 }
 
-const option = (value: number, min: number, max: number, unit: string, about: string): OptionSpec => ({
-  defaultValue: value,
+const option = (
+  defaultValue: number,
+  min: number,
+  max: number,
+  unit: string,
+  description: string,
+): OptionSpec => ({
+  defaultValue,
   min,
   max,
   unit,
-  description: about,
+  description,
 });
 
 /** Every option with its default, bounds and unit. The options file and its documentation come from here. */
--- a/src/http/connections.ts
+++ b/src/http/connections.ts
@@ -1,4 +1,4 @@
-/** The kind of client of a connection, derived from the path of its last request. */
+/** The kind of client of a connection, by the path of its last request; unknown before the first request. */
 export type ClientKind = 'unknown' | 'worker' | 'user';
 
 /** How many of a node's sockets the HTTP server may use. */
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -96,8 +96,8 @@
       this.acceptor.listen(Number(address.slice(colon + 1)), host, LISTEN_BACKLOG, () => {
         this.listenAddress = { host, port: (this.acceptor.address() as AddressInfo).port };
         this.acceptor.off('error', reject);
-        // From here on only dropBacklog calls listen, for the same port. What makes it fail does not last: it is
-        // retried.
+        // From here on only dropBacklog makes the server listen again, on the same port. An error then is short-lived,
+        // so listening is retried.
         this.acceptor.on('error', () => {
           setTimeout(() => {
             this.relisten();
@@ -139,10 +139,10 @@
 
   /** The first bytes of a connection decide whether it is served as a heartbeat connection or by Node's `http`. */
   private awaitFirstBytes(socket: Socket): void {
-    const onData = (first: Buffer): void => {
+    const onData = (firstBytes: Buffer): void => {
       socket.off('end', onEnd);
-      if (isHeartbeatPrefix(first, this.options.heartbeatPath)) this.serveHeartbeats(socket, first);
-      else this.serveWithHttp(socket, first);
+      if (isHeartbeatPrefix(firstBytes, this.options.heartbeatPath)) this.serveHeartbeats(socket, firstBytes);
+      else this.serveWithHttp(socket, firstBytes);
     };
     const onEnd = (): void => {
       socket.end();
@@ -161,7 +161,7 @@
     process.nextTick(() => socket.resume());
   }
 
-  private serveHeartbeats(socket: Socket, first: Buffer): void {
+  private serveHeartbeats(socket: Socket, firstBytes: Buffer): void {
     const connection = new HeartbeatConnection(socket, this.options.heartbeatPath, MAX_BODY_BYTES, {
       onHeartbeat: (body, reply) => {
         this.connections.startRequest(socket, 'worker');
@@ -172,7 +172,7 @@
       },
       onResponse: () => this.connections.finishRequest(socket),
     });
-    connection.onBytes(first);
+    connection.onBytes(firstBytes);
   }
 
   /** Reports each iteration of the event loop to the backlog, until one accepts no connection. */
@@ -219,8 +219,8 @@
       const { socket } = req;
       this.connections.startRequest(socket, this.options.clientKindOf(path));
       let answered = false;
-      const [first] = chunks;
-      const body = chunks.length === 1 && first ? first : Buffer.concat(chunks);
+      const [firstChunk] = chunks;
+      const body = chunks.length === 1 && firstChunk ? firstChunk : Buffer.concat(chunks);
       this.handler({ method: req.method ?? 'GET', path, body: body.toString('utf8') }, (response) => {
         if (answered) return;
         answered = true;
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,5 +1,5 @@
 /**
- * Codec of the cloud's interface, and the only module that uses its wire names. On the wire a machine type is an
+ * Codec of the cloud's interface, and the only module that translates its wire names. On the wire a machine type is an
  * `oven`, a machine a `hearth`, a zone a `yard`, a spot machine `borrowed`, and the id of a provisioning request a
  * `booking`.
  */
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,6 +1,6 @@
 /**
- * Codec of the key-value store (the "state service" of PROTOCOL), and the only module that uses its wire names. On the
- * wire a revision is a `ledger`, a version a `stamp`, a lease a `permit`, a put a `set` and a delete a `drop`.
+ * Codec of the key-value store (the "state service" of PROTOCOL), and the only module that translates its wire names.
+ * On the wire a revision is a `ledger`, a version a `stamp`, a lease a `permit`, a put a `set` and a delete a `drop`.
  */
 import * as z from 'zod/mini';
 import { count, decodeText, orNull, type Decoded } from './amounts.ts';
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -1,9 +1,9 @@
 /**
- * Codec of the users' interface, and the only module that uses its wire names. On the wire a job's class is a `batch`,
- * its team a `crew`, its tasks `loaves`, a machine type an `oven`, a zone a `yard`, an image a `recipe`; `borrowed`
- * allows spot machines, `samePlace` asks for one zone and `apart` for a spread over zones. Times are in seconds:
- * `bakeS` the estimated run time, `proofS` the checkpoint interval, `coolS` the time that a checkpoint takes, `dueS`
- * the deadline.
+ * Codec of the users' interface, and the only module that translates its wire names. On the wire a job's class is a
+ * `batch`, its team a `crew`, its tasks `loaves`, a machine type an `oven`, a zone a `yard`, an image a `recipe`;
+ * `borrowed` allows spot machines, `samePlace` asks for one zone and `apart` for a spread over zones. Times are in
+ * seconds: `bakeS` the estimated run time, `proofS` the checkpoint interval, `coolS` the time that a checkpoint takes,
+ * `dueS` the deadline.
  */
 import * as z from 'zod/mini';
 import { amount, decodeText, decodeValue, orNull, type Decoded } from './amounts.ts';
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,8 +1,8 @@
 /**
- * Codec of the messages between workers and controllers, and the only module that uses their wire names. On the wire a
- * machine is a `hearth`, its type an `oven`, a zone a `yard`, a spot machine `borrowed`, an incarnation a `shift`, a
- * heartbeat's sequence number a `tick`, a fencing token a `baton`, a task a `loaf`, a command an order, and the leader
- * a `foreman`.
+ * Codec of the messages between workers and controllers, and the only module that translates their wire names. On the
+ * wire a machine is a `hearth`, its type an `oven`, a zone a `yard`, a spot machine `borrowed`, an incarnation a
+ * `shift`, a heartbeat's sequence number a `tick`, a fencing token a `baton`, a task a `loaf`, a command an order, and
+ * the leader a `foreman`.
  */
 import * as z from 'zod/mini';
 import { amount, count, decodeText, orNull, type Decoded } from './amounts.ts';
--- a/test/config/sample.ts
+++ b/test/config/sample.ts
@@ -1,3 +1,4 @@
+/** The contents of a valid settings file. */
 export const SETTINGS = {
   host_name: 'hearth-0',
   location: 'a',
--- a/test/http/connections.test.ts
+++ b/test/http/connections.test.ts
@@ -25,21 +25,21 @@
           IDLE,
         );
         const workers = Math.floor((sockets * percent) / 100);
-        const open = new Set<number>();
+        const openKeys = new Set<number>();
         let refused = 0;
         const sendRequest = (key: number, clientKind: 'worker' | 'user'): void => {
-          if (!open.has(key)) {
+          if (!openKeys.has(key)) {
             if (connections.count >= socketLimits.maxInbound) {
               refused += 1;
               return;
             }
             connections.add(key);
-            open.add(key);
+            openKeys.add(key);
           }
           connections.startRequest(key, clientKind);
           if (connections.finishRequest(key)) return;
           connections.remove(key);
-          open.delete(key);
+          openKeys.delete(key);
         };
         for (let round = 0; round < 4; round++) {
           for (let w = 0; w < workers; w++) {
