--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -45,7 +45,7 @@
   zone: number;
   spot: boolean;
   rentedAt: number;
-  /** It is not terminated as never joined before this time: a listed machine may not have found this leader yet. */
+  /** Before this time it is not terminated as `neverJoined`: its worker may not have found this leader yet. */
   keepUntil: number;
   /** The cloud lists it as running. */
   running: boolean;
@@ -104,7 +104,7 @@
 
   /**
    * Booting machines, including those of rentals that the cloud has not answered yet: without these, every round
-   * during a rental would request the same room again, in another zone or with another machine type.
+   * during a rental would request the same capacity again, in another zone or with another machine type.
    */
   booting(): BootingMachine[] {
     const machines = [...this.bootingByName.values()].filter((b) => !this.terminating.has(b.name));
@@ -133,7 +133,7 @@
     // In an unreachable zone only one machine at a time is rented, to find out when the zone is reachable again.
     const triedZones = new Set<number>();
     for (const booting of this.bootingByName.values()) triedZones.add(booting.zone);
-    for (const o of this.options) if (o.requestedCount > 0) triedZones.add(o.zone);
+    for (const option of this.options) if (option.requestedCount > 0) triedZones.add(option.zone);
     const available: ProvisioningOption[] = [];
     for (const option of this.options) {
       if (now < option.notBefore || option.requestedCount > 0) continue;
@@ -334,8 +334,8 @@
 
   /**
    * Sends a request for the terminations that are due, unless the leader may have been replaced. A leader that is cut
-   * off from workers and the state service takes machines for lost on which its successor runs tasks, and a request
-   * that the network delays would end these tasks afterwards.
+   * off from workers and the state service considers machines lost on which its successor runs tasks; a delayed request
+   * to terminate them would end these tasks.
    */
   private terminateDue(): void {
     if (this.terminating.size === 0 || this.terminationInFlight) return;
--- a/src/leader/arrivals.ts
+++ b/src/leader/arrivals.ts
@@ -1,4 +1,4 @@
-/** What past arrivals of jobs say of those to come: rates by class, and the images of latency-sensitive classes. */
+/** Past arrivals of jobs, from which future ones are predicted: rates by class, and latency-sensitive images. */
 import type { Settings } from '../config/settings.ts';
 import { ArrivalForecast } from '../scheduling/forecast.ts';
 import type { JobRequest } from '../wire/user.ts';
--- a/src/leader/best-effort-work.ts
+++ b/src/leader/best-effort-work.ts
@@ -1,7 +1,7 @@
-/** Work of the lowest priority of teams without a guarantee. */
+/** Best-effort work: jobs of the lowest priority of teams without a guarantee. */
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
-import type { BestEffortTask } from '../scheduling/idle-work.ts';
+import type { BestEffortTask } from '../scheduling/best-effort-tasks.ts';
 import { countFittingTasks, resourcesOf, allocate, type Resources } from '../scheduling/snapshot.ts';
 import type { Machine } from '../workers/machine.ts';
 import { computeJobSlack } from './job-slack.ts';
@@ -44,7 +44,7 @@
   }
 
   /** The tasks of a machine that runs only best-effort tasks which can be stopped without being late; else null. */
-  findIdleTasks(machine: Machine): BestEffortTask[] | null {
+  findStoppableTasks(machine: Machine): BestEffortTask[] | null {
     const now = this.deps.host.clock.now();
     const tasks: BestEffortTask[] = [];
     for (const attempt of machine.attempts.values()) {
@@ -67,7 +67,7 @@
     return tasks.length > 0 ? tasks : null;
   }
 
-  /** Subtracts what best-effort tasks use from the used resources of a machine: no machine is needed for their sake. */
+  /** Subtracts what best-effort tasks use from a machine's used resources: they alone make no machine needed. */
   subtractUsage(used: Resources, machine: Machine | undefined): void {
     for (const attempt of machine?.attempts.values() ?? []) {
       if (!attempt.released && attempt.job && this.isBestEffort(attempt.job))
--- a/src/leader/cluster.ts
+++ b/src/leader/cluster.ts
@@ -100,14 +100,14 @@
   release(attempt: Attempt): number {
     const { job } = attempt;
     if (!job || !this.liveAttempts.get(job)?.delete(attempt)) return -1;
-    const others =
+    const otherHolders =
       required(job.attemptCounts.get(attempt.task), 'count of the attempts that hold a task') - 1;
-    if (others > 0) job.attemptCounts.set(attempt.task, others);
+    if (otherHolders > 0) job.attemptCounts.set(attempt.task, otherHolders);
     else job.attemptCounts.delete(attempt.task);
     const usage = this.usageOf(job);
     usage.cpus -= job.spec.cpus;
     usage.gpus -= job.spec.gpus;
-    return others;
+    return otherHolders;
   }
 
   private usageOf(job: Job): TeamUsage {
--- a/src/leader/heartbeat-intake.ts
+++ b/src/leader/heartbeat-intake.ts
@@ -69,7 +69,7 @@
     const machine = cluster.machines.get(heartbeat.machine) ?? membership.admit(heartbeat);
     if (!machine) return null;
     if (!isNewerHeartbeat(machine, heartbeat) || this.isStale(machine, heartbeat)) {
-      // Sent before the newest known message, so the lease that its answer renews counts from before that.
+      // It was sent before the newest known message, so the lease that its answer renews begins before that message.
       if (!direct) machine.noteLeaseRenewal(machine.connectivity.lastMessageAt);
       return machine;
     }
@@ -102,10 +102,10 @@
   }
 
   /**
-   * A reconciled machine holds no unknown task of an earlier leader, so a heartbeat without our fencing token is a late
-   * copy, or comes from a worker that has lost all its tasks: it shows no task that still counts. If such a copy from a
-   * machine whose lease expired before its first heartbeat were applied, it would bring back tasks that tie their job
-   * to the wrong zone.
+   * Whether the heartbeat shows no task that still counts. A reconciled machine holds no unknown task of an earlier
+   * leader, so a heartbeat without our fencing token is a late copy, or comes from a worker that has lost all its
+   * tasks. If a machine's lease expired before its first heartbeat, applying such a copy would restore tasks that bind
+   * their job to the wrong zone.
    */
   private isStale(machine: Machine, heartbeat: Heartbeat): boolean {
     return machine.reconciled && heartbeat.fencingToken !== this.deps.term;
--- a/src/leader/job-slack.ts
+++ b/src/leader/job-slack.ts
@@ -6,7 +6,7 @@
 export interface JobSlack {
   /** Seconds until the next objective is missed; Infinity: no objective applies, -1: all are missed. */
   slackS: number;
-  /** How much longer than a rented machine's boot the job rather waits for a present machine, in seconds. */
+  /** Seconds beyond the boot of a rented machine for which the job rather waits for capacity on a present one. */
   maxQueueingDelayS: number;
   /** The objective that is missed next applies to each task, not to the whole job. */
   perTask: boolean;
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -93,7 +93,7 @@
       provisioner: this.provisioner,
       attempts: this.attempts,
       dispatcher: this.dispatcher,
-      startedAt: this.leaderSince,
+      leaderSince: this.leaderSince,
       stopGracefully: (attempt, reason) => {
         this.rounds.stopGracefully(attempt, reason);
       },
--- a/src/leader/machine-membership.ts
+++ b/src/leader/machine-membership.ts
@@ -77,7 +77,7 @@
     this.deps.host.log.info({ machine: name, type: machineType, zone }, 'machine joined');
     cluster.dirty = true;
     const machine = this.add({ name, address, machineType, zone, spot });
-    // It booted after its termination had been requested: the cloud may take it back at any moment.
+    // It booted after its termination had been requested: the cloud may terminate it at any moment.
     if (provisioner.isTerminating(name)) machine.markTerminating();
     return machine;
   }
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -47,17 +47,17 @@
 /** Heartbeat intervals without a heartbeat sent to this controller itself, after which it may be cut off. */
 const NO_DIRECT_HEARTBEAT_INTERVALS = 2;
 
-/** Why a machine is returned to the cloud. */
+/** Why a machine is terminated. */
 type TerminationReason = 'unresponsive' | 'unacknowledged' | 'faulty' | 'startInDoubt';
 
-/** What the monitor works on, and how it acts on it. */
+/** What the monitor checks, and the parts through which it acts. */
 export interface MachineMonitorDeps extends Pick<LeaderDeps, 'host' | 'settings' | 'options' | 'zones'> {
   cluster: Cluster;
   provisioner: MachineProvisioner;
   attempts: Attempts;
   dispatcher: CommandDispatcher;
   /** Start of the leadership, in milliseconds on the steady clock. */
-  startedAt: number;
+  leaderSince: number;
   /** Stops a task so that it can save a checkpoint. */
   stopGracefully(attempt: Attempt, reason: string): void;
 }
@@ -81,7 +81,7 @@
   private listeningSince: number;
 
   constructor(private readonly deps: MachineMonitorDeps) {
-    this.listeningSince = deps.startedAt;
+    this.listeningSince = deps.leaderSince;
   }
 
   private get heartbeatIntervalMs(): number {
@@ -126,7 +126,7 @@
   /**
    * A leader that is cut off from the workers still receives the heartbeats that followers relay, and learns of the
    * partition only from unanswered requests. Without this check, each machine that it sends a command to looks as if it
-   * received nothing, and is returned to the cloud, one after the other.
+   * received nothing, and is terminated, one after the other.
    */
   private reachesNoWorker(): boolean {
     const { host, dispatcher } = this.deps;
@@ -138,7 +138,7 @@
   /**
    * After a pause of the process all machines look silent at once, and all that were booting look as if they never came
    * up. A leader that keeps its lease through an outage, or does not know yet that its leadership is over, must not
-   * return them to the cloud for that.
+   * terminate them for that.
    */
   private resumeAfterPause(now: number): void {
     this.listeningSince = now;
@@ -183,7 +183,10 @@
     this.terminateUnresponsive(machine, leaseExpired, context);
   }
 
-  /** The incarnation has ended by the worker's own clock, too, and the worker refuses starts that are meant for it. */
+  /**
+   * Releases the machine's attempts. Its incarnation has ended by the worker's own clock as well, and the worker
+   * refuses starts that are meant for that incarnation.
+   */
   private onLeaseExpired(machine: Machine): void {
     const { attempts, cluster, host } = this.deps;
     host.log.info({ machine: machine.name }, 'machine lease expired');
@@ -230,8 +233,8 @@
    * finds its worker, and a message without commands then shows it the token.
    */
   private probeUnreconciled(now: number): void {
-    const { cluster, dispatcher, startedAt } = this.deps;
-    if (now - startedAt < LEADER_DISCOVERY_MS) return;
+    const { cluster, dispatcher, leaderSince } = this.deps;
+    if (now - leaderSince < LEADER_DISCOVERY_MS) return;
     for (const machine of cluster.machines.values()) {
       if (machine.reconciled || machine.commandInFlight) continue;
       const overdue = now - machine.connectivity.lastMessageAt > this.heartbeatIntervalMs * OVERDUE_INTERVALS;
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -55,7 +55,7 @@
     for (const attempt of machine.attempts.values()) {
       if (attempt.released || !attempt.job) continue;
       const { spec } = attempt.job;
-      const room = resourcesOf(spec);
+      const releasedResources = resourcesOf(spec);
       let inS: number;
       if (attempt.stopGraceS !== null) inS = attempt.stopGraceS;
       else {
@@ -63,7 +63,7 @@
         // A task that exceeds its estimate is expected to run on for a share of the time that it has run.
         inS = Math.max(spec.estimateS - ranS, ranS * OVERRUN_REMAINING_RATIO, 3);
       }
-      releases.push({ inS, resources: room });
+      releases.push({ inS, resources: releasedResources });
     }
     return mergeReleases(releases.sort((x, y) => x.inS - y.inS));
   }
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -3,7 +3,7 @@
 import type { MachineProvisioner, IdleMachine } from '../fleet/machine-provisioner.ts';
 import type { Job } from '../jobs/job.ts';
 import { selectVictims, type PreemptionCandidate } from '../scheduling/preempt.ts';
-import { isWorthKeeping } from '../scheduling/idle-work.ts';
+import { isWorthKeeping } from '../scheduling/best-effort-tasks.ts';
 import { runRound } from '../scheduling/round.ts';
 import {
   resourcesOf,
@@ -111,13 +111,13 @@
   }
 
   /** Adapts the number of groups in a round to the time that the last round took. */
-  private adaptGroupLimit(groupCount: number, leftOut: number): void {
+  private adaptGroupLimit(groupCount: number, deferredGroupCount: number): void {
     if (this.lastDurationMs > LONG_ROUND_MS)
       this.groupLimit = Math.max(MIN_GROUP_LIMIT, Math.floor(groupCount * 0.6));
     else
       this.groupLimit = Math.min(this.deps.options.scheduling.max_groups, Math.ceil(this.groupLimit * 1.5));
-    // The next round considers the groups that were left out, even if nothing changes until then.
-    if (leftOut > 0) this.cluster.dirty = true;
+    // The next round considers the deferred groups, even if nothing changes until then.
+    if (deferredGroupCount > 0) this.cluster.dirty = true;
   }
 
   private solve(
@@ -183,7 +183,7 @@
       }
       this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: placement.count }, 'tasks placed');
     }
-    // Groups that were left out may need the idle machines, which would be returned now and rented anew a moment later.
+    // Deferred groups may need the idle machines, which would be terminated now and rented anew a moment later.
     if (result.deferredGroupCount === 0) {
       this.provisioner.terminateIdle(this.findIdleMachines(result.heldForExpected));
       this.consolidate(machines, result);
@@ -206,8 +206,8 @@
         heldMachines.has(machine.index)
       )
         continue;
-      // A quarantined machine is idle only because nothing is placed on it, and suspicion alone is no reason to return
-      // it.
+      // A quarantined machine is idle only because nothing is placed on it, and suspicion alone is no reason to
+      // terminate it.
       if (assessMachineHealth(machine.failures, machine.index, now) === 'quarantined') continue;
       idleMachines.push({
         name: machine.name,
@@ -233,14 +233,18 @@
         machinesWithPlacements.has(machine.index) ||
         result.heldForExpected.has(machine.index) ||
         result.reserved.has(machine.index);
-      const idleTasks = needed || !machine.reconciled ? null : this.snapshots.findIdleTasks(machine);
-      if (!idleTasks) {
+      const stoppableTasks =
+        needed || !machine.reconciled ? null : this.snapshots.findStoppableTasks(machine);
+      if (!stoppableTasks) {
         this.bestEffortOnlySince.delete(machine);
         continue;
       }
       const since = this.bestEffortOnlySince.get(machine) ?? now;
       this.bestEffortOnlySince.set(machine, since);
-      if (now - since < this.deps.options.fleet.idle_s * 1000 || isWorthKeeping(snapshot.price, idleTasks))
+      if (
+        now - since < this.deps.options.fleet.idle_s * 1000 ||
+        isWorthKeeping(snapshot.price, stoppableTasks)
+      )
         continue;
       for (const attempt of machine.liveAttempts())
         this.stopGracefully(attempt, 'consolidation for scale-in');
--- a/src/leader/scheduling-snapshots.ts
+++ b/src/leader/scheduling-snapshots.ts
@@ -1,7 +1,7 @@
 /** Creates the inputs of scheduling rounds from the leader's state. */
 import { required } from '../base/required.ts';
 import type { Job } from '../jobs/job.ts';
-import type { BestEffortTask } from '../scheduling/idle-work.ts';
+import type { BestEffortTask } from '../scheduling/best-effort-tasks.ts';
 import type { PreemptionCandidate } from '../scheduling/preempt.ts';
 import {
   countFittingTasks,
@@ -65,8 +65,8 @@
   }
 
   /** The tasks of a machine that runs only best-effort tasks which can be stopped; else null. */
-  findIdleTasks(machine: Machine): BestEffortTask[] | null {
-    return this.bestEffort.findIdleTasks(machine);
+  findStoppableTasks(machine: Machine): BestEffortTask[] | null {
+    return this.bestEffort.findStoppableTasks(machine);
   }
 
   /** CPUs and GPUs that each team may still use under its limit, by team index. */
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Marks the machines beyond those that running and waiting tasks need. A round uses marked machines only when the
-   * others are full, though before capacity that is not free yet, so that marked machines drain and can be returned.
+   * Marks the surplus machines: those beyond what running and waiting tasks need. A round uses them only when the other
+   * machines are full, though before future capacity, so that surplus machines drain and can be terminated.
    */
   markSurplus(machines: readonly MachineSnapshot[], groups: readonly TaskGroup[]): void {
     const { park_headroom } = this.deps.options.scheduling;
@@ -135,9 +135,9 @@
   }
 
   /**
-   * Adds the whole capacity of each machine as a further release, one mean run time of the waiting tasks after its
-   * last one, when the tasks that it takes next are expected to have ended. Jobs that can wait that long need no
-   * further machines.
+   * Adds a further release of the whole capacity of each machine, later than its last release by the mean estimated run
+   * time of the waiting tasks: by then the tasks that the machine takes next are expected to have ended. Jobs that can
+   * wait that long need no further machines.
    */
   addProjectedReleases(machines: readonly MachineSnapshot[], groups: readonly TaskGroup[]): void {
     let taskCount = 0;
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -145,11 +145,11 @@
       );
     }
     meanWork.setRelativeWork();
-    assignGuarantees(groups, this.computeGuaranteesLeft(), scheduling.reserve_after_s * 1000);
+    assignGuarantees(groups, this.computeGuaranteeHeadroom(), scheduling.reserve_after_s * 1000);
     return groups;
   }
 
-  private computeGuaranteesLeft(): GuaranteeHeadroom[] {
+  private computeGuaranteeHeadroom(): GuaranteeHeadroom[] {
     return this.deps.teams.map((team, index) => {
       const usage = required(this.cluster.usage[index], 'usage of the team');
       return { cpus: team.cpus > 0 ? team.cpus - usage.cpus : null, gpus: team.gpus - usage.gpus };
--- a/src/scheduling/extract.ts
+++ b/src/scheduling/extract.ts
@@ -100,7 +100,7 @@
 
 /**
  * Reads the placements and the demand off the solved flow, in order of urgency, as far as free resources and quotas
- * allow, and adds them to `result`. Returns the jobs of gangs with room for only a part of their tasks.
+ * allow, and adds them to `result`. Returns the jobs of gangs with capacity for only a part of their tasks.
  */
 export function extractPlacements(
   groups: readonly TaskGroup[],
@@ -147,7 +147,7 @@
     for (const optionDemand of provisioningDemand)
       demand.set(optionDemand.option, (demand.get(optionDemand.option) ?? 0) + optionDemand.machines);
     if (group.expected) {
-      for (const p of placed) result.heldForExpected.add(p.machine);
+      for (const placement of placed) result.heldForExpected.add(placement.machine);
       return;
     }
     if (laterCount > 0) result.awaiting.set(group.job, laterCount);
@@ -155,15 +155,15 @@
     if (unplacedCount > 0) result.unplaced.set(group.job, unplacedCount);
     else result.unplaced.delete(group.job);
     if (group.gang && placedCount < group.pending) {
-      // While room for the other tasks is to come, the room found stays allocated. Otherwise the round is repeated
-      // without the gang.
+      // If future capacity is expected for all other tasks, the free resources found stay allocated to the gang in this
+      // round. Otherwise the round is repeated without the gang.
       if (placedCount > 0 && unplacedCount > 0) dropped.push(group.job);
       return;
     }
     result.placements.push(...placed);
   });
   for (const [option, amount] of demand) {
-    // A small fraction of a further machine isn't worth renting one: its tasks find room when others end.
+    // A small fraction of a further machine isn't worth renting one: its tasks find free capacity when others end.
     const ignoredFraction = amount > 1 ? costs.roundDownFraction : 1e-6;
     result.demand.set(option, Math.max(1, Math.ceil(amount - ignoredFraction)));
   }
--- a/src/scheduling/forecast.ts
+++ b/src/scheduling/forecast.ts
@@ -12,7 +12,7 @@
 /** Tasks that are expected to arrive, with the latest job of their class as the template. */
 export interface ExpectedTasks {
   template: JobRequest;
-  /** Number of tasks for which room should be held. */
+  /** Number of tasks for which free capacity should be held. */
   tasks: number;
 }
 
@@ -25,8 +25,8 @@
 
 /**
  * Forecasts the tasks that arrive while a machine boots, for classes with an objective on when their tasks start. Jobs
- * end about as fast as they arrive, so the room to be held is the fluctuation of arrivals, which for independent users
- * grows with the square root of their number.
+ * end about as fast as they arrive, so the free capacity to be held is for the fluctuation of arrivals, which for
+ * independent users grows with the square root of their number.
  */
 export class ArrivalForecast {
   private readonly classes = new Map<string, ClassHistory>();
@@ -71,7 +71,7 @@
       while (last - (history.arrivals[0] ?? last) > WINDOW_MS) history.arrivals.shift();
       const spanMs = Math.min(WINDOW_MS, Math.max(MIN_OBSERVATION_MS, last - this.firstAt));
       const perMs = history.arrivals.length / spanMs;
-      // Room held for a class that has been quiet for much longer than its usual gap would be paid for without use.
+      // Capacity held for a class that has been quiet for much longer than its usual gap would be paid for without use.
       if (nowMs - last > MAX_QUIET_GAPS / perMs) continue;
       const jobs = fluctuationFactor * Math.sqrt(perMs * bootS(history.latest) * 1000);
       const meanTasks = history.tasks.reduce((a, b) => a + b, 0) / history.tasks.length;
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -22,7 +22,7 @@
 export interface CostOptions {
   /** Waiting time after which machines are reserved for a job. */
   reserveAfterMs: number;
-  /** Seconds by which room on a machine that is already paid for may come later than on a newly rented one. */
+  /** Seconds by which capacity on a machine that is already paid for may come later than on a newly rented one. */
   rentBiasS: number;
   /** Cost steps per image of latency-sensitive classes on a machine, for tasks of other classes. */
   warmSteps: number;
@@ -92,8 +92,8 @@
     machine.fetchS(group.image, group.imageGb) / Math.max(1, Math.min(fittingTasks, group.pending));
   const markup = Math.max(0, machine.price - cheapestPrice);
   const surplus = machine.surplus && !group.latencySensitive ? SURPLUS_STEPS : 0;
-  // Machines with images of latency-sensitive classes are left to these classes while other machines suffice. Room for
-  // expected tasks is held on the machines with the most such images.
+  // Machines with images of latency-sensitive classes are left to these classes while other machines suffice. Free
+  // capacity for expected tasks is held on the machines with the most such images.
   const missingWarmImages = Math.max(0, MAX_WARM_IMAGES - machine.warmImageCount);
   const images =
     (group.expected
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -1,4 +1,4 @@
-/** The choice of running tasks to be stopped to make room for a waiting group. */
+/** The choice of running tasks to be stopped to free capacity for a waiting group. */
 import { required } from '../base/required.ts';
 import {
   countFittingTasks,
@@ -10,7 +10,7 @@
   type QuotaHeadroom,
 } from './snapshot.ts';
 
-/** A task on a machine that may be stopped to make room. */
+/** A task on a machine that may be stopped to free capacity. */
 export interface PreemptionCandidate<T> {
   /** The caller's object for the task. */
   item: T;
@@ -26,35 +26,36 @@
 }
 
 /**
- * Whether the task may be stopped for the group: at once for a group of higher rank, and to give a team its guarantee
- * once the group has waited for `guaranteeAfterMs`. Before that, tasks that end and machines that are rented mostly make
- * room anyway, and stopping tasks loses work.
+ * Whether the task may be stopped for the group: at once for a group of higher priority, and to give a team its
+ * guarantee once the group has waited for `guaranteeAfterMs`. Before that, tasks that end and machines that are rented
+ * mostly provide the capacity anyway, and stopping tasks loses work.
  */
 function mayPreempt(
   group: TaskGroup,
-  victim: PreemptionCandidate<unknown>,
+  candidate: PreemptionCandidate<unknown>,
   guaranteeAfterMs: number,
 ): boolean {
-  if (victim.priority < group.priority) return true;
+  if (candidate.priority < group.priority) return true;
   if (group.waitedMs < guaranteeAfterMs) return false;
-  return group.guaranteed && victim.beyondGuarantee && victim.team !== group.team;
+  return group.guaranteed && candidate.beyondGuarantee && candidate.team !== group.team;
 }
 
 /**
- * Selects the tasks to stop so that a group finds room, on the machines where the least work is lost. Room that is
- * free or being made counts first, so that a round doesn't stop further tasks while others are saving.
+ * Selects the tasks to stop so that a group finds free capacity, on the machines where the least work is lost. Capacity
+ * that is free or being freed counts first, so that a round doesn't stop further tasks while those that have been told
+ * to stop save their checkpoints.
  *
- * Returns null if that room is enough, and an empty list if stopping tasks makes no room or, for a gang, not enough.
+ * Returns null if that capacity is enough, and an empty list if stopping tasks frees none or, for a gang, not enough.
  */
 export function selectVictims<T>(
   group: TaskGroup,
   waitingTasks: number,
   machines: readonly MachineSnapshot[],
-  victimsOn: (machine: number) => PreemptionCandidate<T>[],
+  candidatesOn: (machine: number) => PreemptionCandidate<T>[],
   quotaHeadroom: readonly QuotaHeadroom[],
   guaranteeAfterMs: number,
   reserved: ReadonlyMap<number, number>,
-  /** Receives the machines on which the group will find its room, including those with room already. */
+  /** Receives the machines whose capacity the group will use, including those where it is free already. */
   chosenMachines = new Set<number>(),
 ): T[] | null {
   let tasksLeft = Math.min(
@@ -65,27 +66,27 @@
   const plans: { machine: number; items: T[]; count: number; loss: number; zone: number }[] = [];
   for (const snapshot of machines) {
     if (snapshot.bootsInS > 0 || group.excludedMachines.has(snapshot.machine)) continue;
-    // A machine reserved for another job takes that job's tasks: stopping tasks there makes no room for this group.
+    // A machine reserved for another job takes that job's tasks: stopping tasks there frees none for this group.
     const reservedFor = reserved.get(snapshot.machine);
     if (reservedFor !== undefined && reservedFor !== group.job) continue;
     if (snapshot.spot && !group.spot) continue;
     if (group.zone >= 0 && group.zone !== snapshot.zone) continue;
     if (group.types && !group.types.has(snapshot.type)) continue;
     const free = { ...snapshot.free };
-    const victims = victimsOn(snapshot.machine);
-    for (const v of victims) if (v.stopping) allocate(free, v.need, -1);
+    const candidates = candidatesOn(snapshot.machine);
+    for (const candidate of candidates) if (candidate.stopping) allocate(free, candidate.need, -1);
     const fittingTasks = countFittingTasks(group.need, free);
     if (fittingTasks > 0) {
-      // Room that is free or being made: the next rounds use it.
+      // Capacity that is free or being freed: the next rounds use it.
       if (tasksLeft > 0) chosenMachines.add(snapshot.machine);
       tasksLeft -= Math.min(tasksLeft, fittingTasks);
       continue;
     }
-    const candidates = victims.filter((v) => !v.stopping && mayPreempt(group, v, guaranteeAfterMs));
-    candidates.sort((a, b) => a.priority - b.priority || a.lossS - b.lossS);
+    const preemptible = candidates.filter((v) => !v.stopping && mayPreempt(group, v, guaranteeAfterMs));
+    preemptible.sort((a, b) => a.priority - b.priority || a.lossS - b.lossS);
     const items: T[] = [];
     let loss = 0;
-    for (const candidate of candidates) {
+    for (const candidate of preemptible) {
       if (countFittingTasks(group.need, free) > 0) break;
       allocate(free, candidate.need, -1);
       items.push(candidate.item);
@@ -106,6 +107,6 @@
     chosenMachines.add(plan.machine);
     tasksLeft -= plan.count;
   }
-  // Room for only a part of a gang is useless.
+  // Capacity for only a part of a gang is useless.
   return group.gang && tasksLeft > 0 ? [] : chosen;
 }
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -101,8 +101,8 @@
 
 /**
  * Selects the groups of a round from a list ordered by urgency: the first of the list, and a window over the others
- * that advances with each round. With the most urgent groups alone, those that find no room would keep all other
- * groups out of every round for as long as they wait.
+ * that advances with each round. With the most urgent groups alone, those that find no free capacity would keep
+ * all other groups out of every round for as long as they wait.
  */
 function selectForRound<T>(ordered: readonly T[], maxCount: number, roundNumber: number): readonly T[] {
   if (ordered.length <= maxCount) return ordered;
@@ -129,9 +129,9 @@
 const network = new FlowNetwork();
 
 /**
- * Runs one round as a min-cost flow from task groups through targets (present machines, room to come, machines to be
- * rented) to the sink. Every group can also reach the unscheduled node. Tasks that the flow assigns to a machine but
- * that don't fit there together wait for the next round.
+ * Runs one round as a min-cost flow from task groups through targets (present machines, future capacity, machines to
+ * be rented) to the sink. Every group can also reach the unscheduled node. Tasks that the flow assigns to a machine
+ * but that don't fit there together wait for the next round.
  *
  * @param quotaHeadroom by index of the team
  * @param sizeOf the resources of a whole machine of a type, or null if the type is unknown
@@ -176,7 +176,7 @@
   const targets = makeTargets(groups, needs, machines, provisioningOptions, result.reserved);
   const planner = new GroupPlanner(needs, targets, options);
   const plans = groups.map((g) => planner.planGroup(g, quotaHeadroom)).filter((p) => p !== null);
-  // A gang that found room for only a part of its tasks must not block other groups: the next pass leaves it out.
+  // A gang with capacity for only a part of its tasks must not block other groups: the next pass leaves it out.
   const skipped = new Set<number>();
   for (let pass = 0; pass < 3; pass++) {
     const remaining = plans.filter((p) => !skipped.has(p.group.job));
--- a/src/scheduling/snapshot.ts
+++ b/src/scheduling/snapshot.ts
@@ -2,7 +2,8 @@
  * The input and the result of a scheduling round, and arithmetic on resources. Jobs, teams, machines, machine types,
  * zones and provisioning options are given as dense indices, so that a round needs no objects of other modules.
  *
- * Room means resources that tasks can use: free ones, or room to come when tasks end or machines come up.
+ * Free capacity means resources that tasks can use now; future capacity means those that tasks can use once other
+ * tasks end or machines come up.
  */
 
 /** An amount of CPU cores, accelerators and memory in GB. */
@@ -19,7 +20,7 @@
   /** Tasks to place; for a gang all of them. */
   pending: number;
   gang: boolean;
-  /** Rank of the job; a higher one goes first. */
+  /** Priority of the job; a higher one goes first. */
   priority: number;
   /** Resources of each task. */
   need: Resources;
@@ -39,14 +40,14 @@
   liveByZone: Map<number, number>;
   /** Its class has an objective on when tasks start. */
   latencySensitive: boolean;
-  /** Tasks that have not arrived yet: room is held and machines are rented for them, but none is placed. */
+  /** Tasks that have not arrived yet: capacity is held and machines are rented for them, but none is placed. */
   expected: boolean;
   waitedMs: number;
   /** A further attempt of a job that fails on all machines: nothing is preempted or reserved for it. */
   probe: boolean;
   /** Machines may be rented for it. */
   mayProvision: boolean;
-  /** Lowest-rank work of a team without a guarantee. It leaves each free accelerator its share of the machine. */
+  /** Lowest-priority work of a team without a guarantee. It leaves each free accelerator its share of the machine. */
   bestEffort: boolean;
   /** Highest hourly price per task at which a machine is rented for it. */
   maxProvisionPrice: number;
@@ -57,7 +58,7 @@
   nominatedMachine: number;
   /** Machines on which tasks have just been preempted for it: they are reserved for it. */
   reservedMachines: ReadonlySet<number>;
-  /** Seconds beyond the boot of a rented machine for which the job rather waits for room on a present one. */
+  /** Seconds beyond the boot of a rented machine for which the job rather waits for capacity on a present one. */
   maxQueueingDelayS: number;
   /** Seconds that it can still wait without missing an objective; Infinity: it has none, -1: it has missed all. */
   slackS: number;
@@ -86,7 +87,10 @@
   fetchS: (image: string, gb: number) => number;
   /** Number of images on it that latency-sensitive classes have used lately. */
   warmImageCount: number;
-  /** Beyond the present need: used last, except by latency-sensitive classes, so that it can be terminated. */
+  /**
+   * A surplus machine, beyond the present need: used last, except by latency-sensitive classes, so that it can be
+   * terminated.
+   */
   surplus: boolean;
   /** Extra cost in steps, for machines known to be slow or faulty. */
   penalty: number;
@@ -126,13 +130,13 @@
   placements: Placement[];
   /** Number of machines to be rented by provisioning option. */
   demand: Map<number, number>;
-  /** Tasks by job that wait for room to come: tasks that end, booting machines and machines to be rented. */
+  /** Tasks by job that wait for future capacity: tasks that end, booting machines and machines to be rented. */
   awaiting: Map<number, number>;
-  /** Tasks by job for which there is no room, not even to come. */
+  /** Tasks by job for which there is neither free nor future capacity. */
   unplaced: Map<number, number>;
   /** The job that a machine is reserved for, by machine. */
   reserved: Map<number, number>;
-  /** Machines with room that is held for expected tasks. */
+  /** Machines with free capacity that is held for expected tasks. */
   heldForExpected: Set<number>;
   /** Number of groups that this round left to a later one. */
   deferredGroupCount: number;
--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -1,4 +1,4 @@
-/** The targets of the flow network: present machines, room to come, and machines to be rented. */
+/** The targets of the flow network: present machines, future capacity, and machines to be rented. */
 import {
   computeFetchS,
   countFittingTasks,
@@ -13,7 +13,7 @@
 export interface Target {
   /** Index of the node in the network. */
   node: number;
-  /** Free resources of present machines, room to come, or machines to be rented. */
+  /** Free resources of present machines, future capacity, or machines to be rented. */
   kind: 'now' | 'later' | 'rent';
   type: number;
   zone: number;
@@ -45,13 +45,13 @@
 }
 
 const UNKNOWN_COUNT = -1;
-/** Of more parts than this a sample is counted: room to come is only weighed against renting. */
+/** Of more parts than this only a sample is counted: future capacity is only weighed against renting. */
 const MAX_COUNTED_PARTS = 12;
 
 /** With no more machines than this each release and each booting machine has a target of its own. */
 const MAX_UNMERGED_MACHINES = 100;
 
-/** With more machines, room to come within the same one of these periods shares a target. Upper bounds. */
+/** Upper bounds of periods: with more machines, future capacity that comes within one period shares a target. */
 const BUCKET_BOUNDS_S = [3, 8, 15, 30, 50, 80, 130, 200, 300];
 
 function findBucket(inS: number): number {
@@ -84,7 +84,7 @@
     return index;
   }
 
-  /** False if no task fits. May be true although none does: the least CPUs, GPUs and memory can be of unlike needs. */
+  /** False if no task fits. May be true although none does: the least CPUs, GPUs and memory can be of several needs. */
   canFitAny(free: Resources): boolean {
     return countFittingTasks(this.smallest, free) > 0;
   }
@@ -105,7 +105,7 @@
   return `${snapshot.type}/${snapshot.zone}/${snapshot.spot}/${cpus}/${gpus}/${memory}/${snapshot.load}/${snapshot.warmImageCount}/${snapshot.surplus}/${snapshot.penalty}/${reservedFor}/${fetchHash}/${distinctIndex}`;
 }
 
-/** Makes the targets of a round: classes of equivalent machines, room to come by time, and machines to be rented. */
+/** Makes the targets of a round: classes of equivalent machines, future capacity by time, machines to be rented. */
 export function makeTargets(
   groups: readonly TaskGroup[],
   needs: DistinctNeeds,
@@ -220,7 +220,7 @@
 export function estimateFetchS(target: Target, image: string, gb: number): number {
   if (target.option) return computeFetchS(gb, target.option.fetchGbPerS);
   if (target.kind === 'now') return target.snapshots[0]!.fetchS(image, gb);
-  // The mean of a few parts stands for all: room to come is only weighed against renting.
+  // The mean of a few parts stands for all: future capacity is only weighed against renting.
   const sampleSize = Math.min(4, target.parts.length);
   let sum = 0;
   for (let i = 0; i < sampleSize; i++) sum += target.parts[i]!.snapshot.fetchS(image, gb);
--- a/src/scheduling/urgency.ts
+++ b/src/scheduling/urgency.ts
@@ -3,8 +3,8 @@
 import type { TaskGroup } from './snapshot.ts';
 
 /**
- * Width of a band of costs. Costs on present machines lie in the first band. Costs of room to come and of machines to
- * be rented lie in the second, before the group's urgency is added.
+ * Width of a band of costs. Costs on present machines lie in the first band. Costs of future capacity and of machines
+ * to be rented lie in the second, before the group's urgency is added.
  */
 export const COST_BAND = 100_000;
 /** A job that has waited this many times `reserveAfterMs` gets the full pressure. */
@@ -26,7 +26,7 @@
 /** Urgency of a group, in the unit of costs. The round serves the groups with the highest urgency first. */
 export function computeUrgency(group: TaskGroup, reserveAfterMs: number): number {
   if (group.expected) return 0;
-  // Rank outweighs the team's guarantee, and that outweighs the weighted sum of pressure and waiting time.
+  // Priority outweighs the team's guarantee, and that outweighs the weighted sum of pressure and waiting time.
   return (
     COST_BAND +
     group.priority * 2 * COST_BAND +
@@ -43,9 +43,9 @@
 }
 
 /**
- * Assigns each team's guarantee to its most urgent groups that fit into it, by setting `guaranteed`. Assigned to the
- * oldest jobs it would serve a backlog first come, first served: small jobs that can be in time would wait behind
- * large ones that cannot.
+ * Assigns each team's guarantee to its most urgent groups that fit into it, by setting `guaranteed`. If the guarantee
+ * went to the oldest jobs, a backlog would be served first come, first served: small jobs that can be in time would
+ * wait behind large ones that cannot.
  *
  * @param guaranteeHeadroom by index of the team; reduced by what is assigned
  */
--- a/src/scheduling/zones.ts
+++ b/src/scheduling/zones.ts
@@ -5,26 +5,26 @@
 
 /** Score of a zone in which all tasks of the group fit at once: much more than any other part of a score. */
 const ALL_FIT_NOW_SCORE = 100_000;
-/** Room that comes within this time counts toward a zone. */
+/** Future capacity that comes within this time counts toward a zone. */
 const SOON_S = 60;
 /** Score that a second of image fetch costs, among zones in which all tasks fit at once. */
 const SCORE_PER_FETCH_S = 10;
 /** The zone of the last round is kept unless another one's score is this many times as high. */
 const PREVIOUS_ZONE_SCORE_RATIO = 1.3;
-/** Where all tasks fit at once, it is kept unless the image is there sooner in another zone by more than this. */
+/** If all tasks fit there at once, it is kept unless another such zone has the image sooner by more than this. */
 const PREVIOUS_ZONE_FETCH_ALLOWANCE_S = 2;
 
 /** Numbers of the group's tasks that fit into a zone. */
 interface ZoneCapacity {
   /** Tasks that fit now, with the seconds that the image takes there. */
   now: { count: number; fetchS: number }[];
-  /** Tasks that fit into room that comes soon. */
+  /** Tasks that fit into future capacity that comes within `SOON_S`. */
   soon: number;
   /** Tasks that fit on machines to be rented, each divided by 1 + the hourly price. */
   rent: number;
 }
 
-/** Seconds that the last task waits for its image if the tasks go where it is there soonest; -1: not all fit. */
+/** Seconds until the last task has its image, on the machines that have it soonest; -1 if not all tasks fit. */
 function findSlowestFetchS(now: { count: number; fetchS: number }[], wanted: number): number {
   now.sort((a, b) => a.fetchS - b.fetchS);
   let tasksLeft = wanted;
@@ -37,8 +37,9 @@
 
 /**
  * Picks the zone for a group whose tasks must stay together, or -1 if there is none: the zone in which it has live
- * tasks or the only one it allows; else a zone in which all its tasks fit at once, the one in which all have the image
- * soonest, since a gang waits for the slowest fetch; else the zone with the most room, now or to come.
+ * tasks or the only one it allows; else, of the zones in which all its tasks fit at once, the one in which the last of
+ * them has its image soonest, since a gang waits for the slowest fetch; else the zone with the most free and future
+ * capacity.
  *
  * The zone of the last round is kept unless another is clearly better: machines reserved or rented and tasks preempted
  * there for the group would otherwise be of no use.
--- a/test/scheduling/idle-work.test.ts
+++ b/test/scheduling/best-effort-tasks.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { isWorthKeeping } from '../../src/scheduling/idle-work.ts';
+import { isWorthKeeping } from '../../src/scheduling/best-effort-tasks.ts';
 
 test('a machine is kept for best-effort tasks as long as they are worth its price', () => {
   const task = { maxPrice: 0.4, remainingS: 200, lossS: 3 };
--- a/test/scheduling/forecast.test.ts
+++ b/test/scheduling/forecast.test.ts
@@ -18,6 +18,6 @@
     f.expectedTasks(t, () => 50, 1).reduce((n, e) => n + e.tasks, 0);
   assert.ok(tasksAt(forecast, 210_000) >= 2);
   assert.equal(tasksAt(other, 210_000), 0);
-  // Otherwise spare machines are held for minutes after the last arrival of the day.
+  // Otherwise surplus machines are held for minutes after the last arrival of the day.
   assert.equal(tasksAt(forecast, 400_000), 0);
 });
--- a/test/scheduling/round.test.ts
+++ b/test/scheduling/round.test.ts
@@ -99,7 +99,7 @@
         for (const placement of result.placements) {
           const taskGroup = required(taskGroups[placement.job], 'group');
           const snapshot = required(snapshots[placement.machine], 'machine');
-          allocate(required(free[placement.machine], 'room'), taskGroup.need, placement.count);
+          allocate(required(free[placement.machine], 'free resources'), taskGroup.need, placement.count);
           perJob.set(placement.job, (perJob.get(placement.job) ?? 0) + placement.count);
           if (taskGroup.team === 0) team0 += taskGroup.need.cpus * placement.count;
           assert.ok(taskGroup.spot || !snapshot.spot, 'spot machine');
@@ -108,7 +108,8 @@
           byZone.set(snapshot.zone, (byZone.get(snapshot.zone) ?? 0) + placement.count);
           zones.set(placement.job, byZone);
         }
-        for (const room of free) assert.ok(room.cpus >= 0 && room.memory >= 0, 'room');
+        for (const remaining of free)
+          assert.ok(remaining.cpus >= 0 && remaining.memory >= 0, 'free resources');
         assert.ok(team0 <= limit + 1e-6, 'limit');
         for (const [job, count] of perJob) {
           const taskGroup = required(taskGroups[job], 'group');
@@ -149,8 +150,8 @@
   assert.deepEqual([two.placements.length, two.demand.size, two.unplaced.size], [0, 0, 0]);
 });
 
-test('the more urgent group gets the free room, though both groups could rent', () => {
-  // If urgency didn't weigh free room against room to come, the choice would be arbitrary and cause preemptions.
+test('the more urgent group gets the free capacity, though both groups could rent', () => {
+  // If urgency didn't weigh free against future capacity, the choice would be arbitrary and cause preemptions.
   const groups = [createTaskGroup({ job: 0, priority: 1 }), createTaskGroup({ job: 1, priority: 2 })];
   const snapshots = [createMachineSnapshot({ free: { cpus: 1, gpus: 0, memory: 4 } })];
   const result = runRound(groups, snapshots, [createProvisioningOption()], FREE_TEAM, sizeOf, OPTIONS);
@@ -263,7 +264,7 @@
   }
 });
 
-test('a job that accepts a queueing delay waits for room that is about to come instead of renting', () => {
+test('a job that accepts a queueing delay waits for future capacity that comes soon instead of renting', () => {
   const snapshots = [
     createMachineSnapshot({
       free: { cpus: 0, gpus: 0, memory: 0 },
@@ -300,7 +301,7 @@
   assert.equal(result.reserved.get(0), 0);
 });
 
-test('machines cleared for a gang stay reserved for it, also against jobs that have waited long', () => {
+test('machines with tasks preempted for a gang stay reserved for it, also against jobs that have waited long', () => {
   // Otherwise small tasks start there before the last of the gang's machines is free, and are preempted in turn.
   const snapshots = [0, 1, 2].map((n) => createMachineSnapshot({ machine: n }));
   const need = { cpus: 4, gpus: 0, memory: 4 };
@@ -333,7 +334,7 @@
     sizeOf,
     OPTIONS,
   );
-  assert.ok(others.placements.length > 0, 'without it they would be taken');
+  assert.ok(others.placements.length > 0, 'without the reservation they would be taken');
 });
 
 test('nothing is provisioned for a gang that is left out of the round', () => {
@@ -353,7 +354,7 @@
   assert.deepEqual([...result.demand], []);
 });
 
-test('the machines chosen for a gang are those with preempted tasks and those with room already', () => {
+test('the machines chosen for a gang are those with preempted tasks and those with enough free capacity', () => {
   const snapshots = [
     createMachineSnapshot({ machine: 0 }),
     createMachineSnapshot({ machine: 1, free: { cpus: 0, gpus: 0, memory: 8 }, load: 1 }),
@@ -361,7 +362,7 @@
   ];
   const need = { cpus: 4, gpus: 0, memory: 1 };
   const gang = createTaskGroup({ gang: true, priority: 2, pending: 2, need });
-  const victimsOn = (index: number): PreemptionCandidate<string>[] =>
+  const candidatesOn = (index: number): PreemptionCandidate<string>[] =>
     index === 0
       ? []
       : [
@@ -376,14 +377,23 @@
           },
         ];
   const chosenMachines = new Set<number>();
-  const chosen = selectVictims(gang, 2, snapshots, victimsOn, FREE_TEAM, Infinity, new Map(), chosenMachines);
+  const chosen = selectVictims(
+    gang,
+    2,
+    snapshots,
+    candidatesOn,
+    FREE_TEAM,
+    Infinity,
+    new Map(),
+    chosenMachines,
+  );
   assert.deepEqual(chosen, ['t1']);
   assert.deepEqual([...chosenMachines], [0, 1]);
 });
 
-test('tasks are preempted only if the group then fits, and not while room is being made', () => {
+test('tasks are preempted only if the group then fits, and not while capacity is being freed', () => {
   const snapshots = [createMachineSnapshot({ free: { cpus: 0, gpus: 0, memory: 8 } })];
-  const victim = (overrides: Partial<PreemptionCandidate<string>>): PreemptionCandidate<string> => ({
+  const candidate = (overrides: Partial<PreemptionCandidate<string>>): PreemptionCandidate<string> => ({
     item: 'a',
     priority: 1,
     team: 0,
@@ -396,13 +406,17 @@
   const urgent = createTaskGroup({ priority: 2, need: { cpus: 4, gpus: 0, memory: 1 } });
   const pick = (list: PreemptionCandidate<string>[]) =>
     selectVictims(urgent, 1, snapshots, () => list, FREE_TEAM, Infinity, new Map());
-  assert.deepEqual(pick([victim({}), victim({ item: 'b' })]), ['a', 'b']);
-  assert.deepEqual(pick([victim({})]), [], 'one alone frees too little');
-  assert.deepEqual(pick([victim({ priority: 2 }), victim({ item: 'b', priority: 2 })]), [], 'equal rank');
+  assert.deepEqual(pick([candidate({}), candidate({ item: 'b' })]), ['a', 'b']);
+  assert.deepEqual(pick([candidate({})]), [], 'one alone frees too little');
+  assert.deepEqual(
+    pick([candidate({ priority: 2 }), candidate({ item: 'b', priority: 2 })]),
+    [],
+    'equal priority',
+  );
   assert.equal(
-    pick([victim({ stopping: true }), victim({ item: 'b', stopping: true })]),
+    pick([candidate({ stopping: true }), candidate({ item: 'b', stopping: true })]),
     null,
-    'enough is being made',
+    'enough is being freed',
   );
 });
 
@@ -532,7 +546,7 @@
             load: until > t ? 1 : 0,
           }),
         );
-        // Small jobs of the same rank, always enough to fill the free machines.
+        // Small jobs of the same priority, always enough to fill the free machines.
         const small = Array.from({ length: 12 }, (_, i) =>
           createTaskGroup({ job: 1000 + t * 20 + i, pending: 2, need }),
         );
@@ -574,7 +588,7 @@
 });
 
 test('a gang goes to the zone where the last of its tasks has the image soonest', () => {
-  // If the zone were chosen by its room alone, gangs would fetch an image that another zone has.
+  // If the zone were chosen by its capacity alone, gangs would fetch an image that another zone has.
   const has = (image: boolean) => (_image: string, gb: number) => (image ? 0 : gb);
   const snapshots = [0, 1, 2, 3, 4, 5].map((i) =>
     createMachineSnapshot({ machine: i, zone: i < 4 ? 0 : 1, fetchS: has(i === 0 || i > 3) }),
@@ -590,7 +604,7 @@
   assert.deepEqual(result.placements.map((p) => p.machine).sort(), [4, 5]);
 });
 
-test('urgent groups that find no room do not keep other groups out of all rounds', () => {
+test('urgent groups that find no free capacity do not keep other groups out of all rounds', () => {
   const stuck = Array.from({ length: 30 }, (_, job) =>
     createTaskGroup({ job, priority: 3, need: { cpus: 40, gpus: 0, memory: 1 } }),
   );
--- a/test/scheduling/solver.test.ts
+++ b/test/scheduling/solver.test.ts
@@ -37,16 +37,18 @@
         maxLength: 5,
       }),
       load: fc.array(fc.integer({ min: 0, max: 5 }), { minLength: machines, maxLength: machines }),
-      room: fc.array(fc.integer({ min: 0, max: 3 }), { minLength: machines, maxLength: machines }),
+      slotCounts: fc.array(fc.integer({ min: 0, max: 3 }), { minLength: machines, maxLength: machines }),
     }),
   );
   fc.assert(
-    fc.property(shape, ({ costs, load, room }) => {
+    fc.property(shape, ({ costs, load, slotCounts }) => {
       const unscheduledCost = 1000;
-      const slots = room.map((r, m) => Array.from({ length: r }, (_, k) => required(load[m], 'load') + k));
+      const slots = slotCounts.map((r, m) =>
+        Array.from({ length: r }, (_, k) => required(load[m], 'load') + k),
+      );
       const net = new FlowNetwork();
       const [source, sink, unscheduled] = [net.addNode(), net.addNode(), net.addNode()];
-      const nodes = room.map(() => net.addNode());
+      const nodes = slotCounts.map(() => net.addNode());
       costs.forEach((row) => {
         const task = net.addNode();
         net.addArc(source, task, 1, 0);
@@ -63,7 +65,7 @@
       // Solved for one task after the other, each from its own node, the total cost is the same.
       const sequential = new FlowNetwork();
       const [end, waiting] = [sequential.addNode(), sequential.addNode()];
-      const places = room.map(() => sequential.addNode());
+      const places = slotCounts.map(() => sequential.addNode());
       const tasks = costs.map((row) => {
         const task = sequential.addNode();
         sequential.addArc(task, waiting, 1, unscheduledCost);
