--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -184,10 +184,10 @@
       },
       outcomeMayBeWritten: (id) => terminalWrites.mayBeWritten(id),
       isTerminal: (id) => terminalStates.get(id) !== undefined,
-      superseded: () => {
+      onSuperseded: () => {
         this.stepDown('a worker has seen a higher fencing token');
       },
-      lostAllWorkers: () => {
+      onAllWorkersLost: () => {
         transfer.onLostAllWorkers(() => this.isCurrent()).catch(onError);
       },
     };
@@ -212,13 +212,13 @@
 
   private createJobRecordListener(leader: Leader): JobRecordListener {
     return {
-      active: () => this.isCurrent(),
-      changed: (events) => {
+      isActive: () => this.isCurrent(),
+      onEvents: (events) => {
         this.enqueueWhileLeading(leader, () => {
           leader.onStoreEvents(events);
         });
       },
-      listed: (items) => {
+      onListed: (items) => {
         this.enqueueWhileLeading(leader, () => {
           leader.onStoreListed(items);
         });
--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -44,7 +44,7 @@
     latencySensitive: job % 2 === 0,
     expected: false,
     waitedMs: job * 300,
-    probe: false,
+    failing: false,
     mayProvision: true,
     bestEffort: job % 5 === 0,
     maxProvisionPrice: Infinity,
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -8,7 +8,7 @@
   | { kind: 'rented'; names: string[] }
   | { kind: 'no_capacity' }
   | { kind: 'refused' }
-  /** It may have been carried out. Repeating it under the same name returns the outcome. */
+  /** The rental may have been carried out. Repeating it under the same name returns the outcome. */
   | { kind: 'unknown' };
 
 /** What controllers need of a cloud. */
--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -334,8 +334,8 @@
 
   /**
    * Sends a request for the terminations that are due, unless the leader may have been replaced. A leader that is cut
-   * off from workers and the state service considers machines lost on which its successor runs tasks; a delayed request
-   * to terminate them would end these tasks.
+   * off from workers and the key-value store considers machines lost on which its successor runs tasks; a delayed
+   * request to terminate them would end these tasks.
    */
   private terminateDue(): void {
     if (this.terminating.size === 0 || this.terminationInFlight) return;
--- a/src/leader/arrivals.ts
+++ b/src/leader/arrivals.ts
@@ -1,4 +1,4 @@
-/** Past arrivals of jobs, from which future ones are predicted: rates by class, and latency-sensitive images. */
+/** Past arrivals of jobs: the forecast of further ones, and the images of latency-sensitive classes. */
 import type { Settings } from '../config/settings.ts';
 import { ArrivalForecast } from '../scheduling/forecast.ts';
 import type { JobRequest } from '../wire/user.ts';
--- a/src/leader/context.ts
+++ b/src/leader/context.ts
@@ -23,20 +23,20 @@
   sendCommands(machine: Machine, commands: Command[]): Promise<CommandResult>;
   /** Asks a worker for its state. */
   inspect(machine: Machine): Promise<InspectResult>;
-  /** The terminal record of a job is durable. */
+  /** Called when the terminal record of a job is durable. */
   onTerminalState(id: string, status: JobStatus): void;
-  /** The controller knows a terminal state of the job. */
+  /** Whether this controller knows a terminal state of the job. */
   isTerminal(id: string): boolean;
-  /** The terminal record of a job may be in the store, though its write isn't confirmed yet. */
+  /** Whether the terminal record of a job may be in the store, though its write isn't confirmed yet. */
   outcomeMayBeWritten(id: string): boolean;
   /** Puts a command into the command queue of the single writer; a batch follows. */
   enqueue(command: () => void): void;
   /** Resolves after a time in milliseconds. */
   pause(ms: number): Promise<void>;
-  /** A worker has seen a higher fencing token: another controller leads by now. */
-  superseded(): void;
-  /** This node receives messages from hardly any worker; a controller that still receives theirs should lead. */
-  lostAllWorkers(): void;
+  /** Called when a worker has seen a higher fencing token: another controller leads by now. */
+  onSuperseded(): void;
+  /** Called when this node hears from hardly any worker; a controller that still receives heartbeats should lead. */
+  onAllWorkersLost(): void;
   /** Milliseconds since this controller last received a heartbeat that no follower relayed. */
   directHeartbeatAgeMs(): number;
   /** How far the event loop of this process lags, in milliseconds. */
--- a/src/leader/heartbeat-intake.ts
+++ b/src/leader/heartbeat-intake.ts
@@ -58,7 +58,7 @@
   /** A higher fencing token than ours shows that another controller leads by now. */
   private isSuperseded(heartbeat: Heartbeat): boolean {
     if (heartbeat.fencingToken <= this.deps.term) return false;
-    this.deps.host.superseded();
+    this.deps.host.onSuperseded();
     return true;
   }
 
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -106,7 +106,7 @@
     const overloaded = host.lagMs() > BUSY_MS;
     this.updateZones(survey, overloaded);
     const isolated = !overloaded && (hasLostNearlyAll(survey) || this.reachesNoWorker());
-    if (isolated) host.lostAllWorkers();
+    if (isolated) host.onAllWorkersLost();
     const context = { ...liveness, cancellation: this.cancellation, overloaded, isolated };
     for (const machine of [...cluster.machines.values()]) {
       this.checkMachine(machine, context);
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -261,7 +261,7 @@
     if (!this.deps.options.scheduling.preempt) return;
     const guaranteed = this.snapshots.findGuaranteedJobs();
     const countWaiting = (g: TaskGroup): number =>
-      g.nominatedMachine >= 0 || g.probe
+      g.nominatedMachine >= 0 || g.failing
         ? 0
         : (result.unplaced.get(g.job) ?? 0) + (result.awaiting.get(g.job) ?? 0);
     const waitingGroups = groups.filter((g) => countWaiting(g) > 0).sort((a, b) => b.priority - a.priority);
@@ -329,7 +329,7 @@
     quotaHeadroom: readonly QuotaHeadroom[],
     candidates: PreemptionCandidates,
   ): boolean {
-    if (!group.latencySensitive || group.probe || job.spec.tasks !== 1 || group.nominatedMachine >= 0)
+    if (!group.latencySensitive || group.failing || job.spec.tasks !== 1 || group.nominatedMachine >= 0)
       return false;
     if (!this.deps.options.scheduling.preempt) return false;
     const fetchS = (m: MachineSnapshot): number => m.fetchS(group.image, group.imageGb);
--- a/src/leader/stored-state.ts
+++ b/src/leader/stored-state.ts
@@ -21,14 +21,14 @@
   revision: number;
 }
 
-/** Takes changes of job records. */
+/** Receives the changes of job records. */
 export interface JobRecordListener {
   /** False once the changes are of no use any more; the watch then ends. */
-  active(): boolean;
-  /** Changes, in order. */
-  changed(events: readonly WatchEvent[]): void;
-  /** All records, listed anew because the watch has missed changes. */
-  listed(items: readonly Item[]): void;
+  isActive(): boolean;
+  /** Receives changes, in order. */
+  onEvents(events: readonly WatchEvent[]): void;
+  /** Receives all records, listed anew because the watch has missed changes. */
+  onListed(items: readonly Item[]): void;
 }
 
 type StateReader = Pick<KeyValueStore, 'list' | 'watch'>;
@@ -69,13 +69,13 @@
   pause: Pause,
 ): Promise<void> {
   let revision = afterRevision;
-  while (listener.active()) {
+  while (listener.isActive()) {
     const watched = await store.watch(KEYS.openPrefix, revision, MAX_WATCH_MS);
-    if (!listener.active()) return;
+    if (!listener.isActive()) return;
     if (watched.kind === 'ok') {
       revision = watched.value.revision;
       const { events } = watched.value;
-      if (events.length > 0) listener.changed(events);
+      if (events.length > 0) listener.onEvents(events);
       continue;
     }
     await pause(WATCH_RETRY_PAUSE_MS);
@@ -84,6 +84,6 @@
     const listed = await store.list(KEYS.openPrefix, 'lease');
     if (listed.kind !== 'ok') continue;
     revision = listed.value.revision;
-    listener.listed(listed.value.items);
+    listener.onListed(listed.value.items);
   }
 }
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -22,7 +22,7 @@
  */
 const MACHINE_EXCLUSION_MS = 30_000;
 /** How long a failing job waits for a present machine, from its next permitted attempt, before one may be rented. */
-const PROBE_PROVISION_DELAY_MS = 60_000;
+const FAILING_PROVISION_DELAY_MS = 60_000;
 
 /** Creates the task groups of a round: one for each waiting job, and one for each class with expected arrivals. */
 export class TaskGroups {
@@ -80,8 +80,8 @@
       if (startableCount === 0) continue;
       const liveCount = this.cluster.liveAttempts.get(job)?.size ?? 0;
       if (job.spec.gang && (this.cluster.gangs.has(job) || liveCount > 0)) continue;
-      const probe = isFailing(job.failures);
-      if (probe && liveCount > 0) continue;
+      const failing = isFailing(job.failures);
+      if (failing && liveCount > 0) continue;
       const spec = job.spec;
       const waitedMs = now - job.waitingSince;
       // Under a backlog the jobs with the least slack go first, new ones included, so the wait of a job for its first
@@ -90,7 +90,7 @@
       const starving = !spec.gang && job.hasNeverStarted && waitedMs > scheduling.begin_after_s * 1000;
       let pending = starving ? Math.min(startableCount, MAX_STARVING_TASKS) : startableCount;
       // One task shows whether the job still fails; a gang needs all of its tasks for that.
-      if (probe && !spec.gang) pending = 1;
+      if (failing && !spec.gang) pending = 1;
       const { slackS, maxQueueingDelayS, perTask } = computeJobSlack(job, guaranteed.has(job), this.deps);
       const bestEffort = this.bestEffort.isBestEffort(job);
       // Only a best-effort job to which no objective applies has a limit on the price of machines that are rented for
@@ -119,11 +119,11 @@
         liveByZone,
         latencySensitive: this.sources.forecast.isWatched(spec.className),
         expected: false,
-        waitedMs: probe ? 0 : starving ? STARVING_WAIT_OFFSET_MS + waitedMs : waitedMs,
-        probe,
+        waitedMs: failing ? 0 : starving ? STARVING_WAIT_OFFSET_MS + waitedMs : waitedMs,
+        failing,
         bestEffort: bestEffort && !starving,
         maxProvisionPrice: hasPriceLimit ? this.bestEffort.computeMaxProvisionPrice(job) : Infinity,
-        mayProvision: !probe || now - job.notBefore > PROBE_PROVISION_DELAY_MS,
+        mayProvision: !failing || now - job.notBefore > FAILING_PROVISION_DELAY_MS,
         image: spec.image,
         imageGb: spec.imageGb,
         excludedMachines:
@@ -195,7 +195,7 @@
       latencySensitive: true,
       expected: true,
       waitedMs: 0,
-      probe: false,
+      failing: false,
       mayProvision: true,
       bestEffort: false,
       maxProvisionPrice: Infinity,
--- a/src/scheduling/snapshot.ts
+++ b/src/scheduling/snapshot.ts
@@ -43,8 +43,8 @@
   /** Tasks that have not arrived yet: capacity is held and machines are rented for them, but none is placed. */
   expected: boolean;
   waitedMs: number;
-  /** A further attempt of a job that fails on all machines: nothing is preempted or reserved for it. */
-  probe: boolean;
+  /** The job fails on all machines and is retried: nothing is preempted or reserved for it. */
+  failing: boolean;
   /** Machines may be rented for it. */
   mayProvision: boolean;
   /** Lowest-priority work of a team without a guarantee. It leaves each free accelerator its share of the machine. */
--- a/src/scheduling/urgency.ts
+++ b/src/scheduling/urgency.ts
@@ -18,7 +18,7 @@
  */
 function computePressure(group: TaskGroup, reserveAfterMs: number): number {
   if (group.waitedMs > reserveAfterMs * STARVATION_WAIT_RATIO) return 1;
-  if (group.slackS < 0 || group.probe) return 0;
+  if (group.slackS < 0 || group.failing) return 0;
   // If not all jobs can be in time, those with less work go first, so that more jobs are.
   return HALF_PRESSURE_SLACK_S / (HALF_PRESSURE_SLACK_S + group.slackS) / (1 + group.relativeWork);
 }
@@ -57,7 +57,7 @@
   const ordered = groups.map((group) => ({ group, key: computeUrgency(group, reserveAfterMs) }));
   ordered.sort((a, b) => b.key - a.key);
   for (const { group } of ordered) {
-    if (group.probe) continue;
+    if (group.failing) continue;
     const headroom = required(guaranteeHeadroom[group.team], 'guarantee headroom of the team');
     const gpus = group.need.gpus * group.pending;
     const cpus = group.need.cpus * group.pending;
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -56,7 +56,7 @@
     latencySensitive: false,
     expected: false,
     waitedMs: 0,
-    probe: false,
+    failing: false,
     mayProvision: true,
     bestEffort: false,
     maxProvisionPrice: Infinity,
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -74,8 +74,8 @@
         });
       },
       pause: (ms) => sim.pause(ms),
-      superseded: () => undefined,
-      lostAllWorkers: () => undefined,
+      onSuperseded: () => undefined,
+      onAllWorkersLost: () => undefined,
       directHeartbeatAgeMs: () => 0,
       lagMs: () => 0,
     },
--- a/test/leader/fakes.ts
+++ b/test/leader/fakes.ts
@@ -41,8 +41,8 @@
       command();
     },
     pause: () => new Promise(() => undefined),
-    superseded: () => undefined,
-    lostAllWorkers: () => undefined,
+    onSuperseded: () => undefined,
+    onAllWorkersLost: () => undefined,
     directHeartbeatAgeMs: () => 0,
     lagMs: () => 0,
     ...overrides,
--- a/test/leader/harness.ts
+++ b/test/leader/harness.ts
@@ -39,7 +39,7 @@
   readonly clock = new FakeClock();
   readonly sentCommands: SentCommands[] = [];
   readonly probes: SentProbe[] = [];
-  /** Workers that execute commands and answer probes at once; those to all others wait for the test. */
+  /** Workers that execute commands and answer probes at once; requests to other machines wait for the test. */
   readonly workers = new Map<string, FakeWorker>();
   /** Machines that the cloud has terminated, in order. */
   readonly terminated: string[] = [];
@@ -72,7 +72,7 @@
             const worker = this.workers.get(machine.name);
             if (worker) answer({ kind: 'answered', heartbeat: worker.nextHeartbeat() });
           }),
-        superseded: () => {
+        onSuperseded: () => {
           this.supersededCount += 1;
         },
       }),
--- a/test/leader/process-pause.test.ts
+++ b/test/leader/process-pause.test.ts
@@ -212,8 +212,8 @@
   const startsBefore = controller.starts.length;
   const rentalsBefore = controller.rentals.length;
   controller.pauseProcess();
-  // Requests that waited in its sockets come first, then all timers at once. The leader acts until it learns of the
-  // next one.
+  // On resuming, the process handles the requests that waited in its sockets, and then all due timers at once. It acts
+  // as the leader until it learns of the next one.
   assert.deepEqual(controller.leader.lookup(JOB_ID), { kind: 'unknown' });
   assert.equal(
     controller.leader.cancel(JOB_ID, () => assert.fail('it confirmed a cancellation')),
--- a/test/scheduling/urgency.test.ts
+++ b/test/scheduling/urgency.test.ts
@@ -44,9 +44,9 @@
 test('of jobs with the same slack the smaller one goes first, and a starving job goes before both', () => {
   const small = createTaskGroup({ slackS: 50, relativeWork: 0.2 });
   const large = createTaskGroup({ slackS: 50, relativeWork: 4 });
-  const starved = createTaskGroup({ slackS: 50, relativeWork: 9, waitedMs: RESERVE_MS * 3 });
+  const starving = createTaskGroup({ slackS: 50, relativeWork: 9, waitedMs: RESERVE_MS * 3 });
   const late = createTaskGroup({ slackS: -1, relativeWork: 0.1 });
-  const keys = [starved, small, large, late].map((g) => computeUrgency(g, RESERVE_MS));
+  const keys = [starving, small, large, late].map((g) => computeUrgency(g, RESERVE_MS));
   assert.deepEqual(
     [...keys].sort((a, b) => b - a),
     keys,
