--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -45,7 +45,7 @@
   zone: number;
   spot: boolean;
   rentedAt: number;
-  /** Before this time it is not terminated as `neverJoined`: its worker may not have found this leader yet. */
+  /** Not terminated as `neverJoined` before this time: a listed machine may not have found this leader yet. */
   keepUntil: number;
   /** The cloud lists it as running. */
   running: boolean;
--- a/src/leader/best-effort-work.ts
+++ b/src/leader/best-effort-work.ts
@@ -67,7 +67,7 @@
     return tasks.length > 0 ? tasks : null;
   }
 
-  /** Subtracts what best-effort tasks use from a machine's used resources: they alone make no machine needed. */
+  /** Subtracts a machine's best-effort tasks from its used resources: they don't count toward the needed machines. */
   subtractUsage(used: Resources, machine: Machine | undefined): void {
     for (const attempt of machine?.attempts.values() ?? []) {
       if (!attempt.released && attempt.job && this.isBestEffort(attempt.job))
--- a/src/leader/heartbeat-intake.ts
+++ b/src/leader/heartbeat-intake.ts
@@ -69,7 +69,8 @@
     const machine = cluster.machines.get(heartbeat.machine) ?? membership.admit(heartbeat);
     if (!machine) return null;
     if (!isNewerHeartbeat(machine, heartbeat) || this.isStale(machine, heartbeat)) {
-      // It was sent before the newest known message, so the lease that its answer renews begins before that message.
+      // The heartbeat was sent before the newest known message, so the lease that its answer renews begins before that
+      // message.
       if (!direct) machine.noteLeaseRenewal(machine.connectivity.lastMessageAt);
       return machine;
     }
--- a/src/leader/machine-monitor.ts
+++ b/src/leader/machine-monitor.ts
@@ -138,7 +138,7 @@
   /**
    * After a pause of the process all machines look silent at once, and all that were booting look as if they never came
    * up. A leader that keeps its lease through an outage, or does not know yet that its leadership is over, must not
-   * terminate them for that.
+   * terminate them for that reason.
    */
   private resumeAfterPause(now: number): void {
     this.listeningSince = now;
--- a/src/scheduling/extract.ts
+++ b/src/scheduling/extract.ts
@@ -155,8 +155,8 @@
     if (unplacedCount > 0) result.unplaced.set(group.job, unplacedCount);
     else result.unplaced.delete(group.job);
     if (group.gang && placedCount < group.pending) {
-      // If future capacity is expected for all other tasks, the free resources found stay allocated to the gang in this
-      // round. Otherwise the round is repeated without the gang.
+      // If all other tasks wait for future capacity or for machines to be rented, the free resources found stay
+      // allocated to the gang in this round. Otherwise the round is repeated without the gang.
       if (placedCount > 0 && unplacedCount > 0) dropped.push(group.job);
       return;
     }
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -66,7 +66,7 @@
   const plans: { machine: number; items: T[]; count: number; loss: number; zone: number }[] = [];
   for (const snapshot of machines) {
     if (snapshot.bootsInS > 0 || group.excludedMachines.has(snapshot.machine)) continue;
-    // A machine reserved for another job takes that job's tasks: stopping tasks there frees none for this group.
+    // A machine reserved for another job takes that job's tasks: stopping tasks there frees nothing for this group.
     const reservedFor = reserved.get(snapshot.machine);
     if (reservedFor !== undefined && reservedFor !== group.job) continue;
     if (snapshot.spot && !group.spot) continue;
--- a/src/scheduling/snapshot.ts
+++ b/src/scheduling/snapshot.ts
@@ -2,8 +2,8 @@
  * The input and the result of a scheduling round, and arithmetic on resources. Jobs, teams, machines, machine types,
  * zones and provisioning options are given as dense indices, so that a round needs no objects of other modules.
  *
- * Free capacity means resources that tasks can use now; future capacity means those that tasks can use once other
- * tasks end or machines come up.
+ * Free capacity means resources that tasks can use now; future capacity means those that become free when running
+ * tasks end or booting machines come up.
  */
 
 /** An amount of CPU cores, accelerators and memory in GB. */
@@ -40,7 +40,7 @@
   liveByZone: Map<number, number>;
   /** Its class has an objective on when tasks start. */
   latencySensitive: boolean;
-  /** Tasks that have not arrived yet: capacity is held and machines are rented for them, but none is placed. */
+  /** Tasks that have not arrived yet: free capacity is held and machines are rented for them, but none is placed. */
   expected: boolean;
   waitedMs: number;
   /** The job fails on all machines and is retried: nothing is preempted or reserved for it. */
@@ -130,9 +130,9 @@
   placements: Placement[];
   /** Number of machines to be rented by provisioning option. */
   demand: Map<number, number>;
-  /** Tasks by job that wait for future capacity: tasks that end, booting machines and machines to be rented. */
+  /** Tasks by job that wait for future capacity or for machines to be rented. */
   awaiting: Map<number, number>;
-  /** Tasks by job for which there is neither free nor future capacity. */
+  /** Tasks by job for which there is neither free nor future capacity, nor a machine to be rented. */
   unplaced: Map<number, number>;
   /** The job that a machine is reserved for, by machine. */
   reserved: Map<number, number>;
--- a/src/scheduling/zones.ts
+++ b/src/scheduling/zones.ts
@@ -38,8 +38,8 @@
 /**
  * Picks the zone for a group whose tasks must stay together, or -1 if there is none: the zone in which it has live
  * tasks or the only one it allows; else, of the zones in which all its tasks fit at once, the one in which the last of
- * them has its image soonest, since a gang waits for the slowest fetch; else the zone with the most free and future
- * capacity.
+ * them has its image soonest, since a gang waits for the slowest fetch; else the zone with the most capacity, whether
+ * free, future or to be rented.
  *
  * The zone of the last round is kept unless another is clearly better: machines reserved or rented and tasks preempted
  * there for the group would otherwise be of no use.
