--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -84,7 +84,7 @@
     return index;
   }
 
-  /** False if no task fits. May be true although none does: the least of each resource may come from a different need. */
+  /** False if no task fits. May be true although none does: the least of each resource may be of another need. */
   canFitAny(free: Resources): boolean {
     return countFittingTasks(this.smallest, free) > 0;
   }
