--- a/src/scheduling/urgency.ts
+++ b/src/scheduling/urgency.ts
@@ -3,8 +3,8 @@
 import type { TaskGroup } from './snapshot.ts';
 
 /**
- * Width of a band of costs. Costs on present machines lie in the first band. Costs of room to come and of machines to
- * be rented lie in the second, before the group's urgency is added.
+ * Width of a band of costs. Costs on present machines lie in the first band. Costs of future capacity and of machines
+ * to be rented lie in the second, before the group's urgency is added.
  */
 export const COST_BAND = 100_000;
 /** A job that has waited this many times `reserveAfterMs` gets the full pressure. */
@@ -18,7 +18,7 @@
  */
 function computePressure(group: TaskGroup, reserveAfterMs: number): number {
   if (group.waitedMs > reserveAfterMs * STARVATION_WAIT_RATIO) return 1;
-  if (group.slackS < 0 || group.probe) return 0;
+  if (group.slackS < 0 || group.failing) return 0;
   // If not all jobs can be in time, those with less work go first, so that more jobs are.
   return HALF_PRESSURE_SLACK_S / (HALF_PRESSURE_SLACK_S + group.slackS) / (1 + group.relativeWork);
 }
@@ -26,7 +26,7 @@
 /** Urgency of a group, in the unit of costs. The round serves the groups with the highest urgency first. */
 export function computeUrgency(group: TaskGroup, reserveAfterMs: number): number {
   if (group.expected) return 0;
-  // Rank outweighs the team's guarantee, and that outweighs the weighted sum of pressure and waiting time.
+  // Priority outweighs the team's guarantee, and that outweighs the weighted sum of pressure and waiting time.
   return (
     COST_BAND +
     group.priority * 2 * COST_BAND +
@@ -43,9 +43,9 @@
 }
 
 /**
- * Assigns each team's guarantee to its most urgent groups that fit into it, by setting `guaranteed`. Assigned to the
- * oldest jobs it would serve a backlog first come, first served: small jobs that can be in time would wait behind
- * large ones that cannot.
+ * Assigns each team's guarantee to its most urgent groups that fit into it, by setting `guaranteed`. If the guarantee
+ * went to the oldest jobs, a backlog would be served first come, first served: small jobs that can be in time would
+ * wait behind large ones that cannot.
  *
  * @param guaranteeHeadroom by index of the team; reduced by what is assigned
  */
@@ -57,7 +57,7 @@
   const ordered = groups.map((group) => ({ group, key: computeUrgency(group, reserveAfterMs) }));
   ordered.sort((a, b) => b.key - a.key);
   for (const { group } of ordered) {
-    if (group.probe) continue;
+    if (group.failing) continue;
     const headroom = required(guaranteeHeadroom[group.team], 'guarantee headroom of the team');
     const gpus = group.need.gpus * group.pending;
     const cpus = group.need.cpus * group.pending;
