--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -13,7 +13,7 @@
   log: Logger;
   platform: Platform;
   clock: Clock;
-  /** Monotonic time in milliseconds. */
+  /** Steady milliseconds. */
   now: () => number;
   pause: (ms: number) => Promise<void>;
   /** Runs a callback after a delay. */
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -61,7 +61,7 @@
   private readonly leadershipParts: LeadershipParts;
   /** The current leadership session; null while this controller doesn't lead. */
   private session: LeadershipSession | null = null;
-  /** Clients of the state service, the cloud and the workers; closed with the controller. */
+  /** Clients of the store, the cloud and the workers; closed with the controller. */
   private readonly clients: { close(): void }[];
   private readonly stopTimers: (() => void)[] = [];
 
--- a/src/controller/heartbeat-handler.ts
+++ b/src/controller/heartbeat-handler.ts
@@ -33,7 +33,7 @@
   settings: Settings['settings'];
   options: Options;
   log: Logger;
-  /** Monotonic time in milliseconds. */
+  /** Steady milliseconds. */
   now: () => number;
   after: (ms: number, run: () => void) => void;
   /** The leader on this controller; null while it doesn't lead. */
@@ -136,8 +136,8 @@
 
   /**
    * True while a new leader still discovers its machines, one heartbeat at a time. Until then its machine count is too
-   * low, so followers that relay heartbeats are told to continue: otherwise all of their workers would be redirected
-   * to the leader at once.
+   * low, so it asks followers that relay heartbeats to continue: otherwise all of their workers would be redirected to
+   * the leader at once.
    */
   private isDiscoveringMachines(leader: HeartbeatLeader): boolean {
     const now = this.deps.now();
--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -137,8 +137,8 @@
     const { store } = this.parts;
     const { state } = settings.settings;
     const host: WriterHost = {
-      compareAndSwap: terminalWrites.trackResults((conditions, changes, timeoutMs: number) =>
-        store.compareAndSwap(conditions, changes, 'lease', timeoutMs),
+      compareAndSwap: terminalWrites.trackResults((conditions, mutations, timeoutMs: number) =>
+        store.compareAndSwap(conditions, mutations, 'lease', timeoutMs),
       ),
       readVersion: async (key) => {
         const read = await store.get(key, 'lease');
--- a/src/controller/leadership-transfer.ts
+++ b/src/controller/leadership-transfer.ts
@@ -5,7 +5,7 @@
 
 /** Minimum time between two queries to the other controllers. */
 const MIN_QUERY_GAP_MS = 1000;
-/** How long a controller that has lost contact with its workers doesn't run for leader. */
+/** How long a controller that has lost contact with its workers doesn't campaign for leadership. */
 const CANDIDACY_SUSPENSION_MS = 30_000;
 
 /** The dependencies of a leadership transfer on its controller. */
@@ -16,9 +16,9 @@
 }
 
 /**
- * Steps down when the leader has lost contact with its workers only, not with the state service and the other
- * controllers. If it went on leading, it would consider the workers unresponsive and terminate their machines, while
- * the workers try one controller after the other and each redirects them to this leader.
+ * Steps down when the leader has lost contact with its workers only, not with the store and the other controllers. If
+ * it went on leading, it would consider the workers unresponsive and terminate their machines, while the workers try
+ * one controller after the other and each redirects them to this leader.
  */
 export class LeadershipTransfer {
   private lastQueryAt = -Infinity;
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -41,7 +41,7 @@
   return Math.max(MIN_COMMAND_CONNECTIONS, Math.floor(sockets * COMMAND_CONNECTION_SHARE));
 }
 
-/** Creates the client of the state service, limited to this controller's share of the service's request rate. */
+/** Creates the client of the store, limited to this controller's share of the service's request rate. */
 export function createStore({ settings, platform, now, log }: ControllerContext): KeyValueStore {
   const { state, nodes } = settings.settings;
   return new KeyValueStore(
@@ -223,7 +223,7 @@
 /** Creates the handling of workers' heartbeats. */
 export function createHeartbeatHandler(
   { settings, options, platform, log, now, after, onError }: ControllerContext,
-  { election, leader, heartbeatGraceMs: graceMs }: HeartbeatParts,
+  { election, leader, heartbeatGraceMs }: HeartbeatParts,
 ): HeartbeatHandler {
   return new HeartbeatHandler({
     node: settings.host_name,
@@ -236,7 +236,7 @@
     leader,
     knownLeader: () => election.leaderName(),
     msSinceLeaseExpiry: () => election.msSinceLeaseExpiry(),
-    heartbeatGraceMs: graceMs,
+    heartbeatGraceMs,
     call: (peer, request, timeoutMs) => platform.peers.call(peer, request, timeoutMs),
   });
 }
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -15,7 +15,7 @@
 export interface RequestLimits {
   /** Submissions and cancellations. */
   userLimit: AdaptiveLimit;
-  /** Polls that wait for the leader or the state service. */
+  /** Polls that wait for the leader or the store. */
   pollLimit: AdaptiveLimit;
   /** Heartbeats. */
   workerLimit: AdaptiveLimit;
--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -6,7 +6,7 @@
 import { decodeHeartbeat, encodeCommands, encodeHeartbeatResponse } from '../wire/worker.ts';
 import { Machine } from '../workers/machine.ts';
 import { applyHeartbeat, buildCommands, isNewerHeartbeat } from '../workers/reconcile.ts';
-import { SYNTHETIC_MACHINE, syntheticHeartbeat, syntheticJobRecord } from './practice-messages.ts';
+import { SYNTHETIC_MACHINE, syntheticHeartbeat, syntheticJobRecord } from './synthetic-messages.ts';
 
 const MACHINE_COUNT = 40;
 const GROUP_COUNT = 10;
--- a/src/jobs/job-cancellation.ts
+++ b/src/jobs/job-cancellation.ts
@@ -61,18 +61,18 @@
     if (fromLeader.kind !== 'unavailable') return fromLeader;
     const withoutLeader = await this.cancelWithoutLeader(id);
     if (withoutLeader.kind !== 'unavailable') return withoutLeader;
-    // This node may know of no leader, or only of a former one, while another node leads.
+    // This controller may know of no leader, or only of a former one, while another controller leads.
     return this.reader.readUnlessStale(async () =>
       lookupFromReply(await this.deps.callOthers(request, CANCEL_FORWARD_TIMEOUT_MS)),
     );
   }
 
-  /** Cancels the job through the leader on this node; if the leader doesn't know the job, its open record is read. */
+  /** Cancels the job through the leader on this controller; reads the open record if the leader lacks the job. */
   async cancelAsLeader(id: string): Promise<JobLookup> {
     const term = this.deps.leader()?.term;
     const cancelled = await this.cancelByLocalLeader(id);
     if (cancelled) return cancelled;
-    // The leader doesn't know the job: it is terminal, was never accepted, or was just created by another node.
+    // The leader doesn't know the job: it is terminal, was never accepted, or was just created by another controller.
     const open = await this.deps.store.get(KEYS.open(id), 'user');
     if (open.kind !== 'ok') return { kind: 'unavailable' };
     if (!open.value || decodeTerminalRecord(open.value.value)) return this.reader.lookupInStore(id);
@@ -84,7 +84,7 @@
     return (await this.cancelByLocalLeader(id)) ?? { kind: 'unavailable' };
   }
 
-  /** Cancels the job through the leader on this node; null: there is none, or it doesn't know the job. */
+  /** Cancels the job through the leader on this controller; null: there is none, or it doesn't know the job. */
   private cancelByLocalLeader(id: string): Promise<JobLookup | null> {
     return new Promise((resolve) => {
       const leader = this.deps.leader();
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Cancels the job with a leaderless write, which is applied only while no node holds the leader key: a leader would
-   * not learn of the cancellation and would keep reporting the job as open.
+   * Cancels the job with a leaderless write, which is applied only while no controller holds the leader key: a leader
+   * would not learn of the cancellation and would keep reporting the job as open.
    */
   private async cancelWithoutLeader(id: string): Promise<JobLookup> {
     const write = await this.deps.beginLeaderlessWrite('user');
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,13 +1,13 @@
 /** Results of job lookups, and for how long they may be used in answers. */
 import type { JobStatus } from '../wire/user.ts';
 
-/** What a leader knows of a job from its memory alone, without a read of the state service. */
+/** What a leader knows of a job from its memory alone, without a read of the store. */
 export type LeaderLookup =
-  /** Certain: either no terminal record of the job can be in the state service, or its terminal record is durable. */
+  /** Certain: either no terminal record of the job can be in the store, or its terminal record is durable. */
   | { kind: 'found'; status: JobStatus }
   /**
-   * The job's terminal record may be in the state service, but that isn't confirmed. Another controller may have read
-   * the record and reported it to a user, so the job counts neither as open nor as terminal.
+   * The job's terminal record may be in the store, but that isn't confirmed. Another controller may have read the
+   * record and reported it to a user, so the job counts neither as open nor as terminal.
    */
   | { kind: 'uncertain' }
   /** Not in memory, or the leader's lease isn't valid. The job may exist all the same. */
@@ -16,7 +16,7 @@
 /** Result of a controller's lookup of a job on behalf of a user. */
 export type JobLookup =
   | { kind: 'found'; status: JobStatus }
-  /** The state service holds no record of the job. */
+  /** The store holds no record of the job. */
   | { kind: 'notFound' }
   /** The job's state can't be determined now; the request is refused, and the user retries. */
   | { kind: 'unavailable' };
--- a/src/jobs/job-query.ts
+++ b/src/jobs/job-query.ts
@@ -15,7 +15,7 @@
     private readonly answers: UserAnswers,
   ) {}
 
-  /** The answer to a poll if this node's memory determines it, else null. */
+  /** The answer to a poll if this controller's memory determines it, else null. */
   pollFromMemory(id: string): Answer | null {
     if (!isJobId(id)) return this.answers.notFound();
     const known = this.reader.lookupInMemory(id);
--- a/src/jobs/job-state-reader.ts
+++ b/src/jobs/job-state-reader.ts
@@ -15,11 +15,11 @@
   'callOthers' | 'clock' | 'leader' | 'options' | 'store' | 'terminalStates'
 >;
 
-/** Looks jobs up in this node's memory, in the store, and through other controllers. */
+/** Looks jobs up in this controller's memory, in the store, and through other controllers. */
 export class JobStateReader {
   constructor(private readonly deps: JobStateReaderDeps) {}
 
-  /** Looks the job up in the cache of terminal states, and in the leader's memory if this node leads. */
+  /** Looks the job up in the cache of terminal states, and in the leader's memory if this controller leads. */
   lookupInMemory(id: string): LeaderLookup {
     const status = this.deps.terminalStates.get(id);
     if (status) return { kind: 'found', status };
@@ -32,7 +32,7 @@
   }
 
   /**
-   * Reads the job's records, through the other controllers if this one can't: the state service may refuse this node
+   * Reads the job's records, through the other controllers if this one can't: the store may refuse this controller
    * alone. The other controllers look the job up after this call began, so their results are as fresh.
    */
   async lookupInStoreOrByPeers(id: string, urgency: Urgency): Promise<JobLookup> {
@@ -67,7 +67,7 @@
     return status ? { kind: 'found', status } : { kind: 'unavailable' };
   }
 
-  /** Status of a job that is open in the store: from a leader on this node if it is certain, else pending. */
+  /** Status of a job that is open in the store: from a leader on this controller if it is certain, else pending. */
   private openJobStatus(id: string): JobStatus {
     const known = this.lookupInMemory(id);
     return known.kind === 'found' ? known.status : PENDING_STATUS;
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -14,8 +14,8 @@
 /** Timeout in ms of the write of a new job's record; afterwards a read checks whether the record exists. */
 const CREATE_TIMEOUT_MS = 1000;
 /**
- * Pause of submissions in ms after the state service has refused one because of its rate limit. The requests that it
- * still accepts are left to other writes.
+ * Pause of submissions in ms after the store has refused one because of its rate limit. The requests that it still
+ * accepts are left to other writes.
  */
 const RATE_LIMIT_PAUSE_MS = 1000;
 
@@ -23,7 +23,7 @@
 export type JobCreationResult =
   | JobLookup
   | { kind: 'created' }
-  /** Over this node's submission rate or the state service's rate limit; nothing was written. */
+  /** Over this controller's submission rate or the store's rate limit; nothing was written. */
   | { kind: 'rateLimited' };
 
 type JobSubmissionDeps = Pick<
@@ -69,7 +69,7 @@
     return this.createByPeers(id, body);
   }
 
-  /** Forwards the submission to the other controllers: the state service may refuse this node alone. */
+  /** Forwards the submission to the other controllers: the store may refuse this controller alone. */
   private async createByPeers(id: string, body: string): Promise<Answer> {
     const timeoutMs = this.deps.options.users.forward_ms * 2;
     const received: { reply: PeerReply | null } = { reply: null };
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -85,11 +85,11 @@
   /** When the job began to wait, in ms on the steady clock; reset whenever a task is placed. */
   waitingSince: number;
 
-  /** `team`: index of the team. `createdWall`: wall-clock time of acceptance in ms. `now`: steady ms. */
+  /** `team`: index of the team. `createdAtWallMs`: wall-clock time of acceptance. `now`: steady ms. */
   constructor(
     readonly spec: JobRequest,
     readonly team: number,
-    readonly createdWall: number,
+    readonly createdAtWallMs: number,
     now: number,
   ) {
     this.taskStates = new Uint8Array(spec.tasks);
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -16,17 +16,17 @@
 /** `b`: the completion bitmap in base64. */
 const chunkRecordSchema = z.object({ b: z.string() });
 
-/** The record of an accepted job. `wall`: wall-clock time of acceptance in ms. */
-export function encodeOpenRecord(job: JobRequest, wall: number): unknown {
-  return { at: wall, job: job.stored };
+/** The record of an accepted job. `createdAtWallMs`: wall-clock time of acceptance. */
+export function encodeOpenRecord(job: JobRequest, createdAtWallMs: number): unknown {
+  return { at: createdAtWallMs, job: job.stored };
 }
 
-/** The job in an open record, and the wall-clock time of its acceptance in ms. */
-export function decodeOpenRecord(value: unknown): { job: JobRequest; createdWall: number } | null {
+/** The job in an open record, and the wall-clock time of its acceptance. */
+export function decodeOpenRecord(value: unknown): { job: JobRequest; createdAtWallMs: number } | null {
   const record = openRecordSchema.safeParse(value);
   if (!record.success) return null;
   const job = decodeStoredJob(record.data.job);
-  return job.ok ? { job: job.value, createdWall: record.data.at } : null;
+  return job.ok ? { job: job.value, createdAtWallMs: record.data.at } : null;
 }
 
 /** The record of a terminal state. `done`: number of tasks that are done. */
--- a/src/jobs/terminal-state-cache.ts
+++ b/src/jobs/terminal-state-cache.ts
@@ -1,9 +1,9 @@
-/** Cache of terminal states that this node has recently learned of. */
+/** Cache of terminal states that this controller has recently learned of. */
 import type { JobStatus } from '../wire/user.ts';
 
 /**
  * Bounded cache of terminal states; the least recently stored one is evicted first. A terminal state never changes, so
- * any node may answer with a cached one. The store holds the terminal states of all jobs.
+ * any controller may answer with a cached one. The store holds the terminal states of all jobs.
  */
 export class TerminalStateCache {
   private readonly entries = new Map<string, JobStatus>();
--- a/src/jobs/terminal-writes.ts
+++ b/src/jobs/terminal-writes.ts
@@ -24,15 +24,14 @@
 }
 
 /**
- * Tracks for which jobs the terminal record may already be in the state service. Once a job has a pending outcome, the
- * only change that the leader makes to its open record is to replace it by the terminal record. A write that hasn't
- * been sent, or that was refused every time (as in an outage), has certainly not been applied, so its job is still
- * open.
+ * Tracks for which jobs the terminal record may already be in the store. Once a job has a pending outcome, the only
+ * change that the leader makes to its open record is to replace it by the terminal record. A write that hasn't been
+ * sent, or that was refused every time (as in an outage), has certainly not been applied, so its job is still open.
  */
 export class TerminalWrites {
   private readonly writeStates = new Map<string, WriteState>();
 
-  /** `isOutcomeUnconfirmed`: the leader has begun to end the job, and its terminal record isn't known to be durable. */
+  /** `isOutcomeUnconfirmed`: whether the job is to end and its terminal record isn't known to be durable. */
   constructor(private readonly isOutcomeUnconfirmed: (id: string) => boolean) {}
 
   /** Wraps the function so that the result of every write of a terminal record is recorded. */
@@ -53,7 +52,7 @@
     else if (this.writeStates.get(id) === 'inFlight') this.writeStates.delete(id);
   }
 
-  /** Whether the job's terminal record may be in the state service but isn't known to be durable. */
+  /** Whether the job's terminal record may be in the store but isn't known to be durable. */
   mayBeWritten(id: string): boolean {
     return this.writeStates.has(id);
   }
--- a/src/jobs/user-answers.ts
+++ b/src/jobs/user-answers.ts
@@ -11,7 +11,7 @@
   /** The job's state, with `httpStatus` unless it is terminal (200). */
   status(id: string, status: JobStatus, httpStatus = 200): Answer {
     if (isTerminal(status)) this.deps.terminalStates.put(id, status);
-    // This node may have learned of the terminal state while it was looking up an open one.
+    // This controller may have learned of the terminal state while it was looking up an open one.
     const terminalState = this.deps.terminalStates.get(id);
     if (terminalState) return { status: 200, body: encodeStatus(id, terminalState) };
     return { status: httpStatus, body: encodeStatus(id, status) };
--- a/src/jobs/user-request-deps.ts
+++ b/src/jobs/user-request-deps.ts
@@ -12,7 +12,7 @@
 import type { LeaderLookup } from './job-lookup.ts';
 import type { TerminalStateCache } from './terminal-state-cache.ts';
 
-/** What user requests need from the leader on this node. */
+/** What user requests need from the leader on this controller. */
 export interface LocalLeader {
   readonly term: number;
   lookup(id: string): LeaderLookup;
@@ -21,7 +21,7 @@
    * ends before that. Returns false if the leader doesn't know the job; `onOutcome` is then never called.
    */
   cancel(id: string, onOutcome: (status: JobStatus | null) => void): boolean;
-  /** Adds the job of an open record that this node has read from the store before the watch delivered it. */
+  /** Adds the job of an open record that this controller has read from the store before the watch delivered it. */
   observeOpenRecord(id: string, value: unknown): void;
 }
 
@@ -34,18 +34,18 @@
   options: Options;
   store: Pick<KeyValueStore, 'get' | 'compareAndSwap'>;
   terminalStates: TerminalStateCache;
-  /** This node's share of the write rate of the state service, for new jobs. */
+  /** This controller's share of the write rate of the store, for new jobs. */
   submissionBudget: RateBudget;
   teams: readonly TeamQuota[];
   /** null: the machine types are not known yet. */
   catalog(): Catalog | null;
-  /** null: this node doesn't lead. */
+  /** null: this controller doesn't lead. */
   leader(): LocalLeader | null;
   /** Begins a write that is applied only while there is no leader. null: there is one, or it can't begin now. */
   beginLeaderlessWrite(urgency: Urgency): Promise<LeaderlessWrite | null>;
   /** Asks the leader; null: there is none, or it doesn't answer. */
   callLeader(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
-  /** Asks all other nodes, when this node alone can't answer; null: none of them can. */
+  /** Asks all other controllers, when this controller alone can't answer; null: none of them can. */
   callOthers(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
   /** Called when a defect makes the handling of a request fail; the request gets no answer. */
   onError: (error: unknown) => void;
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -36,7 +36,7 @@
     this.submission.submit(body, reply);
   }
 
-  /** The answer to a poll if this node's memory determines it, else null. */
+  /** The answer to a poll if this controller's memory determines it, else null. */
   pollFromMemory(id: string): Answer | null {
     return this.query.pollFromMemory(id);
   }
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Looks the job up in this node's memory; null if the memory isn't certain. */
+  /** Looks the job up in this controller's memory; null if the memory isn't certain. */
   private lookupIfCertain(id: string): JobLookup | null {
     const known = this.reader.lookupInMemory(id);
     return known.kind === 'found' ? known : null;
--- a/src/leader/best-effort-work.ts
+++ b/src/leader/best-effort-work.ts
@@ -39,7 +39,7 @@
       const price = job.spec.spot ? Math.min(type.price, type.spotPrice) : type.price;
       lowestPricePerTask = Math.min(lowestPricePerTask, price / tasksPerMachine);
     }
-    const ageMs = this.deps.host.clock.wall() - job.createdWall;
+    const ageMs = this.deps.host.clock.wall() - job.createdAtWallMs;
     return lowestPricePerTask * idle_price_times * (1 + Math.max(0, ageMs) / PRICE_LIMIT_RISE_MS);
   }
 
--- a/src/leader/job-registry.ts
+++ b/src/leader/job-registry.ts
@@ -26,7 +26,7 @@
     const record = decodeOpenRecord(value);
     if (!record) return;
     const { clock, log } = this.deps.host;
-    const { job: spec, createdWall } = record;
+    const { job: spec, createdAtWallMs: createdWall } = record;
     const team = this.deps.teams.findIndex((candidate) => candidate.name === spec.team);
     if (team < 0) {
       log.error({ job: id, team: spec.team }, 'stored job of unknown team');
--- a/src/leader/job-slack.ts
+++ b/src/leader/job-slack.ts
@@ -18,7 +18,7 @@
  */
 export function computeJobSlack(job: Job, guaranteed: boolean, deps: SnapshotDeps): JobSlack {
   const { spec } = job;
-  const ageS = (deps.host.clock.wall() - job.createdWall) / 1000;
+  const ageS = (deps.host.clock.wall() - job.createdAtWallMs) / 1000;
   const estimatedRunS = spec.estimateS * deps.options.scheduling.estimate_margin;
   let slackS = Infinity;
   // A guarantee affects only the order of jobs. Whether machines are rented depends on the objectives of the job's
--- a/src/leader/task-groups.ts
+++ b/src/leader/task-groups.ts
@@ -44,7 +44,7 @@
     const guaranteed = new Set<Job>();
     const usageByTeam = this.deps.teams.map(() => ({ cpus: 0, gpus: 0 }));
     const ordered = [...this.cluster.jobs.values()].filter((j) => j.pendingOutcome === null);
-    ordered.sort((a, b) => a.createdWall - b.createdWall);
+    ordered.sort((a, b) => a.createdAtWallMs - b.createdAtWallMs);
     for (const job of ordered) {
       const team = required(this.deps.teams[job.team], 'team of the job');
       const usage = required(usageByTeam[job.team], 'usage of the team');
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -91,8 +91,8 @@
       writes,
       pause,
       signal,
-      onAcquired: (leadership, leaseValidUntil) => {
-        this.becomeLeader(leadership, leaseValidUntil);
+      onAcquired: (leadership, leaseExpiresAt) => {
+        this.becomeLeader(leadership, leaseExpiresAt);
       },
     });
     const campaign = (): Promise<void> => candidacy.campaign();
--- a/src/leadership/leaderless-write.ts
+++ b/src/leadership/leaderless-write.ts
@@ -7,7 +7,7 @@
 import type { LeaderlessWriteOutcome, PeerLeaseLedger } from './peer-lease-ledger.ts';
 
 /**
- * A write that requires the absence of a leader, begun but not sent yet. It must be ended by either `commit` or
+ * A write that requires the absence of a leader, prepared but not sent yet. It must be ended by either `commit` or
  * `abandon`; until then this controller grants no peer lease.
  */
 export interface LeaderlessWrite {
@@ -48,8 +48,8 @@
    * Begins a leaderless write. null: there is a leader, or the write may not begin now.
    *
    * The term is read first and the leader key second. If the key is then absent, the lease of that term has expired
-   * for good. The transaction is conditional on the term record as well, so it can't be executed once another term has
-   * begun.
+   * for good. The transaction is conditional on the term record as well, so it can't be executed once a later term has
+   * been won.
    */
   async begin(urgency: Urgency): Promise<LeaderlessWrite | null> {
     const { ledger, records } = this.deps;
--- a/src/leadership/lease-renewal.ts
+++ b/src/leadership/lease-renewal.ts
@@ -38,8 +38,8 @@
   ) {}
 
   /**
-   * Sends renewals at intervals without waiting for responses. A busy controller reads responses late, so a renewal
-   * that waits for the response to the previous one can miss the expiry of a lease of several seconds.
+   * Sends renewals at intervals without waiting for responses. A busy controller reads responses late: if each renewal
+   * waited for the response to the previous one, even a lease of several seconds could expire in between.
    */
   async run(): Promise<void> {
     const { state, signal, pause, runInBackground } = this.deps;
--- a/src/leadership/peer-lease-extension.ts
+++ b/src/leadership/peer-lease-extension.ts
@@ -35,8 +35,8 @@
     if (!state.isHeld(leadership) || !ledger.hasNoWriteIn(term)) return;
     if (continuous && !this.deps.hasValidLease()) return;
     const expiresAt = computePeerLeaseExpiry(requestedAt, MAX_PEER_LEASE_MS);
-    const restsOnPeerLeases = state.onPeerLeasesAnswered(granted, expiresAt, clock.now());
-    if (restsOnPeerLeases && this.deps.hasValidLease()) {
+    const dependsOnPeerLeases = state.onPeerLeasesAnswered(granted, expiresAt, clock.now());
+    if (dependsOnPeerLeases && this.deps.hasValidLease()) {
       this.deps.log.info({ term, continuous }, 'leadership extended by peer leases');
     }
   }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -9,7 +9,7 @@
   | { kind: 'poll'; jobId: string }
   /** A batch of polls; answered by `pollAnswers` in the same order. */
   | { kind: 'pollBatch'; jobIds: readonly string[] }
-  /** Asks for the stored state of a job; sent by a controller whose own read of the state service has failed. */
+  /** Asks for the stored state of a job; sent by a controller whose own read of the store has failed. */
   | { kind: 'lookup'; jobId: string }
   /** Checks that the receiver is reachable; answered by `ack`. */
   | { kind: 'ping' }
@@ -20,8 +20,8 @@
   /** Bodies of heartbeats that the follower `node` received; answered by `heartbeatResponses` in the same order. */
   | { kind: 'heartbeats'; node: string; heartbeats: readonly string[] }
   /**
-   * Sent by a leader that can't reach the state service: the receiver shall begin no leaderless write for `ms`
-   * milliseconds. `continuous`: the leader's lease of `term` is still valid.
+   * Sent by a leader that can't reach the store: the receiver shall begin no leaderless write for `ms` milliseconds.
+   * `continuous`: the leader's lease of `term` is still valid.
    */
   | { kind: 'grantPeerLease'; term: number; ms: number; continuous: boolean };
 
@@ -31,7 +31,7 @@
 /** The answer to one poll. */
 export type PollAnswer =
   | { kind: 'status'; created: boolean; stage: PeerJobStage; done: number; running: number }
-  /** The state service holds no record of the job. */
+  /** The store holds no record of the job. */
   | { kind: 'notFound' }
   /** The receiver can't answer the request at present. */
   | { kind: 'unavailable' };
--- a/src/store/budget.ts
+++ b/src/store/budget.ts
@@ -6,7 +6,7 @@
  * need.
  */
 export const LEADER_WRITE_SHARE = 0.6;
-/** Sum of all controllers' shares as a multiple of the submission rate: a few controllers can have all users. */
+/** Sum of all controllers' shares as a multiple of the submission rate, since a few of them may serve all users. */
 const SUBMISSION_OVERCOMMIT_FACTOR = 1.5;
 /** Submissions arrive in bursts: a controller may use this many seconds' worth of its rate at once. */
 const SUBMISSION_BURST_S = 3;
--- a/src/store/call-budget.ts
+++ b/src/store/call-budget.ts
@@ -20,7 +20,7 @@
 const POLL_SHARE = 0.6;
 /** How long no polls are sent after the service has answered a call with 429. */
 const POLL_PAUSE_MS = 1000;
-/** Sum of all controllers' shares as a multiple of the service's limit: they are seldom busy at the same time. */
+/** Sum of all controllers' shares as a multiple of the service's limit, since they are seldom all busy at once. */
 const OVERCOMMIT_FACTOR = 1.5;
 /** Largest share of the service's limit for one controller, however few there are. */
 const MAX_CONTROLLER_SHARE = 0.5;
--- a/src/workers/attempt-deadlines.ts
+++ b/src/workers/attempt-deadlines.ts
@@ -3,8 +3,8 @@
 import type { Attempt } from './attempt.ts';
 
 /**
- * Time allowed, beside the duration of the lease, from the decision to end its renewal until it has expired: at that
- * moment a heartbeat may be in the course of being answered, and the monitor checks at intervals.
+ * Time from the decision to stop renewing a lease until it has expired, in addition to the lease's duration: a
+ * heartbeat may just be being answered at the decision, and the monitor checks only at intervals.
  */
 const LEASE_EXPIRY_MARGIN_MS = 5000;
 /** A start in doubt must be resolved within this ratio of the time to cancel. */
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -76,12 +76,12 @@
     return this.currentPhase !== 'launching';
   }
 
-  /** When the task was last reported to have begun to run, in milliseconds on the steady clock; null before. */
+  /** When the task was last reported to have started to run, in milliseconds on the steady clock; null before. */
   get runningSince(): number | null {
     return this.runningSinceMs;
   }
 
-  /** Records the phase that the worker reports. Returns true if the task has begun to run. */
+  /** Records the phase that the worker reports. Returns true if the task has started to run. */
   observe(phase: TaskPhase, now: number): boolean {
     const beginsToRun = phase === 'running' && this.currentPhase !== 'running';
     this.currentPhase = phase;
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -7,7 +7,7 @@
 import type { MachineIdentity } from './machine.ts';
 
 /** Name, address, machine type, zone, and whether it is a spot instance, for each machine of a page. */
-const pageRecord = z.object({
+const pageRecordSchema = z.object({
   m: z.array(z.tuple([z.string(), z.string(), z.string(), z.string(), z.boolean()])),
 });
 
@@ -34,7 +34,7 @@
   pageBytes: number;
   /** Queues a write. Tasks can't start before an urgent write is durable; others can wait. */
   enqueueWrite(write: ReadyWrite, urgent: boolean): void;
-  /** Queues a command for the single writer of the leader's state. */
+  /** Adds a command to the command queue, which runs every change of the leader's state. */
   enqueue(command: () => void): void;
 }
 
@@ -57,7 +57,7 @@
     const restored: MachineIdentity[] = [];
     for (const item of items) {
       const index = Number(item.key.slice(KEYS.machineRegistryPrefix.length));
-      const record = pageRecord.safeParse(item.value);
+      const record = pageRecordSchema.safeParse(item.value);
       if (!record.success || !Number.isSafeInteger(index) || index < 0) {
         onMalformed(item.key);
         continue;
@@ -159,6 +159,12 @@
 }
 
 /** Approximate size of a machine's entry in the stored value of its page. */
-function entryBytes(id: MachineIdentity): number {
-  return id.name.length + id.address.length + id.machineType.length + id.zone.length + ENTRY_OVERHEAD_BYTES;
+function entryBytes(identity: MachineIdentity): number {
+  return (
+    identity.name.length +
+    identity.address.length +
+    identity.machineType.length +
+    identity.zone.length +
+    ENTRY_OVERHEAD_BYTES
+  );
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -129,7 +129,7 @@
     return this.reclaimAtMs;
   }
 
-  /** The worker has begun a new incarnation, without tasks and images. */
+  /** The worker has started a new incarnation, without tasks and images. */
   beginIncarnation(incarnation: number, now: number): void {
     this.knownIncarnation = incarnation;
     this.isLeaseExpired = false;
--- a/src/workers/reachability.ts
+++ b/src/workers/reachability.ts
@@ -4,7 +4,7 @@
 
 /** Fewer missing machines are no sign of a partition. */
 export const MIN_MISSING_MACHINES = 3;
-/** If this ratio of the machines that were in contact is missing, this node itself may be cut off. */
+/** If this ratio of the machines that were in contact is missing, this controller itself may be cut off. */
 const NEARLY_ALL_RATIO = 0.75;
 
 /** The machines of a zone, as one check found them. */
@@ -64,7 +64,7 @@
   return zone.inContact && !mostAreMissing ? 'becameReachable' : 'unchanged';
 }
 
-/** Whether nearly all machines are missing: only this node may be cut off, and the workers reach other controllers. */
+/** Whether nearly all machines are missing: perhaps only this controller is cut off, and workers reach the others. */
 export function hasLostNearlyAll({ contacted, contactLost }: Survey): boolean {
   return contactLost >= MIN_MISSING_MACHINES && contactLost >= contacted * NEARLY_ALL_RATIO;
 }
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -8,7 +8,7 @@
 export type WorkerEvent =
   /** The worker reports the attempt for the first time. */
   | { kind: 'observed'; attempt: Attempt }
-  /** The task has begun to run. */
+  /** The task has started to run. */
   | { kind: 'running'; attempt: Attempt }
   /** The attempt holds no resources any more. Its exit reason is null if it is gone without a reported reason. */
   | { kind: 'released'; attempt: Attempt; checkpointed: boolean };
@@ -27,7 +27,7 @@
 }
 
 /**
- * Releases all attempts of a machine because they are surely gone: the worker has begun a new incarnation, the lease
+ * Releases all attempts of a machine because they are surely gone: the worker has started a new incarnation, the lease
  * has expired, or the machine was returned to the cloud.
  */
 export function releaseAll(machine: Machine): WorkerEvent[] {
--- a/test/controller/routes.test.ts
+++ b/test/controller/routes.test.ts
@@ -74,7 +74,7 @@
   }
 });
 
-/** A state service that counts requests; with `overLimit` it answers all of them with 429. */
+/** A store that counts requests; with `overLimit` it answers all of them with 429. */
 class CountingStateService implements HttpSender {
   overLimit = false;
   private served = 0;
@@ -98,9 +98,9 @@
 }
 
 test('the polls of all controllers leave part of the request rate of the state service to other calls', async () => {
-  // Each poll that the leader can't answer reads from the state service. The controllers' shares of its request rate
-  // add up to more than its limit. If polls could use all of a share, a high rate of polls on all controllers would
-  // delay submissions (one in seven without this rule).
+  // Each poll that the leader can't answer reads from the store. The controllers' shares of its request rate add up to
+  // more than its limit. If polls could use all of a share, a high rate of polls on all controllers would delay
+  // submissions (one in seven without this rule).
   const clock = new FakeClock();
   const limits = { rps: 100, nodes: 5 };
   const service = new CountingStateService();
--- a/test/golden/stored-records.test.ts
+++ b/test/golden/stored-records.test.ts
@@ -117,8 +117,8 @@
   for (const [name, text] of Object.entries(OPEN_RECORDS)) {
     const record = decodeOpenRecord(JSON.parse(text));
     assert.ok(record, name);
-    assert.equal(JSON.stringify(encodeOpenRecord(record.job, record.createdWall)), text, name);
-    assert.equal(record.createdWall, 1_800_000_000_123);
+    assert.equal(JSON.stringify(encodeOpenRecord(record.job, record.createdAtWallMs)), text, name);
+    assert.equal(record.createdAtWallMs, 1_800_000_000_123);
     assert.equal(decodeTerminalRecord(JSON.parse(text)), null, name);
   }
 });
@@ -131,7 +131,7 @@
   const record = decodeOpenRecord(JSON.parse(text));
   assert.ok(record);
   assert.equal(
-    JSON.stringify(encodeOpenRecord(record.job, record.createdWall)),
+    JSON.stringify(encodeOpenRecord(record.job, record.createdAtWallMs)),
     text.replace('1e300', '1e+300'),
   );
 });
--- a/test/jobs/bad-submissions.test.ts
+++ b/test/jobs/bad-submissions.test.ts
@@ -37,9 +37,9 @@
 type Records = ReadonlyMap<string, unknown>;
 
 interface Situation {
-  /** Records in the state service; null: it doesn't serve this controller. */
+  /** Records in the store; null: it doesn't serve this controller. */
   store: Records | null;
-  /** Records that another controller reads there; null: the state service serves no other controller. */
+  /** Records that another controller reads there; null: the store serves no other controller. */
   peerStore: Records | null;
   catalogKnown: boolean;
 }
--- a/test/jobs/support/controllers.ts
+++ b/test/jobs/support/controllers.ts
@@ -36,8 +36,8 @@
 const LAST_HEARTBEAT_MS = 60_000;
 
 /**
- * Three controllers with the real handling of user requests, the real leader and writer, and one shared state service,
- * in simulated time. Every answer is compared with those that were given before its request was sent.
+ * Three controllers with the real handling of user requests, the real leader and writer, and one shared store, in
+ * simulated time. Every answer is compared with those that were given before its request was sent.
  */
 export class Controllers {
   readonly sim: Sim;
@@ -170,7 +170,7 @@
       return;
     }
     const { term, version } = acquired;
-    const held: HeldLeadership = { term, version, leaseValidUntil: Infinity };
+    const held: HeldLeadership = { term, version, leaseExpiresAt: Infinity };
     controller.held = held;
     startLeader(
       { sim: this.sim, state: this.state, store: this.store, trustMemory: this.trustMemory },
@@ -194,7 +194,7 @@
     const controller = this.controllers.find(({ held }) => held?.version === leaderKey.version);
     const held = controller?.held;
     if (held) {
-      held.leaseValidUntil = Math.min(held.leaseValidUntil, this.sim.at + LEASE_MS - LEASE_MARGIN_MS);
+      held.leaseExpiresAt = Math.min(held.leaseExpiresAt, this.sim.at + LEASE_MS - LEASE_MARGIN_MS);
       this.sim.after(LEASE_MS + this.sim.between(0, 1000), () => {
         if (controller.held === held) controller.stepDown();
       });
--- a/test/jobs/support/fault-rates.ts
+++ b/test/jobs/support/fault-rates.ts
@@ -1,12 +1,12 @@
-/** Probabilities of faults of the state service and the network, each per call. */
+/** Probabilities of faults of the store and the network, each per call. */
 export interface FaultRates {
   /** A transaction is applied, and its answer is lost. */
   answerLost: number;
   /** A transaction is applied seconds later, and its answer is lost. */
   appliedLate: number;
-  /** The state service refuses a call. */
+  /** The store refuses a call. */
   refused: number;
-  /** An answer of the state service comes late, possibly after the timeout. */
+  /** An answer of the store comes late, possibly after the timeout. */
   answerSlow: number;
   /** A message between controllers comes late, possibly after the timeout. */
   peersSlow: number;
--- a/test/jobs/support/simulated-controller.ts
+++ b/test/jobs/support/simulated-controller.ts
@@ -8,7 +8,7 @@
   /** Version of the leader key. */
   version: number;
   /** Simulated milliseconds. */
-  leaseValidUntil: number;
+  leaseExpiresAt: number;
 }
 
 /** One controller's process in simulated time, which can hang, and can restart with an empty memory. */
--- a/test/jobs/support/simulated-leader.ts
+++ b/test/jobs/support/simulated-leader.ts
@@ -1,4 +1,4 @@
-/** The real leader and its writer, over a simulated state service. */
+/** The real leader and its writer, over a simulated store. */
 import { NameIndex } from '../../../src/base/name-index.ts';
 import { defaultOptions, type Options } from '../../../src/config/options.ts';
 import { Catalog } from '../../../src/fleet/catalog.ts';
@@ -59,7 +59,7 @@
     host: {
       clock: { now: () => sim.at, wall: () => sim.at },
       log: silent,
-      hasValidLease: () => isCurrent() && sim.at < held.leaseValidUntil,
+      hasValidLease: () => isCurrent() && sim.at < held.leaseExpiresAt,
       sendCommands: () => Promise.resolve({ kind: 'notSent' }),
       inspect: () => Promise.resolve({ kind: 'unanswered' }),
       onTerminalState: (id) => {
--- a/test/jobs/support/unreliable-state-service.ts
+++ b/test/jobs/support/unreliable-state-service.ts
@@ -8,7 +8,7 @@
 const READ_TIMEOUT_MS = 1500;
 const WRITE_TIMEOUT_MS = 2000;
 
-/** The state service as controllers see it: calls are refused, answered late or never, or applied late. */
+/** The store as controllers see it: calls are refused, answered late or never, or applied late. */
 export class UnreliableStateService {
   constructor(
     private readonly sim: Sim,
--- a/test/jobs/support/user-requests.ts
+++ b/test/jobs/support/user-requests.ts
@@ -56,7 +56,7 @@
   return { kind: 'ok', value: value === undefined ? null : { key, value, version: 1, lease: null } };
 }
 
-/** A state service that refuses every call. */
+/** A store that refuses every call. */
 export const REFUSING_STORE: StoreFake = {
   get: () => Promise.resolve({ kind: 'refused' }),
   compareAndSwap: () => Promise.resolve({ kind: 'refused' }),
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -47,7 +47,7 @@
   return createUserRequests(store, { clock });
 }
 
-/** A controller that knows of no leader and is refused by the state service, but reaches other controllers. */
+/** A controller that knows of no leader and is refused by the store, but reaches other controllers. */
 function refusedByStore(answerOfPeers: (request: PeerRequest) => PeerReply | null): {
   userRequests: UserRequests;
   peerRequests: PeerRequest[];
@@ -63,7 +63,7 @@
 }
 
 test('a controller that alone is refused by the state service answers through the other controllers', async () => {
-  // Otherwise its users' polls are refused for as long as it is, while those on other nodes are answered.
+  // Otherwise its users' polls are refused for as long as it is, while those on other controllers are answered.
   const running = { kind: 'status', created: false, stage: 'running', done: 1, running: 2 } as const;
   const cancelled = { ...running, stage: 'cancelled', running: 0 } as const;
   const { userRequests, peerRequests } = refusedByStore((request) => {
@@ -141,7 +141,7 @@
   assert.deepEqual(observed, []);
 });
 
-/** A follower that reaches the state service and knows of no leader. */
+/** A follower that reaches the store and knows of no leader. */
 function follower(
   store: MemoryStore,
   submissionsPerSecond = 5,
@@ -198,13 +198,13 @@
   assert.equal(store.mutationCount, 5);
   clock.at += 1000;
   assert.equal((await submitJob(userRequests, 7)).status, 201);
-  // If the state service itself refuses a write because of its rate limit, this controller pauses submissions.
+  // If the store itself refuses a write because of its rate limit, this controller pauses submissions.
   store.outcomes.push('over_limit');
   assert.equal((await submitJob(userRequests, 8)).status, 503);
-  const changesBefore = store.mutationCount;
+  const mutationsBefore = store.mutationCount;
   clock.at += 900;
   assert.equal((await submitJob(userRequests, 8)).status, 503);
-  assert.equal(store.mutationCount, changesBefore);
+  assert.equal(store.mutationCount, mutationsBefore);
   clock.at += 300;
   assert.equal((await submitJob(userRequests, 8)).status, 201);
   assert.deepEqual(peerRequests, [], 'other controllers were asked although this one is over its share');
--- a/test/leadership/election.test.ts
+++ b/test/leadership/election.test.ts
@@ -5,7 +5,7 @@
 import { scaleLeaseTtlMs } from '../../src/leadership/lease.ts';
 import { SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
-import { SimulatedCluster } from './controllers.ts';
+import { SimulatedCluster } from './simulated-cluster.ts';
 import { createElection } from './election-fixture.ts';
 import {
   arbitraryFaults,
--- a/test/leadership/faults.ts
+++ b/test/leadership/faults.ts
@@ -1,7 +1,7 @@
 /** Faults and load of the generated scenarios of the election tests. */
 import fc from 'fast-check';
 import { required } from '../../src/base/required.ts';
-import type { Controller, SimulatedCluster } from './controllers.ts';
+import type { Controller, SimulatedCluster } from './simulated-cluster.ts';
 
 /** Kinds of faults; `hand_over` is the planned one, in which the leader steps down for some time. */
 export type FaultKind =
--- a/test/leadership/heartbeat-grace.test.ts
+++ b/test/leadership/heartbeat-grace.test.ts
@@ -12,11 +12,11 @@
   // Without the drift in the formula, a lease nearly as long as that time leaves no reserve for slow clocks.
   const seconds = fc.double({ min: 0.5, max: 4000, noNaN: true });
   fc.assert(
-    fc.property(seconds, seconds, seconds, (wantedS, leaseS, beyondS) => {
+    fc.property(seconds, seconds, seconds, (configuredS, leaseS, beyondS) => {
       for (const cancelS of [leaseS + beyondS, leaseS * (1.0011 + beyondS / 1e6)]) {
         const times = { cancelS, leaseS };
-        const graceMs = computeHeartbeatGraceMs(wantedS, times);
-        assert.ok(graceMs >= 0 && graceMs <= wantedS * 1000, `grace of ${graceMs} ms`);
+        const graceMs = computeHeartbeatGraceMs(configuredS, times);
+        assert.ok(graceMs >= 0 && graceMs <= configuredS * 1000, `grace of ${graceMs} ms`);
         if (!canMeetCancellationTime(times)) assert.equal(graceMs, 0);
         else assert.ok(computeCancellationBoundS(graceMs, times) <= cancelS + 1e-9, `${graceMs} ms`);
       }
--- a/test/leadership/leadership-state.test.ts
+++ b/test/leadership/leadership-state.test.ts
@@ -5,9 +5,9 @@
 const FIRST_LEADERSHIP = { term: 1, version: 10, lease: 100 };
 const SECOND_LEADERSHIP = { term: 2, version: 20, lease: 200 };
 
-function createLeadingState(leaseValidUntil: number): LeadershipState {
+function createLeadingState(leaseExpiresAt: number): LeadershipState {
   const state = new LeadershipState();
-  state.onLeadershipAcquired(FIRST_LEADERSHIP, leaseValidUntil);
+  state.onLeadershipAcquired(FIRST_LEADERSHIP, leaseExpiresAt);
   return state;
 }
 
--- a/test/leadership/lease-model.ts
+++ b/test/leadership/lease-model.ts
@@ -94,19 +94,19 @@
       .filter(({ key, version }) => (this.data.get(key)?.version ?? 0) !== version)
       .map(({ key }) => key);
     if (failed.length > 0) return { kind: 'conflict', failed };
-    if (mutations.some((change) => this.usesExpiredLease(change))) return { kind: 'no_lease' };
+    if (mutations.some((mutation) => this.usesExpiredLease(mutation))) return { kind: 'no_lease' };
     const term = this.term();
     this.revision += 1;
-    for (const change of mutations) {
-      if ('put' in change) {
-        const { put, value, lease = null } = change;
+    for (const mutation of mutations) {
+      if ('put' in mutation) {
+        const { put, value, lease = null } = mutation;
         this.data.set(put, { value, version: this.revision, lease });
       } else {
-        this.data.delete(change.delete);
+        this.data.delete(mutation.delete);
       }
     }
     if (conditions.some(({ key, version }) => key === KEYS.leader && version === 0)) {
-      const isCandidacy = mutations.some((change) => 'put' in change && change.put === KEYS.leader);
+      const isCandidacy = mutations.some((mutation) => 'put' in mutation && mutation.put === KEYS.leader);
       this.leaderlessWrites.push({
         at: this.sim.at,
         term,
@@ -117,8 +117,8 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  private usesExpiredLease(change: Mutation): boolean {
-    return 'put' in change && change.lease !== undefined && !this.leases.has(change.lease);
+  private usesExpiredLease(mutation: Mutation): boolean {
+    return 'put' in mutation && mutation.lease !== undefined && !this.leases.has(mutation.lease);
   }
 
   /** The store as accessed over one controller's connection. */
--- a/test/leadership/peer-leases.test.ts
+++ b/test/leadership/peer-leases.test.ts
@@ -4,7 +4,7 @@
 import { required } from '../../src/base/required.ts';
 import { SEED } from '../helpers.ts';
 import { Sim } from '../model/sim.ts';
-import { SimulatedCluster, type Controller } from './controllers.ts';
+import { SimulatedCluster, type Controller } from './simulated-cluster.ts';
 import { createElection } from './election-fixture.ts';
 import { LeaseModel } from './lease-model.ts';
 
@@ -142,7 +142,7 @@
   await assertLeaseStaysExpired(cluster, leader);
 });
 
-test('a cancellation without a leader fails once another term has begun', async () => {
+test('a cancellation without a leader fails once a later term has been won', async () => {
   // Otherwise the cancellation, if it is executed after the next leader's lease has expired too, ends a job that the
   // next leader still reports.
   const { cluster, leader, others } = await startCluster();
--- a/test/peers/connectivity.test.ts
+++ b/test/peers/connectivity.test.ts
@@ -3,7 +3,7 @@
 import { Connectivity } from '../../src/peers/connectivity.ts';
 import { FakeClock } from '../helpers.ts';
 
-/** Whether the state service and the other controllers answer. */
+/** Whether the store and the other controllers answer. */
 interface Reachable {
   store: boolean;
   peers: boolean;
@@ -50,7 +50,7 @@
     isolated: false,
     recovered: true,
   });
-  // Neither an outage of the state service nor the loss of all other controllers alone means isolation.
+  // Neither an outage of the store nor the loss of all other controllers alone means isolation.
   assert.deepEqual(await isolationAfter(10, { store: false, peers: true }), {
     isolated: false,
     recovered: true,
--- a/test/peers/frames.test.ts
+++ b/test/peers/frames.test.ts
@@ -102,7 +102,7 @@
     socket.on('error', () => undefined);
   });
   assert.deepEqual(await client.call('n', { kind: 'cancel', jobId: 'x' }, 5000), { kind: 'notFound' });
-  assert.equal(await client.call('nobody', { kind: 'poll', jobId: 'x' }, 5000), null);
+  assert.equal(await client.call('unknown', { kind: 'poll', jobId: 'x' }, 5000), null);
   client.close();
   server.close();
 });
--- a/test/store/leader-writer.test.ts
+++ b/test/store/leader-writer.test.ts
@@ -20,7 +20,7 @@
 function createWriter(
   store: FlakyStore,
   {
-    lossReasons: lost = [],
+    lossReasons = [],
     clock = new FakeClock(),
     maxMutations = 4,
     mutationsPerSecond = 1000,
@@ -31,7 +31,7 @@
     host: {
       compareAndSwap: (conditions, mutations) => store.compareAndSwap(conditions, mutations),
       readVersion: (key) => Promise.resolve({ kind: 'ok', value: store.version(key) }),
-      onLeadershipLost: (reason) => lost.push(reason),
+      onLeadershipLost: (reason) => lossReasons.push(reason),
       pause: (ms) => {
         clock.at += ms;
         return Promise.resolve();
@@ -62,8 +62,8 @@
       fc.integer({ min: 1, max: 8 }),
       async (outcomes, writes) => {
         const store = new FlakyStore([...outcomes]);
-        const lost: string[] = [];
-        const writer = createWriter(store, { lossReasons: lost });
+        const lossReasons: string[] = [];
+        const writer = createWriter(store, { lossReasons });
         const done: number[] = [];
         for (let number = 0; number < writes; number++) {
           writer.enqueue(
@@ -73,7 +73,7 @@
           if (number % 2 === 1) await runEventLoop();
         }
         await runEventLoop(60);
-        assert.deepEqual(lost, []);
+        assert.deepEqual(lossReasons, []);
         assert.deepEqual(done, [...Array(writes).keys()]);
         assert.equal(store.values.get('k'), writes - 1);
         for (const transaction of store.pending) store.apply(transaction);
@@ -87,15 +87,15 @@
 test('a transaction that conflicts with another leader ends the leadership', async () => {
   const store = new FlakyStore([]);
   store.versions.set(KEYS.leader, 6);
-  const lost: string[] = [];
-  const writer = createWriter(store, { lossReasons: lost });
+  const lossReasons: string[] = [];
+  const writer = createWriter(store, { lossReasons });
   let done = false;
   writer.enqueue(
     put('k', 1, () => (done = true)),
     'ends',
   );
   await runEventLoop(5);
-  assert.equal(lost.length, 1);
+  assert.equal(lossReasons.length, 1);
   assert.equal(done, false);
   assert.equal(store.values.has('k'), false);
 });
@@ -104,8 +104,8 @@
   // Without the read-back it is sent again every 2 s, although other clients can read its mutations from the store.
   const store = new FlakyStore(['lost', 'late']);
   const clock = new FakeClock();
-  const lost: string[] = [];
-  const writer = createWriter(store, { lossReasons: lost, clock });
+  const lossReasons: string[] = [];
+  const writer = createWriter(store, { lossReasons, clock });
   const done: string[] = [];
   writer.enqueue(
     put('a', 1, () => done.push('a')),
@@ -121,14 +121,14 @@
   await runEventLoop(10);
   assert.deepEqual([done, store.sentCount, clock.at], [['a', 'b'], 3, 0]);
   for (const transaction of store.pending) assert.equal(store.apply(transaction).kind, 'conflict');
-  assert.deepEqual(lost, []);
+  assert.deepEqual(lossReasons, []);
 });
 
 test('a fence key that another leader has changed does not confirm a write', async () => {
   // The transaction is never executed; another controller becomes leader and writes.
   const store = new FlakyStore(['late']);
-  const lost: string[] = [];
-  const writer = createWriter(store, { lossReasons: lost });
+  const lossReasons: string[] = [];
+  const writer = createWriter(store, { lossReasons });
   let done = false;
   writer.enqueue(
     put('k', 1, () => (done = true)),
@@ -139,7 +139,7 @@
   store.revision = 12;
   await runEventLoop(10);
   assert.equal(done, false);
-  assert.equal(lost.length, 1);
+  assert.equal(lossReasons.length, 1);
   for (const transaction of store.pending) assert.equal(store.apply(transaction).kind, 'conflict');
 });
 
--- a/test/workers/machine-registry.test.ts
+++ b/test/workers/machine-registry.test.ts
@@ -86,16 +86,16 @@
       const present = new Set<string>();
       const durable = new Set<string>();
       for (const { op, number } of steps) {
-        const id = machineIdentity(number);
-        if (op === 'register' && !present.has(id.name)) {
-          present.add(id.name);
-          registry.register(id, () => {
-            if (present.has(id.name)) durable.add(id.name);
+        const identity = machineIdentity(number);
+        if (op === 'register' && !present.has(identity.name)) {
+          present.add(identity.name);
+          registry.register(identity, () => {
+            if (present.has(identity.name)) durable.add(identity.name);
           });
         } else if (op === 'remove') {
-          present.delete(id.name);
-          durable.delete(id.name);
-          registry.remove(id.name);
+          present.delete(identity.name);
+          durable.delete(identity.name);
+          registry.remove(identity.name);
         } else if (op === 'flush' || op === 'flushIdle') registry.flush(op === 'flushIdle');
         else store.executeNext();
         const written = new Set(store.names());
--- a/test/workers/reachability.test.ts
+++ b/test/workers/reachability.test.ts
@@ -47,7 +47,7 @@
   assert.equal(decideZoneTransition({ total: 4, missing: 2, inContact: true }, true), 'becameReachable');
 });
 
-test('this node seems cut off when three quarters of the machines it was in contact with are missing', () => {
+test('this controller seems cut off when three quarters of the machines it was in contact with are missing', () => {
   const zones = new Map();
   assert.equal(hasLostNearlyAll({ zones, contacted: 2, contactLost: 2 }), false);
   assert.equal(hasLostNearlyAll({ zones, contacted: 5, contactLost: 3 }), false);
