--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -222,7 +222,7 @@
 
   /**
    * Healthy while this controller isn't isolated and the catalog is loaded, without which jobs can't be admitted. An
-   * outage that affects all controllers alike doesn't make this one unhealthy.
+   * outage that affects all controllers doesn't make this one unhealthy.
    */
   private checkHealth(): Answer {
     if (!this.catalog.current) return failure(503, 'starting', 1);
--- a/src/jobs/user-request-deps.ts
+++ b/src/jobs/user-request-deps.ts
@@ -41,7 +41,7 @@
   catalog(): Catalog | null;
   /** null: this controller doesn't lead. */
   leader(): LocalLeader | null;
-  /** Begins a write that is applied only while there is no leader. null: there is one, or it can't begin now. */
+  /** Begins a write that is applied only while there is no leader. null: there is one, or the write can't begin now. */
   beginLeaderlessWrite(urgency: Urgency): Promise<LeaderlessWrite | null>;
   /** Asks the leader; null: there is none, or it doesn't answer. */
   callLeader(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -157,7 +157,7 @@
     this.responseMayCarryStart = true;
   }
 
-  /** A newer heartbeat arrived: the worker has carried out the response to the one before, or given it up. */
+  /** A newer heartbeat arrived: the worker has executed or discarded the response to the one before. */
   noteResponseSettled(): void {
     this.responseMayCarryStart = false;
   }
--- a/src/workers/connectivity.ts
+++ b/src/workers/connectivity.ts
@@ -21,14 +21,14 @@
 }
 
 /**
- * Heartbeat intervals for which a worker's heartbeats count as contact though they show an older token than ours.
- * Within this time, a response should have shown our token to the worker.
+ * Heartbeat intervals for which a worker's heartbeats count as contact though they carry an older fencing token than
+ * this leader's. Within this time, a response should have carried this leader's token to the worker.
  */
 const MAX_TOKEN_BEHIND_INTERVALS = 2;
 
 /**
- * When messages of a worker arrived, and whether there are signs that ours reach the worker. Times are in milliseconds
- * on the steady clock.
+ * When messages of a worker arrived, and whether there are signs that this leader's messages reach the worker. Times
+ * are in milliseconds on the steady clock.
  */
 export class Connectivity {
   private messageAt = -Infinity;
@@ -36,7 +36,7 @@
   private roundTripAt = -Infinity;
   private failedProbeCount = 0;
   private missedAcknowledgementCount = 0;
-  /** When the worker first reported a token older than ours, or null. */
+  /** When the worker first reported a fencing token older than this leader's, or null. */
   private tokenBehindSince: number | null = null;
 
   /** When a heartbeat, or the answer to a direct request, last arrived; -Infinity before. */
@@ -60,8 +60,8 @@
   }
 
   /**
-   * The number of signs, since the last acknowledgement, that our messages don't reach the worker: commands without an
-   * answer, and incarnations that ended though their heartbeats were answered.
+   * The number of signs, since the last acknowledgement, that this leader's messages don't reach the worker: commands
+   * without an answer, and incarnations that ended though their heartbeats were answered.
    */
   get missedAcknowledgements(): number {
     return this.missedAcknowledgementCount;
@@ -98,7 +98,7 @@
   /**
    * Assesses whether a newer heartbeat shows that messages pass in both directions; to be called before the heartbeat
    * is applied. A heartbeat shows only that the worker's messages arrive here, so it counts as contact only while there
-   * is no sign that our responses and commands don't reach the worker. Otherwise the tasks of a machine that sends
+   * is no sign that responses and commands don't reach the worker. Otherwise the tasks of a machine that sends
    * heartbeats and receives nothing would wait for starts that never arrive.
    */
   assessHeartbeat(
@@ -108,13 +108,13 @@
   ): void {
     const { direct, term, now, leaseMs, heartbeatIntervalMs } = context;
     if (direct) return;
-    // A worker ends its incarnation when it receives no response for the duration of the lease. Ours were sent within
-    // that time, so they were lost, or the worker hung that long.
+    // A worker ends its incarnation when it receives no response for the duration of the lease. If a response was sent
+    // within that time, it was lost, or the worker hung that long.
     const answered = now - previous.leaseRenewedBefore < leaseMs;
     const restarted = previous.incarnation > 0 && heartbeat.incarnation > previous.incarnation;
     if (restarted && answered) this.missedAcknowledgementCount += 1;
     if (heartbeat.fencingToken === term) {
-      // The first heartbeat with our token shows that a message of ours has reached the worker.
+      // The first heartbeat with this leader's token shows that a message of this leader has reached the worker.
       if (previous.fencingToken !== term) this.missedAcknowledgementCount = 0;
       if (this.missedAcknowledgementCount === 0) this.roundTripAt = now;
       return;
--- a/src/workers/liveness.ts
+++ b/src/workers/liveness.ts
@@ -4,8 +4,8 @@
 
 /**
  * Heartbeat intervals of silence after which a machine that was in contact counts as missing. In a network partition
- * all machines miss a heartbeat, one after the other within an interval: the first of them must not be given up before
- * the others count as missing.
+ * all machines miss a heartbeat, one after the other within an interval: the first of them must not be terminated
+ * before the others count as missing.
  */
 const MISSING_AFTER_INTERVALS = 1.4;
 /** Heartbeat intervals of silence after which a machine is probed. */
@@ -20,7 +20,7 @@
   listeningSince: number;
   /** Interval between two heartbeats. */
   heartbeatIntervalMs: number;
-  /** Silence after which a machine is given up if it also leaves a probe unanswered. */
+  /** Silence after which a machine is to be terminated if it also leaves a probe unanswered. */
   unresponsiveAfterMs: number;
 }
 
@@ -50,7 +50,7 @@
   return silence > context.unresponsiveAfterMs && machine.connectivity.failedProbes > 0;
 }
 
-/** Whether the worker must be asked directly if it is alive and receives our messages. */
+/** Whether the worker must be asked directly if it is alive and receives this leader's messages. */
 export function needsProbe(machine: Machine, context: LivenessContext): boolean {
   return (
     computeSilenceMs(machine, context) > context.heartbeatIntervalMs * PROBE_AFTER_INTERVALS ||
@@ -59,8 +59,9 @@
 }
 
 /**
- * Detects whether a machine is to be given up, and why: `unresponsive` if nothing arrives from its worker,
- * `unacknowledged` if messages of the worker arrive and ours don't reach it. Returns null if the machine is to be kept.
+ * Detects whether a machine is to be terminated, and why: `unresponsive` if nothing arrives from its worker,
+ * `unacknowledged` if messages of the worker arrive and this leader's don't reach it. Returns null if the machine is to
+ * be kept.
  */
 export function detectLivenessFailure(
   machine: Machine,
--- a/src/workers/machine-registry.ts
+++ b/src/workers/machine-registry.ts
@@ -159,12 +159,6 @@
 }
 
 /** Approximate size of a machine's entry in the stored value of its page. */
-function entryBytes(identity: MachineIdentity): number {
-  return (
-    identity.name.length +
-    identity.address.length +
-    identity.machineType.length +
-    identity.zone.length +
-    ENTRY_OVERHEAD_BYTES
-  );
+function entryBytes(id: MachineIdentity): number {
+  return id.name.length + id.address.length + id.machineType.length + id.zone.length + ENTRY_OVERHEAD_BYTES;
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -148,7 +148,7 @@
     this.reclaimAtMs =
       heartbeat.interruptionNoticeS === null ? null : now + heartbeat.interruptionNoticeS * 1000;
     if (direct) return;
-    // A worker has one heartbeat in flight at a time, so it has carried out or given up the responses to earlier ones.
+    // A worker has one heartbeat in flight at a time, so the responses to earlier ones are executed or discarded.
     for (const attempt of this.attempts.values()) attempt.noteResponseSettled();
   }
 
@@ -190,7 +190,7 @@
     return this.isReconciled;
   }
 
-  /** The worker has reported all its tasks under our fencing token. */
+  /** The worker has reported all its tasks under this leader's fencing token. */
   markReconciled(): void {
     this.isReconciled = true;
   }
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -120,8 +120,8 @@
     if (reported.has(key)) continue;
     // The worker has reported the attempt before and doesn't any more: it has forgotten the attempt.
     const forgotten = attempt.observed;
-    // The task must stop, and its start can't be executed any more: the worker has carried out or given up the
-    // responses before this heartbeat, and no direct start is in flight or in doubt.
+    // The task must stop, and its start can't be executed any more: the worker has executed or discarded the responses
+    // before this heartbeat, and no direct start is in flight or in doubt.
     const neverStarts = attempt.stopGraceS !== null && !direct && attempt.directStartsSettled;
     if (!forgotten && !neverStarts) continue;
     machine.attempts.delete(key);
--- a/test/workers/connectivity.test.ts
+++ b/test/workers/connectivity.test.ts
@@ -21,7 +21,7 @@
   machine.assessConnectivity({ fencingToken, incarnation }, context);
 }
 
-test('heartbeats alone count as contact only while there is no sign that our messages do not arrive', () => {
+test('heartbeats alone count as contact only while there is no sign that messages to the worker are lost', () => {
   const machine = knownMachine();
   receive(machine, 1000);
   assert.equal(machine.connectivity.lastRoundTripAt, 1000);
--- a/test/workers/liveness.test.ts
+++ b/test/workers/liveness.test.ts
@@ -58,7 +58,7 @@
   assert.equal(needsProbe(machine, contextAt(1)), true);
 });
 
-test('a machine is given up as unresponsive if it sends nothing, as unacknowledged if it receives nothing', () => {
+test('a machine that sends nothing is unresponsive, and one that only receives nothing is unacknowledged', () => {
   const machine = newMachine();
   assert.equal(detectLivenessFailure(machine, contextAt(2501)), null, 'not probed yet');
   machine.connectivity.noteFailedProbe();
