--- a/test/workers/liveness.test.ts
+++ b/test/workers/liveness.test.ts
@@ -58,7 +58,7 @@
   assert.equal(needsProbe(machine, contextAt(1)), true);
 });
 
-test('a machine that sends nothing is unresponsive, and one that only receives nothing is unacknowledged', () => {
+test('a machine is unresponsive if it sends nothing, and unacknowledged if it sends messages but receives none', () => {
   const machine = newMachine();
   assert.equal(detectLivenessFailure(machine, contextAt(2501)), null, 'not probed yet');
   machine.connectivity.noteFailedProbe();
