--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -61,7 +61,7 @@
   private readonly leadershipParts: LeadershipParts;
   /** The current leadership session; null while this controller doesn't lead. */
   private session: LeadershipSession | null = null;
-  /** Clients of the state service, the cloud and the workers; closed with the controller. */
+  /** Clients of the store, the cloud and the workers; closed with the controller. */
   private readonly clients: { close(): void }[];
   private readonly stopTimers: (() => void)[] = [];
 
@@ -222,7 +222,7 @@
 
   /**
    * Healthy while this controller isn't isolated and the catalog is loaded, without which jobs can't be admitted. An
-   * outage that affects all controllers alike doesn't make this one unhealthy.
+   * outage that affects all controllers doesn't make this one unhealthy.
    */
   private checkHealth(): HttpResponse {
     if (!this.catalog.current) return errorResponse(503, 'starting', 1);
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -76,12 +76,12 @@
     return this.currentPhase !== 'launching';
   }
 
-  /** When the task was last reported to have begun to run, in milliseconds on the steady clock; null before. */
+  /** When the task was last reported to have started to run, in milliseconds on the steady clock; null before. */
   get runningSince(): number | null {
     return this.runningSinceMs;
   }
 
-  /** Records the phase that the worker reports. Returns true if the task has begun to run. */
+  /** Records the phase that the worker reports. Returns true if the task has started to run. */
   observe(phase: TaskPhase, now: number): boolean {
     const beginsToRun = phase === 'running' && this.currentPhase !== 'running';
     this.currentPhase = phase;
@@ -157,7 +157,7 @@
     this.responseMayCarryStart = true;
   }
 
-  /** A newer heartbeat arrived: the worker has carried out the response to the one before, or given it up. */
+  /** A newer heartbeat arrived: the worker has executed or discarded the response to the one before. */
   noteResponseSettled(): void {
     this.responseMayCarryStart = false;
   }
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -8,7 +8,7 @@
 export type WorkerEvent =
   /** The worker reports the attempt for the first time. */
   | { kind: 'observed'; attempt: Attempt }
-  /** The task has begun to run. */
+  /** The task has started to run. */
   | { kind: 'running'; attempt: Attempt }
   /** The attempt holds no resources any more. Its exit reason is null if it is gone without a reported reason. */
   | { kind: 'released'; attempt: Attempt; checkpointed: boolean };
@@ -27,7 +27,7 @@
 }
 
 /**
- * Releases all attempts of a machine because they are surely gone: the worker has begun a new incarnation, the lease
+ * Releases all attempts of a machine because they are surely gone: the worker has started a new incarnation, the lease
  * has expired, or the machine was returned to the cloud.
  */
 export function releaseAll(machine: Machine): WorkerEvent[] {
@@ -120,8 +120,8 @@
     if (reported.has(key)) continue;
     // The worker has reported the attempt before and doesn't any more: it has forgotten the attempt.
     const forgotten = attempt.observed;
-    // The task must stop, and its start can't be executed any more: the worker has carried out or given up the
-    // responses before this heartbeat, and no direct start is in flight or in doubt.
+    // The task must stop, and its start can't be executed any more: the worker has executed or discarded the responses
+    // before this heartbeat, and no direct start is in flight or in doubt.
     const neverStarts = attempt.stopGraceS !== null && !direct && attempt.directStartsSettled;
     if (!forgotten && !neverStarts) continue;
     machine.attempts.delete(key);
