--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -35,7 +35,7 @@
 }
 
 /** The kind of client that sends requests to this path. */
-export function peerOf(path: string): 'worker' | 'user' {
+export function clientKindOf(path: string): 'worker' | 'user' {
   return path === HEARTBEAT_PATH ? 'worker' : 'user';
 }
 
--- a/src/controller/service.ts
+++ b/src/controller/service.ts
@@ -12,7 +12,7 @@
 import { maxCommandConnections } from './parts.ts';
 import type { Logger } from '../base/log.ts';
 import type { Network, Timers } from './platform.ts';
-import { peerOf, HEARTBEAT_PATH } from './routes.ts';
+import { clientKindOf, HEARTBEAT_PATH } from './routes.ts';
 import { WarmUp } from './warm-up.ts';
 
 /** The warm-up of a follower: short steps with long pauses, so that it doesn't delay users and health checks. */
@@ -84,7 +84,7 @@
           user: USER_IDLE_TIMEOUT_MS,
           worker: workers.report_s * 1000 * WORKER_IDLE_TIMEOUT_INTERVALS,
         },
-        clientKindOf: peerOf,
+        clientKindOf,
         heartbeatPath: HEARTBEAT_PATH,
         now: () => systemClock.now(),
       },
--- a/src/leader/arrivals.ts
+++ b/src/leader/arrivals.ts
@@ -19,9 +19,9 @@
     return this.recentImages;
   }
 
-  /** Records a job; `createdWall` is when its user was answered, in wall-clock milliseconds. */
-  record(job: JobRequest, createdWall: number): void {
-    this.forecast.record(job, createdWall);
+  /** Records a job; `createdAtWallMs` is when its user was answered, in wall-clock milliseconds. */
+  record(job: JobRequest, createdAtWallMs: number): void {
+    this.forecast.record(job, createdAtWallMs);
     if (this.forecast.isWatched(job.className)) this.recordImage(job.image);
   }
 
--- a/src/leader/job-registry.ts
+++ b/src/leader/job-registry.ts
@@ -26,17 +26,17 @@
     const record = decodeOpenRecord(value);
     if (!record) return;
     const { clock, log } = this.deps.host;
-    const { job: spec, createdAtWallMs: createdWall } = record;
+    const { job: spec, createdAtWallMs } = record;
     const team = this.deps.teams.findIndex((candidate) => candidate.name === spec.team);
     if (team < 0) {
       log.error({ job: id, team: spec.team }, 'stored job of unknown team');
       return;
     }
     // The job has waited since its user was answered, under earlier leaders as well.
-    const ageMs = Math.max(0, clock.wall() - createdWall);
-    const job = new Job(spec, team, createdWall, clock.now() - ageMs);
+    const ageMs = Math.max(0, clock.wall() - createdAtWallMs);
+    const job = new Job(spec, team, createdAtWallMs, clock.now() - ageMs);
     this.cluster.addJob(job);
-    this.arrivals.record(spec, createdWall);
+    this.arrivals.record(spec, createdAtWallMs);
     log.debug({ job: id, tasks: spec.tasks, class: spec.className }, 'job accepted');
   }
 
--- a/src/leader/state-recovery.ts
+++ b/src/leader/state-recovery.ts
@@ -61,14 +61,14 @@
 
   private restoreStartWatermarks(pages: readonly Item[]): void {
     const { jobs } = this.parts.cluster;
-    const { watermarks, hasUnreadablePage: unreadable } = this.parts.startWatermarks.restore(
+    const { watermarks, hasUnreadablePage } = this.parts.startWatermarks.restore(
       pages,
       (id) => jobs.has(id),
       this.reportMalformed,
     );
     for (const job of jobs.values()) {
       // A page that can't be read may have held a watermark for all tasks of any job.
-      const inherited = unreadable ? job.spec.tasks : watermarks.get(job.id);
+      const inherited = hasUnreadablePage ? job.spec.tasks : watermarks.get(job.id);
       if (inherited !== undefined) job.restore(inherited, this.deps.host.clock.now());
     }
   }
