--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -32,9 +32,9 @@
 const BYTES_PER_KB = 1000;
 
 /** Initial limit of user requests in progress, before it adapts. */
-const INITIAL_USER_REQUESTS = 64;
+const INITIAL_USER_REQUEST_LIMIT = 64;
 /** A limit is lowered when a request takes longer than this multiple of the recently fastest one, plus the slack. */
-const LIMIT_TOLERANCE = 4;
+const LIMIT_TOLERANCE_RATIO = 4;
 
 /** The maximum number of open connections to workers for a controller with this many sockets. */
 export function maxCommandConnections(sockets: number): number {
@@ -268,8 +268,8 @@
   const { users_min, users_max, polls_min, polls_max, workers_min, workers_max } = options.http;
   // Each worker has at most one heartbeat in progress, on a socket of its own.
   const maxWorkers = Math.max(workers_min, Math.min(workers_max, settings.settings.limits.sockets));
-  const tolerance = LIMIT_TOLERANCE;
-  const users = { initial: INITIAL_USER_REQUESTS, slackMs: USER_SLACK_MS, tolerance };
+  const tolerance = LIMIT_TOLERANCE_RATIO;
+  const users = { initial: INITIAL_USER_REQUEST_LIMIT, slackMs: USER_SLACK_MS, tolerance };
   const workers = { initial: maxWorkers, slackMs: WORKER_SLACK_MS, tolerance };
   return {
     userLimit: new AdaptiveLimit(now, { ...users, min: users_min, max: users_max }),
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -16,13 +16,13 @@
 }
 
 /** Amounts are decimal numbers; a sum of them may exceed its limit by this rounding error. */
-const MAX_ROUNDING_ERROR = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
 function exceeds(amount: number, limit: number): boolean {
-  return amount > limit + MAX_ROUNDING_ERROR;
+  return amount > limit + ROUNDING_TOLERANCE;
 }
 
-/** Why the team's limits rule the job out for good, or null. Depends on the settings alone. */
+/** Why the job can never run within the team's limits, or null. Depends on the settings alone. */
 function findTeamInfeasibility(job: JobRequest, team: TeamQuota | undefined): string | null {
   if (!team) return 'unknown team';
   // All tasks of a gang run at once; those of an array may run one after the other.
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -33,7 +33,7 @@
 
 /**
  * Accepts new jobs, which needs the store but no leader. A submission is idempotent: for a job that has already been
- * accepted, the answer is its state, whatever else was sent with its id.
+ * accepted, the answer is its state, regardless of the other fields of the submission.
  */
 export class JobSubmission {
   constructor(
--- a/src/leader/attempts.ts
+++ b/src/leader/attempts.ts
@@ -199,7 +199,7 @@
     this.deps.completion.taskDone(job, attempt.task);
   }
 
-  /** The task ended without being done, and no other attempt holds it: it is to be started anew. */
+  /** Requeues a task that ended without being done and that no other attempt holds, so that it starts again. */
   private requeue(job: Job, attempt: Attempt): void {
     job.requeue(attempt.task, this.now());
     if (attempt.exitReason === 'error') this.onFailed(job, attempt);
--- a/src/leader/completion.ts
+++ b/src/leader/completion.ts
@@ -10,7 +10,7 @@
 /** How a job ends. */
 type JobOutcome = 'done' | 'cancelled';
 
-/** Writes completion bitmaps and terminal records, and tells the outcome of a job once it is durable. */
+/** Writes completion bitmaps and terminal records, and reports the outcome of a job once it is durable. */
 export class Completion {
   private flushDueAt = Infinity;
   private lastFlushAt = -Infinity;
--- a/src/leader/heartbeat-intake.ts
+++ b/src/leader/heartbeat-intake.ts
@@ -92,7 +92,7 @@
     attempts.apply(
       applyHeartbeat(machine, heartbeat, direct, { now, jobOf: (id) => cluster.jobs.get(id) ?? null }),
     );
-    // Whatever the response says, it may renew the lease of this worker.
+    // The response may renew the lease of this worker, with or without commands.
     if (!direct) machine.noteLeaseRenewal(now);
     if (heartbeat.fencingToken === this.deps.term && !machine.reconciled) {
       machine.markReconciled();
--- a/src/leader/machine-snapshots.ts
+++ b/src/leader/machine-snapshots.ts
@@ -97,7 +97,7 @@
       if (now - machine.connectivity.lastHeartbeatAt > heartbeatIntervalMs * MAX_HEARTBEAT_AGE_INTERVALS)
         continue;
       // Without our fencing token, a machine may be known only from a late copy of a heartbeat; with missed
-      // acknowledgements, it may not receive commands. Tasks that are placed on either may wait in vain.
+      // acknowledgements, it may not receive commands. Tasks that are placed on either may never start.
       if (machine.fencingToken !== this.deps.term || machine.connectivity.missedAcknowledgements > 0)
         continue;
       if (assessMachineHealth(machine.failures, machine.index, now) !== 'healthy') continue;
--- a/src/leader/scheduling-rounds.ts
+++ b/src/leader/scheduling-rounds.ts
@@ -183,7 +183,7 @@
       }
       this.deps.host.log.info({ job: job.id, machine: machine.name, tasks: placement.count }, 'tasks placed');
     }
-    // Deferred groups may need the idle machines, which would be terminated now and rented anew a moment later.
+    // Deferred groups may need the idle machines: terminated now, they would be replaced by rented ones a moment later.
     if (result.deferredGroupCount === 0) {
       this.provisioner.terminateIdle(this.findIdleMachines(result.heldForExpected));
       this.consolidate(machines, result);
--- a/src/leader/stored-state.ts
+++ b/src/leader/stored-state.ts
@@ -27,7 +27,7 @@
   isActive(): boolean;
   /** Receives changes, in order. */
   onEvents(events: readonly WatchEvent[]): void;
-  /** Receives all records, listed anew because the watch has missed changes. */
+  /** Receives all records from a new listing, needed because the watch has missed changes. */
   onListed(items: readonly Item[]): void;
 }
 
@@ -79,7 +79,7 @@
       continue;
     }
     await pause(WATCH_RETRY_PAUSE_MS);
-    // `gone`: the store has dropped events after our revision, so only a new listing tells what changed.
+    // `gone`: the store has dropped events after our revision, so only a new listing shows what has changed.
     if (watched.kind !== 'gone') continue;
     const listed = await store.list(KEYS.openPrefix, 'lease');
     if (listed.kind !== 'ok') continue;
--- a/src/leadership/leaderless-write.ts
+++ b/src/leadership/leaderless-write.ts
@@ -48,8 +48,8 @@
    * Begins a leaderless write. null: there is a leader, or the write may not begin now.
    *
    * The term is read first and the leader key second. If the key is then absent, the lease of that term has expired
-   * for good. The transaction is conditional on the term record as well, so it can't be executed once a later term has
-   * been won.
+   * and can't become valid again. The transaction is conditional on the term record as well, so it can't be executed
+   * once a later term has been won.
    */
   async begin(urgency: Urgency): Promise<LeaderlessWrite | null> {
     const { ledger, records } = this.deps;
--- a/src/scheduling/best-effort-tasks.ts
+++ b/src/scheduling/best-effort-tasks.ts
@@ -8,7 +8,7 @@
   lossS: number;
 }
 
-/** Seconds for which a machine is still paid for after its tasks have been told to stop. */
+/** Seconds for which a machine is still paid for after its tasks have been requested to stop. */
 const TERMINATION_DELAY_S = 15;
 
 /**
--- a/src/scheduling/preempt.ts
+++ b/src/scheduling/preempt.ts
@@ -18,7 +18,7 @@
   team: number;
   /** Its job runs in excess of its own team's guarantee. */
   beyondGuarantee: boolean;
-  /** It has been told to stop already. */
+  /** It has already been requested to stop. */
   stopping: boolean;
   need: Resources;
   /** Seconds of work that stopping it loses. */
@@ -42,8 +42,8 @@
 
 /**
  * Selects the tasks to stop so that a group finds free capacity, on the machines where the least work is lost. Capacity
- * that is free or being freed counts first, so that a round doesn't stop further tasks while those that have been told
- * to stop save their checkpoints.
+ * that is free or being freed counts first, so that a round doesn't stop further tasks while those that are already
+ * being stopped save their checkpoints.
  *
  * Returns null if that capacity is enough, and an empty list if stopping tasks frees none or, for a gang, not enough.
  */
--- a/src/scheduling/snapshot.ts
+++ b/src/scheduling/snapshot.ts
@@ -144,14 +144,14 @@
   zones: Map<number, number>;
 }
 
-const EPSILON = 1e-6;
+const ROUNDING_TOLERANCE = 1e-6;
 
 /** Number of tasks with this need that fit into the free resources; 1000 for a task that needs nothing. */
 export function countFittingTasks(need: Resources, free: Resources): number {
   let count = Infinity;
-  if (need.cpus > 0) count = Math.min(count, (free.cpus + EPSILON) / need.cpus);
-  if (need.gpus > 0) count = Math.min(count, (free.gpus + EPSILON) / need.gpus);
-  if (need.memory > 0) count = Math.min(count, (free.memory + EPSILON) / need.memory);
+  if (need.cpus > 0) count = Math.min(count, (free.cpus + ROUNDING_TOLERANCE) / need.cpus);
+  if (need.gpus > 0) count = Math.min(count, (free.gpus + ROUNDING_TOLERANCE) / need.gpus);
+  if (need.memory > 0) count = Math.min(count, (free.memory + ROUNDING_TOLERANCE) / need.memory);
   return count === Infinity ? 1000 : Math.max(0, Math.floor(count));
 }
 
--- a/src/scheduling/targets.ts
+++ b/src/scheduling/targets.ts
@@ -220,7 +220,7 @@
 export function estimateFetchS(target: Target, image: string, gb: number): number {
   if (target.option) return computeFetchS(gb, target.option.fetchGbPerS);
   if (target.kind === 'now') return target.snapshots[0]!.fetchS(image, gb);
-  // The mean of a few parts stands for all: future capacity is only weighed against renting.
+  // The mean of a few parts is used for all: future capacity is only weighed against renting.
   const sampleSize = Math.min(4, target.parts.length);
   let sum = 0;
   for (let i = 0; i < sampleSize; i++) sum += target.parts[i]!.snapshot.fetchS(image, gb);
--- a/src/sim/worker.ts
+++ b/src/sim/worker.ts
@@ -24,7 +24,7 @@
   gang_peer_s: number;
 }
 
-/** A failing task ends this long after it has begun to run. */
+/** A failing task ends this long after it has started to run. */
 const TIME_TO_ERROR_MS = 1000;
 
 /** Dependencies and state that all workers of a simulated day share. */
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -155,7 +155,8 @@
 }
 
 /**
- * The job id in a body that may otherwise be malformed: the state of a known job is returned whatever the body holds.
+ * The job id in a body that may otherwise be malformed: the state of a known job is returned regardless of the rest of
+ * the body.
  */
 export function peekJobId(text: string): string | null {
   const decoded = decodeText(wireJobId, text);
--- a/test/golden/frames.test.ts
+++ b/test/golden/frames.test.ts
@@ -163,7 +163,7 @@
   }
 });
 
-test('all frames of a stream are decoded in order, whatever the size of its chunks', () => {
+test('all frames of a stream are decoded in order, for chunks of any size', () => {
   const bytes = Buffer.from(FRAMES.map(([, , hex]) => hex).join(''), 'hex');
   for (const step of [1, 7, 64, bytes.length]) {
     const reader = new FrameReader();
--- a/test/jobs/bad-submissions.test.ts
+++ b/test/jobs/bad-submissions.test.ts
@@ -127,7 +127,7 @@
   }
 });
 
-test('a submission is idempotent: an accepted job is answered with its state, whatever else is sent', async () => {
+test('a submission is idempotent: the state of an accepted job is returned even for a malformed body', async () => {
   // A 400 or 422 would tell the user that an accepted job is lost.
   await fc.assert(
     fc.asyncProperty(
--- a/test/jobs/job.test.ts
+++ b/test/jobs/job.test.ts
@@ -34,7 +34,7 @@
   assert.equal(job.markDone(job.spec.tasks), false, 'there is no such task');
 });
 
-test('the waiting time starts anew when the first task is requeued', () => {
+test('the waiting time restarts when the first task is requeued', () => {
   const job = jobArray(2);
   const tasks = [job.takePending(), job.takePending()];
   for (const [index, task] of tasks.entries()) job.requeue(task, 100 + index);
--- a/test/jobs/user-requests.test.ts
+++ b/test/jobs/user-requests.test.ts
@@ -62,7 +62,7 @@
   return { userRequests, peerRequests };
 }
 
-test('a controller that alone is refused by the state service answers through the other controllers', async () => {
+test('while the state service refuses only one controller, it answers through the other controllers', async () => {
   // Otherwise its users' polls are refused for as long as it is, while those on other controllers are answered.
   const running = { kind: 'status', created: false, stage: 'running', done: 1, running: 2 } as const;
   const cancelled = { ...running, stage: 'cancelled', running: 0 } as const;
--- a/test/sim/meetings.ts
+++ b/test/sim/meetings.ts
@@ -67,7 +67,7 @@
 
 export const FAULT_COMBINATIONS: FaultCombination[] = [
   {
-    name: 'team at its limit, leader changes, machines unasked, cancellation',
+    name: 'team at its limit, leader change, machines out of contact, cancellations',
     day: {
       endS: 150,
       teams: TEAMS_WITH_GPU_LIMIT,
@@ -76,7 +76,7 @@
     },
   },
   {
-    name: 'state service refuses the leader alone, then all for longer than cancel_s, while users cancel',
+    name: 'state service refuses only the leader, then all controllers for longer than cancel_s, while users cancel',
     day: {
       endS: 180,
       jobs: [...jobsCancelledAt(6, 2, 31), ...mixedJobs(4, 2)],
@@ -88,7 +88,7 @@
     },
   },
   {
-    name: 'cancelled as the state service refuses the leader alone, all out a second later',
+    name: 'cancellations when the state service starts to refuse the leader, then an outage a second later',
     day: {
       endS: 180,
       jobs: [...jobsCancelledAt(6, 2, 30), ...mixedJobs(4, 2)],
@@ -101,7 +101,7 @@
     seedCount: 4,
   },
   {
-    name: 'state service slow, users cancel and ask',
+    name: 'slow state service while users cancel and poll',
     day: {
       endS: 130,
       jobs: [...jobsCancelledAt(5, 2, 32), ...mixedJobs(6, 20)],
@@ -109,17 +109,17 @@
     },
   },
   {
-    name: 'one-task jobs four a second, a quarter cancelled',
+    name: 'four one-task jobs per second, a quarter of them cancelled',
     day: { endS: 130, jobs: oneTaskJobs(2, 45), faults: [] },
     seedCount: 2,
   },
   {
-    name: 'more work than room, urgent and not',
+    name: 'more work than capacity, in urgent and other jobs',
     day: { endS: 420, capacity: 4, jobs: mixedJobs(18, 2, { tasks: 4, runS: 30 }), faults: [] },
     seedCount: 2,
   },
   {
-    name: 'machines up within two seconds get work while writes lag, leader ends',
+    name: 'machines that boot within two seconds get tasks while writes are late, and the leader crashes',
     day: {
       endS: 130,
       jobs: mixedJobs(10, 10, { tasks: 3 }),
@@ -132,7 +132,7 @@
     },
   },
   {
-    name: 'reports held back until a new leader has acted',
+    name: 'heartbeats held back until a new leader has acted',
     day: {
       endS: 140,
       jobs: mixedJobs(8, 2, { runS: 30 }),
@@ -140,7 +140,7 @@
     },
   },
   {
-    name: 'leader cut from state service and controllers, not from workers and users, cancelled through the new one',
+    name: 'leader cut off only from state service and controllers, while users cancel through the new leader',
     day: {
       endS: 150,
       jobs: [...jobsCancelledAt(6, 2, 36), ...mixedJobs(6, 2)],
@@ -159,7 +159,7 @@
     },
   },
   {
-    name: 'transactions carried out late and after newer ones',
+    name: 'transactions executed late and after newer ones',
     day: {
       endS: 150,
       jobs: [...mixedJobs(8, 5, { runS: 15 }), ...jobsCancelledAt(4, 5, 24)],
@@ -168,7 +168,7 @@
     seedCount: 4,
   },
   {
-    name: 'transactions carried out at once, answers lost, others read what they wrote',
+    name: 'transactions executed at once whose answers are lost, while other controllers read their writes',
     day: {
       endS: 130,
       jobs: [...mixedJobs(8, 5, { runS: 15 }), ...jobsCancelledAt(5, 5, 24)],
@@ -193,7 +193,7 @@
     },
   },
   {
-    name: 'controllers hand over and back, all end, one returns, also within a second',
+    name: 'leader crashes twice, then all controllers crash and one restarts within a second',
     day: {
       endS: 150,
       jobs: mixedJobs(8, 2, { runS: 30 }),
@@ -207,7 +207,7 @@
     },
   },
   {
-    name: 'cancellation, question or repeated submission meets the end of the last task',
+    name: 'cancellation, poll or repeated submission at the end of the last task',
     day: {
       endS: 100,
       jobs: mixedJobs(12, 2, { runS: 12, tasks: 2 }),
@@ -216,7 +216,7 @@
     seedCount: 4,
   },
   {
-    name: 'commands held up for seconds, the machine goes on',
+    name: 'commands delayed by seconds while a machine hangs and resumes',
     day: {
       endS: 140,
       jobs: [...mixedJobs(8, 2, { runS: 25 }), ...jobsCancelledAt(4, 3, 28)],
@@ -227,7 +227,7 @@
     },
   },
   {
-    name: 'all controllers away for longer than the lease',
+    name: 'all controllers down for longer than the lease',
     day: {
       endS: 160,
       jobs: mixedJobs(8, 2, { runS: 30 }),
@@ -235,7 +235,7 @@
     },
   },
   {
-    name: "cancelled in the seconds in which one controller's work changes hands",
+    name: 'cancellations within seconds of a leader crash',
     day: {
       endS: 140,
       jobs: [...jobsCancelledAt(8, 2, 29.5), ...mixedJobs(4, 2)],
@@ -254,7 +254,7 @@
     },
   },
   {
-    name: 'stalled leader goes on after another has begun',
+    name: 'stalled leader resumes after another has been elected',
     day: {
       endS: 150,
       jobs: [...mixedJobs(8, 2, { runS: 40 }), ...jobsCancelledAt(4, 3, 30)],
@@ -262,7 +262,7 @@
     },
   },
   {
-    name: 'jobs bound to one zone, arrays too, lose machines',
+    name: 'jobs restricted to one zone, arrays too, lose machines',
     day: {
       endS: 150,
       jobs: [1, 3, 5, 1, 3, 5].map((kind, i) => ({ atS: 2 + i, kind, tasks: 3, runS: 30, cancelS: 0 })),
@@ -287,7 +287,7 @@
     },
   },
   {
-    name: 'an old report reaches every controller as a new leader begins',
+    name: 'an old heartbeat reaches every controller when a new leader starts',
     day: {
       endS: 140,
       jobs: mixedJobs(8, 2, { runS: 20 }),
@@ -299,7 +299,7 @@
     },
   },
   {
-    name: 'old reports arrive after newer ones, also of an earlier session or attempt',
+    name: 'old heartbeats arrive after newer ones, also of an earlier incarnation or attempt',
     day: {
       endS: 170,
       jobs: mixedJobs(10, 2, { runS: 15 }),
@@ -310,7 +310,7 @@
     },
   },
   {
-    name: 'users ask every node within milliseconds and repeat the submission after accept, end and cancel',
+    name: 'users poll every controller within milliseconds and resubmit after acceptance, end and cancellation',
     day: {
       endS: 110,
       jobs: [...mixedJobs(10, 2, { runS: 15 }), ...jobsCancelledAt(5, 3, 20)],
@@ -319,7 +319,7 @@
     seedCount: 4,
   },
   {
-    name: 'users look closely while the leader changes',
+    name: 'users poll every controller within milliseconds while the leader changes',
     day: {
       endS: 130,
       jobs: [...mixedJobs(10, 2, { runS: 20 }), ...jobsCancelledAt(5, 3, 31)],
@@ -328,7 +328,7 @@
     seedCount: 4,
   },
   {
-    name: 'leaders change ten times in two minutes, also inside an outage',
+    name: 'leaders change ten times in two minutes, also during an outage',
     day: {
       endS: 240,
       jobs: mixedJobs(10, 2, { runS: 30 }),
@@ -340,7 +340,7 @@
     seedCount: 2,
   },
   {
-    name: "leader ends while machines with long tasks can't be reached or don't hear the new one",
+    name: 'leader crashes while machines with long tasks are cut off or receive no messages',
     day: {
       endS: 190,
       jobs: mixedJobs(8, 2, { runS: 80 }),
@@ -352,7 +352,7 @@
     },
   },
   {
-    name: 'bad and repeated submissions while the leader and the state service come and go',
+    name: 'invalid and repeated submissions while the leader and the state service fail and recover',
     day: {
       endS: 130,
       jobs: mixedJobs(8, 2, { runS: 15 }),
--- a/test/wire/codecs.test.ts
+++ b/test/wire/codecs.test.ts
@@ -65,7 +65,7 @@
   for (const text of ['', 'null', '[]', '7', '{', '"x"']) assert.equal(decodeJob(text).ok, false);
 });
 
-test('decoders never throw, whatever the text', () => {
+test('decoders do not throw on any text', () => {
   fc.assert(
     fc.property(fc.oneof(fc.string(), fc.json()), (text) => {
       for (const decode of [decodeJob, decodeHeartbeat, decodeItems, decodeEvents, decodeMachineList]) {
--- a/test/wire/submissions.test.ts
+++ b/test/wire/submissions.test.ts
@@ -47,7 +47,7 @@
   );
 });
 
-test('a missing or invalid field is named in a reason of one line, whatever the other fields hold', () => {
+test('a missing or invalid field is named in a reason of one line, regardless of the other fields', () => {
   assert.deepEqual([...REQUIRED_FIELDS, ...OPTIONAL_FIELDS].sort(), Object.keys(JOB).sort());
   fc.assert(
     fc.property(validSubmission, (submission) => {
--- a/test/workers/liveness.test.ts
+++ b/test/workers/liveness.test.ts
@@ -17,7 +17,7 @@
   return { now, listeningSince, heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, unresponsiveAfterMs: 2500 };
 }
 
-test('a lease has expired only once it has on a clock that is slow by the drift bound, too', () => {
+test('a lease counts as expired only when it has also expired on a clock that is slow by the drift bound', () => {
   const machine = newMachine();
   machine.noteLeaseRenewal(10_000);
   const leaseMs = 30_000;
@@ -26,7 +26,7 @@
   assert.equal(hasLeaseExpired(machine, leaseMs, 40_531), true);
 });
 
-test('silence counts from the last round trip, or from when this controller began to listen', () => {
+test('silence counts from the last round trip, but not before a leadership starts or a process pause ends', () => {
   const machine = newMachine();
   assert.equal(computeSilenceMs(machine, contextAt(5000, 3000)), 2000);
   machine.connectivity.noteAcknowledgement(4000);
--- a/test/workers/reconcile.test.ts
+++ b/test/workers/reconcile.test.ts
@@ -91,7 +91,7 @@
   );
 });
 
-test('a heartbeat is applied only if it is newer than all before, in whatever order heartbeats arrive', () => {
+test('a heartbeat is applied only if it is newer than all applied before, in any order of arrival', () => {
   const step = fc.record({
     incarnation: fc.integer({ min: 1, max: 3 }),
     sequence: fc.integer({ min: 1, max: 30 }),
