--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -35,7 +35,7 @@
 }
 
 /** Cost of one step: each further task on a machine costs one step more. Preferences can be finer than a step. */
-export const COST_STEP = 10;
+export const STEP = 10;
 /** Cost steps of a surplus machine: more than load and preferences add on any other present machine. */
 const SURPLUS_STEPS = 2000;
 /** Further warm images on a machine don't change its cost. */
@@ -101,9 +101,7 @@
       : group.latencySensitive
         ? 0
         : Math.min(MAX_WARM_IMAGES, machine.warmImageCount)) * costs.warmSteps;
-  return (
-    (fetchS * costs.fetchSteps + markup * costs.priceSteps + machine.penalty + images + surplus) * COST_STEP
-  );
+  return (fetchS * costs.fetchSteps + markup * costs.priceSteps + machine.penalty + images + surplus) * STEP;
 }
 
 /**
@@ -197,13 +195,13 @@
         target,
         slots: fittingTasks,
         capacity,
-        cost: COST_BAND + urgency + clampToBand((fetchS + target.inS) * COST_STEP),
+        cost: COST_BAND + urgency + clampToBand((fetchS + target.inS) * STEP),
       };
     const { price, bootS, size } = target.option;
     const waitS = bootS + fetchS + group.maxQueueingDelayS + options.rentBiasS;
     const pricePerTask = price / countFittingTasks(group.need, size);
     if (pricePerTask > group.maxProvisionPrice) return null;
-    const cost = COST_BAND + urgency + clampToBand(pricePerTask * options.rentSteps + waitS * COST_STEP);
+    const cost = COST_BAND + urgency + clampToBand(pricePerTask * options.rentSteps + waitS * STEP);
     return { target, slots: fittingTasks, capacity, cost };
   }
 }
--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -1,7 +1,7 @@
 /** Runs a scheduling round: selects task groups, solves a min-cost flow, and returns placements and demand. */
 import { FlowNetwork } from './solver.ts';
 import { extractPlacements, type NetworkArc } from './extract.ts';
-import { GroupPlanner, COST_STEP, countAdmissibleTasks, type CostOptions, type GroupPlan } from './plan.ts';
+import { GroupPlanner, STEP, countAdmissibleTasks, type CostOptions, type GroupPlan } from './plan.ts';
 import { isAllowed, makeTargets, DistinctNeeds, type Target } from './targets.ts';
 import { COST_BAND, computeUrgency } from './urgency.ts';
 import {
@@ -261,8 +261,7 @@
     }
     // On each of the equivalent machines a further task costs one step more than the previous one.
     const { load } = target.snapshots[0]!;
-    for (let i = 0; i < slots; i++)
-      net.addArc(target.node, sink, target.snapshots.length, (load + i) * COST_STEP);
+    for (let i = 0; i < slots; i++) net.addArc(target.node, sink, target.snapshots.length, (load + i) * STEP);
   }
   net.addArc(unscheduled, sink, supply, 0);
   // The most urgent groups come first, so that a round that runs out of time has served these.
