--- a/src/scheduling/round.ts
+++ b/src/scheduling/round.ts
@@ -30,7 +30,7 @@
 const MAX_RESERVING_GROUPS = 12;
 /** Machines reserved for one gang. */
 const MAX_RESERVED_MACHINES_GANG = 64;
-/** Cost of leaving a task unscheduled: higher than on any machine, whatever the group's urgency adds. */
+/** Cost of leaving a task unscheduled: higher than the cost on any machine, for any urgency of the group. */
 const UNSCHEDULED_COST = 30 * COST_BAND;
 
 /**
