--- a/src/controller/cluster-catalog.ts
+++ b/src/controller/cluster-catalog.ts
@@ -1,4 +1,4 @@
-/** The machine types of the cluster, as a controller knows them. */
+/** The catalog of machine types that this controller has read. */
 import { Catalog, catalogValue, readCatalogValue } from '../fleet/catalog.ts';
 import type { CloudClient } from '../fleet/cloud.ts';
 import type { KeyValueStore } from '../store/key-value-store.ts';
@@ -9,35 +9,35 @@
 const FIRST_RETRY_MS = 300;
 const MAX_RETRY_MS = 3000;
 
-/** What reading and saving the catalog needs of the controller. */
+/** The dependencies for reading and saving the catalog. */
 export interface ClusterCatalogDeps {
   store: Pick<KeyValueStore, 'get'>;
   cloud: Pick<CloudClient, 'catalog'>;
   pause: (ms: number) => Promise<void>;
-  /** Ends the reading. */
+  /** Stops the retries of `load` when aborted. */
   signal: AbortSignal;
   onError: ErrorHandler;
-  /** Most bytes of a value in the store. */
+  /** Maximum size of a value in the store. */
   maxValueBytes: number;
 }
 
-/** Reads the catalog of machine types from whoever answers first, the cloud or the store. */
+/** Reads the catalog of machine types from the cloud or from the store, whichever answers first. */
 export class ClusterCatalog {
   private known: Catalog | null = null;
 
   constructor(private readonly deps: ClusterCatalogDeps) {}
 
-  /** null until it has been read; it doesn't change afterwards. */
+  /** The catalog; null until it has been read. It doesn't change afterwards. */
   get current(): Catalog | null {
     return this.known;
   }
 
-  /** Asks until one of them has answered. */
+  /** Queries the cloud and the store until one of them returns a catalog, with exponential backoff. */
   async load(): Promise<void> {
     const { cloud, pause, signal } = this.deps;
     let retryMs = FIRST_RETRY_MS;
     while (!this.known && !signal.aborted) {
-      // Both are asked at once: a controller that starts while the cloud is in trouble must still be able to lead.
+      // Both are queried in parallel: a controller that starts during a cloud outage must still be able to lead.
       this.readFromStore();
       const types = await cloud.catalog();
       if (types) this.known ??= new Catalog(types);
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Stores a catalog for controllers that start later, if it fits a value of the store. */
+  /** Stores the catalog for controllers that start later, unless it exceeds the size limit of a value. */
   save(catalog: Catalog, writer: Pick<LeaderWriter, 'enqueue'>): void {
     const value = catalogValue(catalog);
     if (JSON.stringify(value).length > this.deps.maxValueBytes) return;
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,4 +1,4 @@
-/** What all parts of a controller share. */
+/** The context that all parts of a controller share. */
 import type { Clock } from '../base/clock.ts';
 import type { Logger } from '../base/log.ts';
 import type { Options } from '../config/options.ts';
@@ -6,22 +6,22 @@
 import type { ErrorHandler } from './error-log.ts';
 import type { Platform } from './platform.ts';
 
-/** Settings, surroundings and life of one controller. */
+/** The settings, platform, timers, command queue and stop signal of one controller. */
 export interface ControllerContext {
   settings: Settings;
   options: Options;
   log: Logger;
   platform: Platform;
   clock: Clock;
-  /** Steady milliseconds. */
+  /** Monotonic time in milliseconds. */
   now: () => number;
   pause: (ms: number) => Promise<void>;
-  /** Runs a step after a pause. */
+  /** Runs a callback after a delay. */
   after: (ms: number, run: () => void) => void;
-  /** Puts a command in the controller's queue. */
+  /** Adds a command to the controller's command queue. */
   enqueue: (command: () => void) => void;
-  /** Handles an error of work that nobody waits for. */
+  /** Handles an error of background work that no caller awaits. */
   onError: ErrorHandler;
-  /** Aborted once the controller is stopped. */
+  /** Aborted when the controller is stopped. */
   signal: AbortSignal;
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller of the cluster, whatever carries its messages. */
+/** One controller of the cluster, independent of the transport of its messages. */
 import { CommandQueue } from '../base/command-queue.ts';
 import { EventLoopLag } from '../base/event-loop-lag.ts';
 import type { Logger } from '../base/log.ts';
@@ -14,7 +14,7 @@
 import type { PeerReply, PeerRequest } from '../peers/messages.ts';
 import type { ClusterCatalog } from './cluster-catalog.ts';
 import type { ControllerContext } from './context.ts';
-import { errorLogger } from './error-log.ts';
+import { createErrorLogger } from './error-log.ts';
 import type { HeartbeatHandler } from './heartbeat-handler.ts';
 import { LeadershipSession, type LeadershipParts } from './leadership-session.ts';
 import { LeadershipTransfer } from './leadership-transfer.ts';
@@ -29,25 +29,25 @@
   createStore,
   createUserRequests,
   createWorkerClient,
-  heartbeatGrace,
-  teamQuotas,
+  resolveHeartbeatGraceMs,
+  createTeamQuotas,
 } from './parts.ts';
 import { PeerRequestDispatcher } from './peer-request-dispatcher.ts';
 import type { Platform } from './platform.ts';
 import type { Routes } from './routes.ts';
 
-/** How often the event loop's lag is measured and a batch of commands runs, even an empty one. */
-const TICK_MS = 200;
-const CONNECTIVITY_CHECK_MS = 1000;
+/** Interval at which the event loop's lag is measured and a batch of commands runs, even if the queue is empty. */
+const TICK_INTERVAL_MS = 200;
+const CONNECTIVITY_CHECK_INTERVAL_MS = 1000;
 
 /**
- * Wires the parts of a controller together and owns the leadership while it has it. Requests of users, workers and
- * other controllers are handed in; clock, timers, random numbers and network come with the platform, so that a
- * simulation runs the very same code.
+ * Wires the parts of a controller together and owns its leadership session. The caller passes in the requests of users,
+ * workers and other controllers; the platform provides clock, timers, random numbers and network, so that a simulation
+ * runs the same code.
  */
 export class Controller {
   private readonly context: ControllerContext;
-  /** Ends loops and leaderships once the controller is stopped. */
+  /** Aborted by `stop`; ends background loops and the leadership session. */
   private readonly stopping = new AbortController();
   private readonly lag: EventLoopLag;
   private readonly commands: CommandQueue;
@@ -57,18 +57,18 @@
   private readonly heartbeats: HeartbeatHandler;
   private readonly peerRequests: PeerRequestDispatcher;
   private readonly routes: Routes;
-  /** What each leadership of this controller rests on. */
+  /** The parts that every leadership session of this controller uses. */
   private readonly leadershipParts: LeadershipParts;
-  /** The leadership of this controller, while it has one. */
+  /** The current leadership session; null while this controller doesn't lead. */
   private session: LeadershipSession | null = null;
-  /** Clients of other services, closed with the controller. */
+  /** Clients of the state service, the cloud and the workers; closed with the controller. */
   private readonly clients: { close(): void }[];
   private readonly stopTimers: (() => void)[] = [];
 
   constructor(settings: Settings, options: Options, log: Logger, platform: Platform) {
     const context = this.createContext(settings, options, log, platform);
     this.context = context;
-    this.lag = new EventLoopLag(TICK_MS, context.now);
+    this.lag = new EventLoopLag(TICK_INTERVAL_MS, context.now);
     this.commands = new CommandQueue(
       () => this.leader?.afterBatch(),
       context.onError,
@@ -82,16 +82,16 @@
     this.clients = [store, cloud, workers];
     this.catalog = createCatalog(context, store, cloud);
     const terminalStates = new TerminalStateCache(options.users.final_cache);
-    const teams = teamQuotas(context);
+    const teams = createTeamQuotas(context);
     const zones = new NameIndex(settings.settings.zones);
-    const heartbeatGraceMs = heartbeatGrace(context);
+    const heartbeatGraceMs = resolveHeartbeatGraceMs(context);
     const peerCalls = createPeerCalls(context, () => this.election.leader());
     const leader = (): Leader | null => this.leader;
     this.connectivity = createConnectivity(context, store, peerCalls);
     this.election = createElection(context, store, peerCalls, {
       acquired: (leadership) => {
         context.enqueue(() => {
-          this.lead(leadership);
+          this.startSession(leadership);
         });
       },
       lost: () => {
@@ -118,7 +118,7 @@
     this.routes = createRoutes(context, {
       userRequests,
       heartbeats: this.heartbeats,
-      health: () => this.health(),
+      health: () => this.checkHealth(),
     });
     this.leadershipParts = {
       store,
@@ -136,17 +136,17 @@
     };
   }
 
-  /** Begins to stand for leader. */
+  /** Starts to take part in leader elections, to load the catalog and to check connectivity. */
   start(): void {
     const { platform, onError } = this.context;
     this.election.start();
     this.catalog.load().catch(onError);
     this.stopTimers.push(
-      platform.timers.every(TICK_MS, () => {
+      platform.timers.every(TICK_INTERVAL_MS, () => {
         this.lag.tick();
         this.commands.enqueue(() => undefined);
       }),
-      platform.timers.every(CONNECTIVITY_CHECK_MS, () => {
+      platform.timers.every(CONNECTIVITY_CHECK_INTERVAL_MS, () => {
         this.connectivity.check().catch(onError);
       }),
     );
@@ -161,20 +161,20 @@
     for (const client of this.clients) client.close();
   }
 
-  /** Answers a request of a user, a worker or a health check. */
+  /** Answers an HTTP request of a user, a worker or a health check. */
   handle(request: HttpRequest, reply: Reply): void {
     this.routes.route(request, reply);
   }
 
-  /** Answers a request of another controller; `reply` may be called later. */
+  /** Answers a request of another controller; `reply` may be called asynchronously. */
   onPeerRequest(request: PeerRequest, reply: (reply: PeerReply) => void): void {
     this.commands.enqueue(() => {
       this.peerRequests.dispatch(request, reply);
     });
   }
 
-  /** True while another controller is known to lead. */
-  following(): boolean {
+  /** True while this controller doesn't lead and knows another one that does. */
+  isFollowing(): boolean {
     return !this.leader && this.election.leader() !== null;
   }
 
@@ -189,7 +189,7 @@
     platform: Platform,
   ): ControllerContext {
     const { clock, timers } = platform;
-    const onError = errorLogger(log);
+    const onError = createErrorLogger(log);
     const pause = (ms: number): Promise<void> => timers.pause(ms);
     return {
       settings,
@@ -210,7 +210,7 @@
     };
   }
 
-  private lead(leadership: Leadership): void {
+  private startSession(leadership: Leadership): void {
     this.session = new LeadershipSession(this.context, this.leadershipParts, leadership);
     this.session.run().catch(this.context.onError);
   }
@@ -220,8 +220,11 @@
     this.session = null;
   }
 
-  /** Ready once jobs can be decided on. Troubles that all controllers share don't make one of them unhealthy. */
-  private health(): Answer {
+  /**
+   * Healthy once the catalog is loaded, since jobs can't be admitted without it. An outage that affects all controllers
+   * alike doesn't make this one unhealthy.
+   */
+  private checkHealth(): Answer {
     if (!this.catalog.current) return failure(503, 'starting', 1);
     return this.connectivity.isIsolated() ? failure(503, 'cut off', 1) : { status: 200, body: '{}' };
   }
--- a/src/controller/error-log.ts
+++ b/src/controller/error-log.ts
@@ -1,12 +1,12 @@
-/** Errors of work that nobody waits for: a command of the queue, or a promise that runs in the background. */
+/** Handling of errors that no caller awaits: those of queued commands and of promises that run in the background. */
 import { errorText } from '../base/error-text.ts';
 import type { Logger } from '../base/log.ts';
 
-/** Handles an error that nothing else has caught. */
+/** Handles an otherwise uncaught error. */
 export type ErrorHandler = (error: unknown) => void;
 
-/** Returns a handler that logs errors with their stack, rather than ending all other work. */
-export function errorLogger(log: Logger): ErrorHandler {
+/** Returns a handler that logs an error with its stack, so that the error doesn't end the process. */
+export function createErrorLogger(log: Logger): ErrorHandler {
   return (error) => {
     log.error({ error: errorText(error) }, 'internal error');
   };
--- a/src/controller/leadership-session.ts
+++ b/src/controller/leadership-session.ts
@@ -1,4 +1,4 @@
-/** One leadership of this controller, from the election that won it to its end. */
+/** The session of one leadership of this controller, from the won election to the loss of the leadership. */
 import type { NameIndex } from '../base/name-index.ts';
 import type { Catalog } from '../fleet/catalog.ts';
 import type { CloudClient } from '../fleet/cloud.ts';
@@ -24,16 +24,16 @@
 import type { ControllerContext } from './context.ts';
 import type { LeadershipTransfer } from './leadership-transfer.ts';
 
-/** How often a new leader looks whether the catalog has been read. */
+/** Interval at which a new leader checks whether the catalog has been read. */
 const CATALOG_POLL_MS = 50;
-/** Pause before a new leader reads the fence again. */
+/** Pause before a new leader retries to read the fence record. */
 const FENCE_RETRY_MS = 150;
-/** Pause before a new leader reads the stored state again. */
+/** Pause before a new leader retries to read the stored state. */
 const STATE_RETRY_MS = 200;
-/** Most bytes of one transaction. */
+/** Maximum size of one transaction. */
 const MAX_TRANSACTION_BYTES = 56 * 1024;
 
-/** The parts of the controller that a leadership rests on. */
+/** The parts of the controller that a leadership session uses. */
 export interface LeadershipParts {
   store: KeyValueStore;
   cloud: CloudClient;
@@ -44,15 +44,15 @@
   catalog: ClusterCatalog;
   teams: readonly TeamQuota[];
   zones: NameIndex;
-  /** How long heartbeats are still answered after the lease has expired, in milliseconds. */
+  /** How long a leader still answers heartbeats after its lease has expired, in milliseconds. */
   heartbeatGraceMs: number;
-  /** How late this process gets to its work, in milliseconds. */
+  /** The lag of this process's event loop, in milliseconds. */
   lagMs: () => number;
-  /** Milliseconds since a worker last sent a heartbeat to this controller itself. */
+  /** Milliseconds since this controller last received a heartbeat directly from a worker, not relayed. */
   directHeartbeatAgeMs: () => number;
 }
 
-/** Brings a leader up, keeps it informed of changed job records, and ends it with the leadership. */
+/** Starts a leader, passes changes of job records to it, and stops it when the leadership is lost. */
 export class LeadershipSession {
   private activeLeader: Leader | null = null;
 
@@ -62,7 +62,7 @@
     private readonly leadership: Leadership,
   ) {}
 
-  /** The leader; null before it is constructed and after the end of the leadership. */
+  /** The leader; null before it is constructed and after the leadership is lost. */
   get leader(): Leader | null {
     return this.activeLeader;
   }
@@ -82,13 +82,13 @@
     const leader = this.startLeader(catalog, fence.value?.version ?? 0);
     const stored = await this.readState();
     if (!stored) return;
-    this.whileLeading(leader, () => {
+    this.enqueueWhileLeading(leader, () => {
       leader.recover(stored);
     });
-    await watchJobRecords(store, stored.revision, this.recordListener(leader), pause);
+    await watchJobRecords(store, stored.revision, this.createJobRecordListener(leader), pause);
   }
 
-  /** The leadership is lost: nothing that is still in progress reaches its leader any more. */
+  /** Stops the leader when the leadership is lost; queued steps and later store events no longer reach it. */
   end(): void {
     this.activeLeader?.stop();
     this.activeLeader = null;
@@ -102,7 +102,10 @@
     return this.isCurrent() && this.parts.election.hasValidLease();
   }
 
-  /** Gives this leadership up; a late reason must not end a newer one of the same controller. */
+  /**
+   * Gives this leadership up if it is still the current one: a reason that arrives late must not end a newer leadership
+   * of the same controller.
+   */
   private stepDown(reason: string): void {
     if (this.isCurrent()) this.parts.election.stepDown(reason);
   }
@@ -171,8 +174,8 @@
       hasValidLease: () => this.hasValidLease(),
       sendCommands: (machine, commands) => {
         const startsTasks = commands.some((command) => command.op === 'start');
-        const isStillWanted = startsTasks ? () => this.hasValidLease() : () => true;
-        return workers.sendCommands(machine, term, commands, isStillWanted);
+        const mayStillSend = startsTasks ? () => this.hasValidLease() : () => true;
+        return workers.sendCommands(machine, term, commands, mayStillSend);
       },
       inspect: (machine) => workers.inspect(machine),
       onTerminalState: (id, status) => {
@@ -190,7 +193,7 @@
     };
   }
 
-  /** Reads the stored state until all of it is read; null: the leadership was lost meanwhile. */
+  /** Reads the stored state, with retries until it is complete. null: the leadership was lost meanwhile. */
   private async readState(): Promise<StoredState | null> {
     while (this.isCurrent()) {
       const stored = await readStoredState(this.parts.store);
@@ -200,23 +203,23 @@
     return null;
   }
 
-  /** Runs a step in the controller's queue, unless the leadership is lost by then. */
-  private whileLeading(leader: Leader, step: () => void): void {
+  /** Adds a step to the controller's command queue; it is skipped if the leadership is lost before its turn. */
+  private enqueueWhileLeading(leader: Leader, step: () => void): void {
     this.context.enqueue(() => {
       if (this.activeLeader === leader) step();
     });
   }
 
-  private recordListener(leader: Leader): JobRecordListener {
+  private createJobRecordListener(leader: Leader): JobRecordListener {
     return {
       active: () => this.isCurrent(),
       changed: (events) => {
-        this.whileLeading(leader, () => {
+        this.enqueueWhileLeading(leader, () => {
           leader.onStoreEvents(events);
         });
       },
       listed: (items) => {
-        this.whileLeading(leader, () => {
+        this.enqueueWhileLeading(leader, () => {
           leader.onStoreListed(items);
         });
       },
--- a/src/controller/leadership-transfer.ts
+++ b/src/controller/leadership-transfer.ts
@@ -1,14 +1,14 @@
-/** Leaves the leadership to the others where workers reach them and not this controller. */
+/** Gives up the leadership if workers reach other controllers but not this one. */
 import type { Clock } from '../base/clock.ts';
 import type { Election } from '../leadership/election.ts';
 import type { PeerCalls } from './peer-calls.ts';
 
-/** Least time between two questions to the other controllers. */
-const ASK_GAP_MS = 1000;
-/** How long a controller that has lost its workers doesn't stand for leader. */
-const NO_CANDIDACY_MS = 30_000;
+/** Minimum time between two queries to the other controllers. */
+const MIN_QUERY_GAP_MS = 1000;
+/** How long a controller that has lost contact to its workers doesn't run for leader. */
+const CANDIDACY_SUSPENSION_MS = 30_000;
 
-/** What a transfer of the leadership needs of the controller. */
+/** The dependencies of a leadership transfer on its controller. */
 export interface LeadershipTransferDeps {
   clock: Clock;
   peerCalls: Pick<PeerCalls, 'findWorkerContact'>;
@@ -16,20 +16,25 @@
 }
 
 /**
- * A leader that has lost its workers, and only those, must not go on leading: it would take them for unresponsive and
- * terminate their machines, while they try one controller after the other and are redirected to it.
+ * Steps down when the leader has lost contact to its workers but not to the other services. If it went on leading, it
+ * would consider the workers unresponsive and terminate their machines, while the workers try one controller after the
+ * other and each redirects them to this leader.
  */
 export class LeadershipTransfer {
-  private lastAskedAt = -Infinity;
+  private lastQueryAt = -Infinity;
 
   constructor(private readonly deps: LeadershipTransferDeps) {}
 
-  /** Steps down for a while if workers reach another controller and `isCurrent` still holds then. */
+  /**
+   * Asks the other controllers whether workers reach them. If so, and if `isCurrent` still returns true after the
+   * reply, steps down and suspends the candidacy of this controller.
+   */
   async onLostAllWorkers(isCurrent: () => boolean): Promise<void> {
     const { clock, peerCalls, election } = this.deps;
-    if (clock.now() - this.lastAskedAt < ASK_GAP_MS) return;
-    this.lastAskedAt = clock.now();
+    if (clock.now() - this.lastQueryAt < MIN_QUERY_GAP_MS) return;
+    this.lastQueryAt = clock.now();
     const contact = await peerCalls.findWorkerContact();
-    if (contact && isCurrent()) election.stepDownFor(NO_CANDIDACY_MS, 'workers reach other controllers only');
+    if (contact && isCurrent())
+      election.stepDownFor(CANDIDACY_SUSPENSION_MS, 'workers reach other controllers only');
   }
 }
--- a/src/controller/parts.ts
+++ b/src/controller/parts.ts
@@ -24,24 +24,24 @@
 import { PeerCalls } from './peer-calls.ts';
 import { Routes, type RequestLimits } from './routes.ts';
 
-/** Share of the controller's sockets that commands to workers may use; the rest is for those who connect to it. */
+/** Share of the controller's sockets that commands to workers may use; the rest is for inbound connections. */
 const COMMAND_CONNECTION_SHARE = 0.1;
 const MIN_COMMAND_CONNECTIONS = 8;
 
-/** Bytes of a value in the store for each kilobyte of its setting. */
+/** Bytes per kilobyte of the setting `value_kb`. */
 const BYTES_PER_KB = 1000;
 
-/** Requests of users that may be in progress before their limit has adapted. */
+/** Initial limit of user requests in progress, before it adapts. */
 const INITIAL_USER_REQUESTS = 64;
-/** Factor over the least round trip up to which a limit grows. */
+/** A limit is lowered when a request takes longer than this multiple of the recently fastest one, plus the slack. */
 const LIMIT_TOLERANCE = 4;
 
-/** How many connections to workers a controller with so many sockets may open at once. */
-export function commandConnections(sockets: number): number {
+/** The maximum number of open connections to workers for a controller with this many sockets. */
+export function maxCommandConnections(sockets: number): number {
   return Math.max(MIN_COMMAND_CONNECTIONS, Math.floor(sockets * COMMAND_CONNECTION_SHARE));
 }
 
-/** Reads and writes the state service, within this controller's share of its request rate. */
+/** Creates the client of the state service, limited to this controller's share of the service's request rate. */
 export function createStore({ settings, platform, now, log }: ControllerContext): KeyValueStore {
   const { state, nodes } = settings.settings;
   return new KeyValueStore(
@@ -52,7 +52,7 @@
   );
 }
 
-/** Rents machines and lists them, within the request rate of the settings. */
+/** Creates the client that rents and lists machines, limited to the request rate of the settings. */
 export function createCloudClient({ settings, platform, now, log }: ControllerContext): CloudClient {
   return new CloudClient(
     (connections) => platform.network.connect(settings.endpoints.cloud, connections),
@@ -62,13 +62,13 @@
   );
 }
 
-/** Sends commands to workers, over its share of the sockets. */
+/** Creates the client that sends commands to workers, limited to its share of the sockets. */
 export function createWorkerClient({ settings, platform }: ControllerContext): WorkerClient {
   const { sockets } = settings.settings.limits;
-  return new WorkerClient(platform.network.shared(commandConnections(sockets)));
+  return new WorkerClient(platform.network.shared(maxCommandConnections(sockets)));
 }
 
-/** Reads the machine types from the cloud or the store. */
+/** Creates the catalog, which reads the machine types from the cloud or the store. */
 export function createCatalog(
   { settings, pause, signal, onError }: ControllerContext,
   store: KeyValueStore,
@@ -78,7 +78,7 @@
   return new ClusterCatalog({ store, cloud, pause, signal, onError, maxValueBytes });
 }
 
-/** Calls the leader and all other controllers. */
+/** Creates the client for calls to the leader and to the other controllers. */
 export function createPeerCalls(
   { settings, options, platform, clock }: ControllerContext,
   knownLeader: () => string | null,
@@ -92,8 +92,8 @@
   });
 }
 
-/** The quotas of the teams, in the service's own terms. */
-export function teamQuotas({ settings }: ControllerContext): TeamQuota[] {
+/** Converts the quotas of the teams from the settings to the internal type. */
+export function createTeamQuotas({ settings }: ControllerContext): TeamQuota[] {
   return settings.settings.teams.map((team) => ({
     name: team.name,
     cpus: team.cpus,
@@ -104,10 +104,10 @@
 }
 
 /**
- * How long heartbeats are still answered after the lease has expired, in milliseconds. Warns if a cancellation can't
- * hold with these settings.
+ * How long a leader still answers heartbeats after its lease has expired, in milliseconds. Warns if the settings can't
+ * guarantee that all tasks of a cancelled job end within `cancel_s`.
  */
-export function heartbeatGrace({ settings, options, log }: ControllerContext): number {
+export function resolveHeartbeatGraceMs({ settings, options, log }: ControllerContext): number {
   const { workers } = settings.settings;
   const times = { cancelS: workers.cancel_s, leaseS: workers.lease_s };
   if (!cancellationCanHold(times)) {
@@ -119,7 +119,7 @@
   return heartbeatGraceMs(options.leadership.grace_s, times);
 }
 
-/** The election of this controller. Peer leases are used only where they cover all other controllers. */
+/** Creates the election. Peer leases are used only if the settings name the addresses of all other controllers. */
 export function createElection(
   context: ControllerContext,
   store: KeyValueStore,
@@ -145,7 +145,7 @@
   });
 }
 
-/** Tells whether this controller is isolated. */
+/** Creates the check whether this controller is isolated. */
 export function createConnectivity(
   { clock }: ControllerContext,
   store: KeyValueStore,
@@ -159,7 +159,7 @@
   });
 }
 
-/** The parts that users' requests rest on. */
+/** The parts that the handling of users' requests depends on. */
 export interface UserRequestParts {
   store: KeyValueStore;
   election: Election;
@@ -167,22 +167,25 @@
   terminalStates: TerminalStateCache;
   teams: readonly TeamQuota[];
   catalog: ClusterCatalog;
-  /** The leader on this controller, if it leads. */
+  /** The leader on this controller; null while it doesn't lead. */
   leader: () => Leader | null;
 }
 
-/** The users' side of the controller. Reads of one record are shared, and polls go to the leader in batches. */
+/**
+ * Creates the handling of users' requests. Concurrent reads of the same record share one request to the store, and
+ * polls are sent to the leader in batches.
+ */
 export function createUserRequests(context: ControllerContext, parts: UserRequestParts): UserRequests {
   const { settings, options, clock, now, after } = context;
   const { store, election, peerCalls, terminalStates, teams, catalog, leader } = parts;
   const { state, nodes } = settings.settings;
-  const polls = new PollBatcher({
+  const pollBatcher = new PollBatcher({
     now,
     after,
     send: (jobIds) => peerCalls.pollLeader(jobIds),
     onError: context.onError,
   });
-  const reads = new SharedReads<StoreResult<Item | null>, Urgency>({
+  const sharedReads = new SharedReads<StoreResult<Item | null>, Urgency>({
     now,
     after,
     read: (key, urgency) => store.get(key, urgency),
@@ -192,7 +195,7 @@
     clock,
     options,
     store: {
-      get: (key, urgency) => reads.get(key, urgency),
+      get: (key, urgency) => sharedReads.get(key, urgency),
       compareAndSwap: (conditions, mutations, urgency, timeoutMs) =>
         store.compareAndSwap(conditions, mutations, urgency, timeoutMs),
     },
@@ -203,21 +206,21 @@
     leader,
     beginLeaderlessWrite: (urgency) => election.beginLeaderlessWrite(urgency),
     callLeader: (request, timeoutMs) =>
-      request.kind === 'poll' ? polls.poll(request.jobId) : peerCalls.callLeader(request, timeoutMs),
+      request.kind === 'poll' ? pollBatcher.poll(request.jobId) : peerCalls.callLeader(request, timeoutMs),
     callOthers: (request, timeoutMs) => peerCalls.callOthers(request, timeoutMs),
     onError: context.onError,
   });
 }
 
-/** The parts that the handling of heartbeats rests on. */
+/** The parts that the handling of heartbeats depends on. */
 export interface HeartbeatParts {
   election: Election;
-  /** The leader on this controller, if it leads. */
+  /** The leader on this controller; null while it doesn't lead. */
   leader: () => Leader | null;
   heartbeatGraceMs: number;
 }
 
-/** The workers' side of the controller. */
+/** Creates the handling of workers' heartbeats. */
 export function createHeartbeatHandler(
   { settings, options, platform, log, now, after, onError }: ControllerContext,
   { election, leader, heartbeatGraceMs: graceMs }: HeartbeatParts,
@@ -238,14 +241,14 @@
   });
 }
 
-/** The parts that the routes lead to. */
+/** The parts that HTTP requests are routed to. */
 export interface RouteTargets {
   userRequests: UserRequests;
   heartbeats: HeartbeatHandler;
   health: () => Answer;
 }
 
-/** The routes of HTTP requests to the parts that answer them. */
+/** Creates the routes from HTTP requests to the parts that answer them. */
 export function createRoutes(context: ControllerContext, targets: RouteTargets): Routes {
   const { userRequests, heartbeats, health } = targets;
   return new Routes({
@@ -260,10 +263,10 @@
   });
 }
 
-/** How many requests of each kind may be in progress at once. */
+/** Creates the limits of concurrent requests of each kind. */
 function createRequestLimits({ settings, options, now }: ControllerContext): RequestLimits {
   const { users_min, users_max, polls_min, polls_max, workers_min, workers_max } = options.http;
-  // Each worker has one heartbeat in progress, over a socket of its own.
+  // Each worker has at most one heartbeat in progress, on a socket of its own.
   const maxWorkers = Math.max(workers_min, Math.min(workers_max, settings.settings.limits.sockets));
   const tolerance = LIMIT_TOLERANCE;
   const users = { initial: INITIAL_USER_REQUESTS, slackMs: USER_SLACK_MS, tolerance };
--- a/src/controller/peer-calls.ts
+++ b/src/controller/peer-calls.ts
@@ -1,33 +1,36 @@
-/** What this controller asks the others: the leader, or all of them. */
+/** Calls of this controller to the leader or to all other controllers. */
 import type { Clock } from '../base/clock.ts';
 import type { PeerLeaseRequest } from '../leadership/peer-leases.ts';
 import type { PeerReply, PeerRequest, PollAnswer } from '../peers/messages.ts';
 import { callAny, type Peers } from '../peers/peers.ts';
 
-/** Wait for an answer that any controller gives at once. */
+/** Timeout of requests that a controller answers without waiting. */
 const SHORT_TIMEOUT_MS = 700;
-/** After no other controller could help, none is asked again for so long: the trouble may be everybody's. */
+/**
+ * After a call that no other controller could answer, `callOthers` calls none for this time: the cause may be an outage
+ * that affects all controllers.
+ */
 const RETRY_OTHERS_AFTER_MS = 1000;
 
-/** What the calls need of the controller that they come from. */
+/** The dependencies of the calls on their controller. */
 export interface PeerCallsDeps {
   /** The name of this controller. */
   node: string;
   clock: Clock;
   peers: Peers;
-  /** The controller that leads, as far as is known here. */
+  /** The name of the leading controller, as far as this controller knows; null: unknown or none. */
   knownLeader: () => string | null;
-  /** Wait for the leader's answers to a batch of polls, in milliseconds. */
+  /** Timeout of a batch of polls to the leader, in milliseconds. */
   pollTimeoutMs: number;
 }
 
-/** Calls of this controller to the others. */
+/** Sends requests to the leader or to the other controllers. */
 export class PeerCalls {
   private othersFailedAt = -Infinity;
 
   constructor(private readonly deps: PeerCallsDeps) {}
 
-  /** Calls the leader; null if none but this controller is known, or without a reply in time. */
+  /** Calls the leader. null: no other controller is known to lead, or no reply came within the timeout. */
   callLeader(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     const { node, peers, knownLeader } = this.deps;
     const leader = knownLeader();
@@ -35,7 +38,10 @@
     return peers.call(leader, request, timeoutMs);
   }
 
-  /** Calls all other controllers; null if none can help, and for a while after that. */
+  /**
+   * Calls all other controllers and returns the first reply other than `unavailable`. null: there is none, or a recent
+   * call had none.
+   */
   async callOthers(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     const { clock, peers } = this.deps;
     if (clock.now() - this.othersFailedAt < RETRY_OTHERS_AFTER_MS) return null;
@@ -44,13 +50,13 @@
     return reply;
   }
 
-  /** Sends the leader a batch of polls; null without its answers in time. */
+  /** Sends the leader a batch of polls. null: `callLeader` returned no reply, or one without answers to polls. */
   async pollLeader(jobIds: readonly string[]): Promise<readonly PollAnswer[] | null> {
     const reply = await this.callLeader({ kind: 'pollBatch', jobIds }, this.deps.pollTimeoutMs);
     return reply?.kind === 'pollAnswers' ? reply.answers : null;
   }
 
-  /** Asks all other controllers for a peer lease. Says which of them granted it, always in the same order. */
+  /** Requests a peer lease from all other controllers. Returns whether each granted it, ordered as `peers.names`. */
   async requestPeerLeases(request: PeerLeaseRequest): Promise<readonly boolean[]> {
     const { peers } = this.deps;
     const calls = peers.names.map((name) =>
@@ -59,12 +65,12 @@
     return (await Promise.all(calls)).map((reply) => reply?.kind === 'granted');
   }
 
-  /** True if any other controller answers. */
+  /** Returns whether any other controller replies. */
   async pingAny(): Promise<boolean> {
     return (await callAny(this.deps.peers, { kind: 'ping' }, SHORT_TIMEOUT_MS, () => true)) !== null;
   }
 
-  /** Returns the acknowledgement of a controller that workers send heartbeats to, or null if there is none. */
+  /** Returns the acknowledgement of a controller that receives heartbeats directly from workers; null: none does. */
   findWorkerContact(): Promise<PeerReply | null> {
     const isContact = (reply: PeerReply): boolean => reply.kind === 'ack';
     return callAny(this.deps.peers, { kind: 'workerContact' }, SHORT_TIMEOUT_MS, isContact);
--- a/src/controller/peer-request-dispatcher.ts
+++ b/src/controller/peer-request-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Hands each request of another controller to the part that answers it. */
+/** Dispatches requests of other controllers to the parts that answer them. */
 import { answerBatch } from '../jobs/poll-batches.ts';
 import type { UserRequests } from '../jobs/user-requests.ts';
 import type { PeerLeaseRequest } from '../leadership/peer-leases.ts';
@@ -6,20 +6,20 @@
 import type { ErrorHandler } from './error-log.ts';
 import type { HeartbeatHandler } from './heartbeat-handler.ts';
 
-/** The parts of a controller that answer other controllers. */
+/** The parts of this controller that answer requests of other controllers. */
 export interface PeerRequestDispatcherDeps {
   heartbeats: Pick<HeartbeatHandler, 'hasWorkerContact' | 'onRelayedHeartbeats'>;
   userRequests: Pick<UserRequests, 'onPeerRequest'>;
-  /** Grants a leader's request for a peer lease, or refuses it. */
+  /** Resolves to whether this controller grants the leader's request for a peer lease. */
   grantPeerLease: (request: PeerLeaseRequest) => Promise<boolean>;
   onError: ErrorHandler;
 }
 
-/** Answers requests of other controllers. */
+/** Dispatches each request of another controller by its kind. */
 export class PeerRequestDispatcher {
   constructor(private readonly deps: PeerRequestDispatcherDeps) {}
 
-  /** `reply` is called once, possibly later. */
+  /** Answers a request; `reply` is called at most once, possibly asynchronously. */
   dispatch(request: PeerRequest, reply: (reply: PeerReply) => void): void {
     const { heartbeats, userRequests } = this.deps;
     switch (request.kind) {
--- a/src/controller/platform.ts
+++ b/src/controller/platform.ts
@@ -1,4 +1,4 @@
-/** What a controller needs of its surroundings. */
+/** The interfaces through which a controller uses the process and the network. */
 import type { HttpSender } from '../http/client.ts';
 import type { Peers } from '../peers/peers.ts';
 import type { Clock } from '../base/clock.ts';
@@ -6,27 +6,27 @@
 /** Timers of the process. */
 export interface Timers {
   pause(ms: number): Promise<void>;
-  /** Runs a step regularly until the result is called. */
+  /** Runs a callback at a fixed interval until the returned function is called. */
   every(ms: number, run: () => void): () => void;
-  /** Runs a step in a later turn, after what has already arrived. */
+  /** Runs a callback in a later turn of the event loop, after input that has already arrived. */
   defer(run: () => void): void;
 }
 
 /** How a controller reaches other hosts. */
 export interface Network {
-  /** A client of one host, with at most so many connections that are kept open. */
+  /** Creates a client of one host that keeps at most `sockets` connections open. */
   connect(address: string, sockets: number): HttpSender;
-  /** Clients of many hosts that share so many connections in all; `close` closes all of them. */
+  /** Creates clients of many hosts that share `sockets` connections in total; `close` closes all of them. */
   shared(sockets: number): { connect(address: string): HttpSender; close(): void };
 }
 
-/** All that a controller needs of its surroundings: a process on real sockets, or a simulation. */
+/** The platform of a controller: a process with real sockets, or a simulation. */
 export interface Platform {
   clock: Clock;
   timers: Timers;
-  /** Evenly spread over [0, 1). */
+  /** A random number, uniformly distributed over [0, 1). */
   random(): number;
-  /** Differs between all processes that ever ran. */
+  /** Unique to this process, also among earlier processes of the same controller. */
   nonce: string;
   network: Network;
   peers: Peers;
--- a/src/controller/practice-messages.ts
+++ b/src/controller/practice-messages.ts
@@ -1,18 +1,16 @@
-/**
- * Made-up messages for the warm-up, in the form in which they come over the wire: what is practised is to decode them.
- */
+/** Synthetic messages for the warm-up, in their wire format, so that the warm-up also exercises the decoders. */
 
-/** The id of the job whose tasks the made-up heartbeats name. */
+/** The id of the job whose tasks the synthetic heartbeats report. */
 const JOB_ID = 'req-000000';
-/** The name of the machine that the made-up heartbeats come from. */
-export const PRACTICE_MACHINE = 'n-000000';
+/** The name of the machine that the synthetic heartbeats come from. */
+export const SYNTHETIC_MACHINE = 'n-000000';
 
 const TASKS_PER_HEARTBEAT = 4;
 /** The phases that a task goes through from heartbeat to heartbeat. */
 const PHASES = ['fetching', 'running', 'saving', 'ended'] as const;
 
 /** The stored record of a job. */
-export function practiceJobRecord(): object {
+export function syntheticJobRecord(): object {
   return {
     ...{ uid: JOB_ID, batch: 'x', crew: 'x', shape: 'array', rank: 'standard', loaves: 8, cores: 1 },
     ...{ accelerators: 0, memGb: 1, recipe: 'x', imageGb: 1, ovens: null, yard: null, samePlace: false },
@@ -20,8 +18,8 @@
   };
 }
 
-/** The text of a heartbeat in which each task is one phase further than in the one before. */
-export function practiceHeartbeat(sequence: number): string {
+/** The text of a heartbeat; in each, the tasks are one phase further than in the heartbeat of the previous sequence. */
+export function syntheticHeartbeat(sequence: number): string {
   const phase = PHASES[sequence % PHASES.length];
   const loaves = Array.from({ length: TASKS_PER_HEARTBEAT }, (_, task) => ({
     loaf: `${JOB_ID}/${task}`,
@@ -30,7 +28,7 @@
     cause: phase === 'ended' ? 'done' : undefined,
   }));
   return JSON.stringify({
-    ...{ hearth: PRACTICE_MACHINE, address: 'x:1', oven: 'x', yard: 'x', borrowed: false, shift: 1 },
+    ...{ hearth: SYNTHETIC_MACHINE, address: 'x:1', oven: 'x', yard: 'x', borrowed: false, shift: 1 },
     ...{ tick: sequence, baton: 1, warningS: null, loaves },
   });
 }
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -1,17 +1,17 @@
-/** Leads HTTP requests to what answers them. */
+/** Routes HTTP requests to the parts that answer them. */
 import type { Options } from '../config/options.ts';
 import type { AdaptiveLimit } from '../http/limit.ts';
 import { failure, type Answer, type HttpRequest, type Reply } from '../http/server.ts';
 import type { UserRequests } from '../jobs/user-requests.ts';
 
-/** Where workers send heartbeats. */
+/** The path that workers send heartbeats to. */
 export const HEARTBEAT_PATH = '/checkin';
 const HEALTH_PATH = '/healthz';
 const SUBMIT_PATH = '/work';
 const JOB_PATH = /^\/work\/([^/]+)$/;
 const CANCEL_PATH = /^\/work\/([^/]+)\/cancel$/;
 
-/** How many requests of each kind may be in progress at once. */
+/** Limits of concurrent requests of each kind. */
 export interface RequestLimits {
   /** Submissions and cancellations. */
   userLimit: AdaptiveLimit;
@@ -21,66 +21,66 @@
   workerLimit: AdaptiveLimit;
 }
 
-/** The users' requests that the routes lead to. */
+/** The handlers of users' requests that the routes call. */
 export type RoutedUserRequests = Pick<UserRequests, 'submit' | 'pollFromMemory' | 'poll' | 'cancel'>;
 
-/** What the routes lead to. */
+/** The dependencies of the routes. */
 export interface RouteDeps extends RequestLimits {
   options: Options;
   userRequests: RoutedUserRequests;
-  /** Puts a command in the controller's queue. */
+  /** Adds a command to the controller's command queue. */
   enqueue: (command: () => void) => void;
   onHeartbeat: (body: string, reply: Reply) => void;
   health: () => Answer;
 }
 
-/** Who sends requests to this path. */
+/** The kind of client that sends requests to this path. */
 export function peerOf(path: string): 'worker' | 'user' {
   return path === HEARTBEAT_PATH ? 'worker' : 'user';
 }
 
-/** Decides which request goes where, and how many of each kind may be in progress. */
+/** Routes requests by method and path, and limits the concurrent requests of each kind. */
 export class Routes {
   constructor(private readonly deps: RouteDeps) {}
 
-  /** Answers a request, possibly later. */
+  /** Answers a request; `reply` may be called asynchronously. */
   route(request: HttpRequest, reply: Reply): void {
     const { method, path } = request;
     switch (path) {
       case HEARTBEAT_PATH:
-        if (method === 'POST') this.heartbeat(request.body, reply);
-        else reply(useMethod('POST'));
+        if (method === 'POST') this.handleHeartbeat(request.body, reply);
+        else reply(methodNotAllowed('POST'));
         return;
       case HEALTH_PATH:
-        reply(method === 'GET' ? this.deps.health() : useMethod('GET'));
+        reply(method === 'GET' ? this.deps.health() : methodNotAllowed('GET'));
         return;
       case SUBMIT_PATH:
         if (method === 'POST') this.submit(request.body, reply);
-        else reply(useMethod('POST'));
+        else reply(methodNotAllowed('POST'));
         return;
       default:
         this.routeToJob(request, reply);
     }
   }
 
-  /** Paths that name a job. */
+  /** Routes requests whose path contains a job id. */
   private routeToJob({ method, path }: HttpRequest, reply: Reply): void {
     const polledId = JOB_PATH.exec(path)?.[1];
     if (polledId !== undefined) {
       if (method === 'GET') this.poll(polledId, reply);
-      else reply(useMethod('GET'));
+      else reply(methodNotAllowed('GET'));
       return;
     }
     const cancelledId = CANCEL_PATH.exec(path)?.[1];
     if (cancelledId !== undefined) {
       if (method === 'POST') this.cancel(cancelledId, reply);
-      else reply(useMethod('POST'));
+      else reply(methodNotAllowed('POST'));
       return;
     }
     reply(failure(404, 'no such path'));
   }
 
-  private heartbeat(body: string, reply: Reply): void {
+  private handleHeartbeat(body: string, reply: Reply): void {
     this.enqueueLimited(this.deps.workerLimit, reply, (limitedReply) => {
       this.deps.onHeartbeat(body, limitedReply);
     });
@@ -101,8 +101,9 @@
   }
 
   /**
-   * Polls have a limit of their own, however many there are. What is known here is answered at once: it changes
-   * nothing, so it needs no turn of the command queue. Over the limit of those that wait a poll is refused at once.
+   * Polls have a separate limit, so that any number of them leaves other requests unaffected. A poll that can be
+   * answered from memory is answered synchronously and doesn't count: it changes no state, so it needs no command in
+   * the queue. Polls that have to wait count against the limit; over it a poll is refused immediately.
    */
   private poll(id: string, reply: Reply): void {
     const { userRequests, pollLimit } = this.deps;
@@ -111,27 +112,27 @@
       reply(known);
       return;
     }
-    const leave = pollLimit.enter();
-    if (!leave) {
+    const release = pollLimit.enter();
+    if (!release) {
       reply(this.tooManyRequests());
       return;
     }
     userRequests.poll(id, (answer) => {
-      leave();
+      release();
       reply(answer);
     });
   }
 
-  /** Runs a request in the command queue; it counts against the limit until it is answered. */
+  /** Runs a request as a command of the queue; it counts against the limit until it is answered. */
   private enqueueLimited(limit: AdaptiveLimit, reply: Reply, run: (reply: Reply) => void): void {
-    const leave = limit.enter();
-    if (!leave) {
+    const release = limit.enter();
+    if (!release) {
       reply(this.tooManyRequests());
       return;
     }
     this.deps.enqueue(() => {
       run((answer) => {
-        leave();
+        release();
         reply(answer);
       });
     });
@@ -142,6 +143,6 @@
   }
 }
 
-function useMethod(method: 'GET' | 'POST'): Answer {
+function methodNotAllowed(method: 'GET' | 'POST'): Answer {
   return failure(405, `use ${method}`);
 }
--- a/src/controller/service.ts
+++ b/src/controller/service.ts
@@ -1,4 +1,4 @@
-/** A controller as a process of its own. */
+/** A controller on real sockets, real time and real random numbers. */
 import { randomUUID } from 'node:crypto';
 import type { Options } from '../config/options.ts';
 import type { Settings } from '../config/settings.ts';
@@ -8,23 +8,23 @@
 import { PeerRpc } from '../peers/peer-rpc.ts';
 import { systemClock } from '../base/clock.ts';
 import { Controller } from './controller.ts';
-import { errorLogger } from './error-log.ts';
-import { commandConnections } from './parts.ts';
+import { createErrorLogger } from './error-log.ts';
+import { maxCommandConnections } from './parts.ts';
 import type { Logger } from '../base/log.ts';
 import type { Network, Timers } from './platform.ts';
 import { peerOf, HEARTBEAT_PATH } from './routes.ts';
 import { WarmUp } from './warm-up.ts';
 
-/** Practice while following: short steps with long pauses, so that users and health checks don't notice. */
-const WARM_UP_STEPS = 60;
-/** The pause after a step grows by its duration times this factor. */
+/** The warm-up of a follower: short steps with long pauses, so that it doesn't delay users and health checks. */
+const WARM_UP_STEP_COUNT = 60;
+/** The pause after a step is the minimum pause plus this factor times the step's duration. */
 const WARM_UP_PAUSE_FACTOR = 4;
-const WARM_UP_PAUSE_MS = 100;
-/** Heartbeats that a worker may miss before its connection is closed as dead. */
-const WORKER_IDLE_HEARTBEATS = 4;
-const USER_IDLE_MS = 90_000;
-/** A connection that has sent no request yet. */
-const UNKNOWN_IDLE_MS = 10_000;
+const MIN_WARM_UP_PAUSE_MS = 100;
+/** Heartbeat intervals without a heartbeat after which the connection of a worker is closed as dead. */
+const WORKER_IDLE_TIMEOUT_INTERVALS = 4;
+const USER_IDLE_TIMEOUT_MS = 90_000;
+/** Idle timeout of a connection that has sent no request yet. */
+const UNKNOWN_IDLE_TIMEOUT_MS = 10_000;
 
 const processTimers: Timers = {
   pause: (ms) => new Promise((resolve) => setTimeout(resolve, ms)),
@@ -52,7 +52,7 @@
   },
 };
 
-/** A controller as a process: on real sockets, real time and real random numbers. */
+/** Runs a controller in this process, with its HTTP server and its connections to other controllers. */
 export class Service {
   private readonly peers: PeerRpc;
   private readonly server: HttpServer;
@@ -78,11 +78,11 @@
         this.controller.handle(request, reply);
       },
       {
-        sockets: socketShares(limits.sockets, commandConnections(limits.sockets)),
+        sockets: socketShares(limits.sockets, maxCommandConnections(limits.sockets)),
         idleMs: {
-          unknown: UNKNOWN_IDLE_MS,
-          user: USER_IDLE_MS,
-          worker: workers.report_s * 1000 * WORKER_IDLE_HEARTBEATS,
+          unknown: UNKNOWN_IDLE_TIMEOUT_MS,
+          user: USER_IDLE_TIMEOUT_MS,
+          worker: workers.report_s * 1000 * WORKER_IDLE_TIMEOUT_INTERVALS,
         },
         peerOf,
         heartbeatPath: HEARTBEAT_PATH,
@@ -99,21 +99,21 @@
     });
   }
 
-  /** Listens for other controllers, users and workers, and begins to stand for leader. */
+  /** Listens for other controllers, users and workers, and starts the controller. */
   async start(): Promise<void> {
     await this.peers.listen(this.settings.mesh_addr);
     await this.server.listen(this.settings.serve_on);
     this.log.info({ on: this.settings.serve_on }, 'serving');
     this.controller.start();
-    this.warmUp().catch(errorLogger(this.log));
+    this.warmUp().catch(createErrorLogger(this.log));
   }
 
-  /** Where users and workers reach this controller; tests let the system choose the port. */
+  /** The address that the HTTP server listens on; tests let the operating system choose the port. */
   address(): string {
     return this.server.address;
   }
 
-  /** Ends all work and closes all sockets, for use inside another program; a controller just runs until killed. */
+  /** Stops the controller and closes all sockets. Only for use inside another program: a service runs until killed. */
   stop(): void {
     this.stopping.abort();
     this.controller.stop();
@@ -122,13 +122,13 @@
   }
 
   private async warmUp(): Promise<void> {
-    const warmUp = new WarmUp(WARM_UP_STEPS);
+    const warmUp = new WarmUp(WARM_UP_STEP_COUNT);
     while (!warmUp.isDone && !this.stopping.signal.aborted) {
       const startedAt = systemClock.now();
-      // A leader needs no practice.
-      if (this.controller.following()) warmUp.practise();
-      const tookMs = systemClock.now() - startedAt;
-      await processTimers.pause(WARM_UP_PAUSE_MS + tookMs * WARM_UP_PAUSE_FACTOR);
+      // A leader is warmed up by its real work.
+      if (this.controller.isFollowing()) warmUp.runStep();
+      const stepDurationMs = systemClock.now() - startedAt;
+      await processTimers.pause(MIN_WARM_UP_PAUSE_MS + stepDurationMs * WARM_UP_PAUSE_FACTOR);
     }
   }
 }
--- a/src/controller/warm-up.ts
+++ b/src/controller/warm-up.ts
@@ -1,4 +1,4 @@
-/** Practises a leader's work on a controller that follows. */
+/** Warms up the code of a leader on a follower, so that the JIT compiler has compiled it before a takeover. */
 import { Job } from '../jobs/job.ts';
 import { runRound, type RoundOptions } from '../scheduling/round.ts';
 import type { TaskGroup, MachineSnapshot, ProvisioningOption } from '../scheduling/snapshot.ts';
@@ -6,17 +6,17 @@
 import { decodeHeartbeat, encodeCommands, encodeHeartbeatResponse } from '../wire/worker.ts';
 import { Machine } from '../workers/machine.ts';
 import { applyHeartbeat, commandsFor, isNewer } from '../workers/reconcile.ts';
-import { PRACTICE_MACHINE, practiceHeartbeat, practiceJobRecord } from './practice-messages.ts';
+import { SYNTHETIC_MACHINE, syntheticHeartbeat, syntheticJobRecord } from './practice-messages.ts';
 
-const MACHINES = 40;
-const GROUPS = 10;
+const MACHINE_COUNT = 40;
+const GROUP_COUNT = 10;
 const HEARTBEATS_PER_STEP = 8;
 const MACHINE_SIZE = { cpus: 8, gpus: 2, memory: 64 };
 const TASK_SIZE = { cpus: 2, gpus: 0, memory: 8 };
-const TEAM_ROOM = [{ cpus: 100, gpus: 100 }];
+const TEAM_HEADROOM = [{ cpus: 100, gpus: 100 }];
 const ROUND_OPTIONS: RoundOptions = {
   reserveAfterMs: 1000,
-  maxGroups: GROUPS,
+  maxGroups: GROUP_COUNT,
   turn: 0,
   rentRound: 0,
   rentBiasS: 1,
@@ -26,8 +26,8 @@
   priceSteps: 1,
 };
 
-function practiceGroups(step: number): TaskGroup[] {
-  return Array.from({ length: GROUPS }, (_, job) => ({
+function syntheticGroups(step: number): TaskGroup[] {
+  return Array.from({ length: GROUP_COUNT }, (_, job) => ({
     job,
     team: 0,
     pending: 1 + ((job + step) % 7),
@@ -60,8 +60,8 @@
   }));
 }
 
-function practiceMachines(step: number): MachineSnapshot[] {
-  return Array.from({ length: MACHINES }, (_, machine) => {
+function syntheticMachines(step: number): MachineSnapshot[] {
+  return Array.from({ length: MACHINE_COUNT }, (_, machine) => {
     const tasks = (machine * 3 + step) % 5;
     return {
       machine,
@@ -99,15 +99,15 @@
 }));
 
 /**
- * A controller that has just started and is to lead a thousand workers would do so with code that is not compiled yet:
- * heartbeats and rounds then take several times as long, and a lease was lost over it. While it follows, it practises
- * on made-up heartbeats and rounds, whose results go nowhere.
+ * Runs scheduling rounds and heartbeat handling on synthetic input while a controller follows, and discards the
+ * results. Without it, a controller that takes over a thousand workers soon after its start runs code that isn't
+ * JIT-compiled yet: heartbeats and rounds then take several times as long, which can cost it the lease.
  */
 export class WarmUp {
   private step = 0;
   private readonly machine = new Machine({
     index: 0,
-    id: { name: PRACTICE_MACHINE, address: 'x:1', machineType: 'x', zone: 'x', spot: false },
+    id: { name: SYNTHETIC_MACHINE, address: 'x:1', machineType: 'x', zone: 'x', spot: false },
     type: 0,
     zone: 0,
     now: 0,
@@ -115,32 +115,32 @@
   });
   private readonly job: Job | null;
 
-  constructor(private readonly steps: number) {
-    const decoded = decodeStoredJob(practiceJobRecord());
+  constructor(private readonly stepCount: number) {
+    const decoded = decodeStoredJob(syntheticJobRecord());
     this.job = decoded.ok ? new Job(decoded.value, 0, 0, 0) : null;
   }
 
   /** True after the last step. */
   get isDone(): boolean {
-    return this.step >= this.steps;
+    return this.step >= this.stepCount;
   }
 
-  /** One short piece of practice. */
-  practise(): void {
+  /** Runs one round and a few heartbeats. */
+  runStep(): void {
     this.step += 1;
     runRound(
-      practiceGroups(this.step),
-      practiceMachines(this.step),
+      syntheticGroups(this.step),
+      syntheticMachines(this.step),
       PROVISIONING_OPTIONS,
-      TEAM_ROOM,
+      TEAM_HEADROOM,
       () => MACHINE_SIZE,
       ROUND_OPTIONS,
     );
-    for (let i = 0; i < HEARTBEATS_PER_STEP; i++) this.heartbeat(this.step * HEARTBEATS_PER_STEP + i);
+    for (let i = 0; i < HEARTBEATS_PER_STEP; i++) this.processHeartbeat(this.step * HEARTBEATS_PER_STEP + i);
   }
 
-  private heartbeat(sequence: number): void {
-    const decoded = decodeHeartbeat(practiceHeartbeat(sequence));
+  private processHeartbeat(sequence: number): void {
+    const decoded = decodeHeartbeat(syntheticHeartbeat(sequence));
     if (!decoded.ok || !isNewer(this.machine, decoded.value)) return;
     applyHeartbeat(this.machine, decoded.value, false, { now: sequence, jobOf: () => this.job });
     const commands = commandsFor(this.machine, true);
--- a/src/peers/connectivity.ts
+++ b/src/peers/connectivity.ts
@@ -1,27 +1,27 @@
-/** Tells whether this controller is cut off from everything that it needs to serve users. */
+/** Detects whether this controller is cut off from the state service and from all other controllers. */
 import type { Clock } from '../base/clock.ts';
 
-/** What the connectivity check needs of the controller it runs on. */
+/** The dependencies of the connectivity check on its controller. */
 export interface ConnectivityDeps {
   clock: Clock;
-  /** When the state service last answered this controller, on the steady clock in milliseconds. */
+  /** When the state service last answered this controller, in milliseconds of the monotonic clock. */
   storeServedAt(): number;
-  /** Sends the state service any request; an answer shows in `storeServedAt`. */
+  /** Sends a request to the state service; an answer advances `storeServedAt`. */
   probeStore(): Promise<unknown>;
-  /** Pings all other controllers; true if any of them answers. */
+  /** Pings all other controllers; resolves to true if any of them answers. */
   probePeers(): Promise<boolean>;
 }
 
-/** After an answer of the state service, no probe is sent for so long. */
+/** Probes are sent only if the state service hasn't answered for this long. */
 const PROBE_AFTER_MS = 2000;
-/** Without any answer for so long the controller counts as isolated. */
+/** The controller is isolated after this long without an answer of the state service or of another controller. */
 const ISOLATED_AFTER_MS = 4000;
 
 /**
- * Whether this controller can do anything for users. One that reaches neither the state service nor any other
- * controller can only refuse them, while the load balancer would leave their connections with it: a job whose user
- * had such a connection was as good as forgotten. Troubles that all controllers share leave the others reachable, so
- * health doesn't flap with them.
+ * Checks whether this controller is isolated. A controller that reaches neither the state service nor any other
+ * controller can only refuse users' requests. It has to fail its health check, because the load balancer otherwise
+ * leaves users' connections with it, and the jobs of those users stay unreachable for them. During an outage that
+ * affects all controllers they still reach each other, so their health doesn't flap.
  */
 export class Connectivity {
   private peersAnsweredAt: number;
@@ -31,13 +31,13 @@
     this.peersAnsweredAt = deps.clock.now();
   }
 
-  /** True if neither the state service nor any other controller has answered of late. */
+  /** True if neither the state service nor any other controller has answered recently. */
   isIsolated(): boolean {
     const lastAnsweredAt = Math.max(this.deps.storeServedAt(), this.peersAnsweredAt);
     return this.deps.clock.now() - lastAnsweredAt > ISOLATED_AFTER_MS;
   }
 
-  /** Probes the state service and the other controllers if necessary. To be called about once a second. */
+  /** Probes both if the state service hasn't answered recently. To be called about once a second. */
   async check(): Promise<void> {
     if (this.isProbing || this.deps.clock.now() - this.deps.storeServedAt() <= PROBE_AFTER_MS) return;
     this.isProbing = true;
--- a/src/peers/frame-codec.ts
+++ b/src/peers/frame-codec.ts
@@ -1,5 +1,6 @@
 /**
- * Frames between controllers as bytes. This module alone maps the kinds of messages to the symbols of the schema.
+ * Encodes and decodes the frames between controllers. Only this module maps the kinds of messages to the symbols of the
+ * schema.
  */
 import {
   frameType,
@@ -10,19 +11,19 @@
 } from './frame-schema.ts';
 import type { PeerFrame, PeerReply, PeerRequest, PollAnswer } from './messages.ts';
 
-/** A frame begins with the length of its record, a big-endian 32-bit integer. */
-export const LENGTH_BYTES = 4;
+/** Size of a frame's length prefix, which holds the length of its record as a big-endian 32-bit integer. */
+export const LENGTH_PREFIX_BYTES = 4;
 
-/** Most bytes of a frame's record. Jobs are at most 64 KiB, so anything longer is no frame of ours. */
-export const MAX_FRAME = 128 * 1024;
+/** Maximum size of a frame's record. Jobs have at most 64 KiB, so a longer record can't come from a controller. */
+export const MAX_FRAME_BYTES = 128 * 1024;
 
-/** The bytes that came are no frame: too long, not decodable, or neither request nor reply. */
+/** The received bytes aren't a valid frame: it is too long, not decodable, or not exactly one of request and reply. */
 export class FrameError extends Error {
   override readonly name = 'FrameError';
   readonly code = 'ERR_PEER_FRAME';
 }
 
-/** Fields that a kind of request doesn't use have these values on the wire. */
+/** The values on the wire of the fields that a kind of request doesn't use. */
 const EMPTY_REQUEST = {
   jobId: '',
   body: '',
@@ -34,7 +35,7 @@
   reports: [],
 } as const satisfies Omit<WireRequest, 'kind'>;
 
-/** Fields that a kind of reply doesn't use have these values on the wire. */
+/** The values on the wire of the fields that a kind of reply doesn't use. */
 const EMPTY_REPLY = {
   created: false,
   stage: 'pending',
@@ -106,7 +107,7 @@
   }
 }
 
-/** Inside a batch no answer says that a job was just created. */
+/** Answers in a batch have no field `created` on the wire: a poll never creates a job. */
 function decodeAnswer(wire: WireAnswer): PollAnswer {
   switch (wire.kind) {
     case 'status':
@@ -166,7 +167,7 @@
   }
 }
 
-/** Encodes a frame as Avro binary behind its length, a big-endian 32-bit integer. */
+/** Encodes a frame: a length prefix and the record in Avro binary. */
 export function encodeFrame(frame: PeerFrame): Buffer {
   const wire: WireFrame = {
     id: frame.id,
@@ -174,23 +175,23 @@
     reply: frame.reply ? encodeReply(frame.reply) : null,
   };
   const body = frameType.toBuffer(wire);
-  const head = Buffer.allocUnsafe(LENGTH_BYTES);
-  head.writeUInt32BE(body.length);
-  return Buffer.concat([head, body]);
+  const lengthPrefix = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES);
+  lengthPrefix.writeUInt32BE(body.length);
+  return Buffer.concat([lengthPrefix, body]);
 }
 
-/** Decodes the record of a frame, without its length. Throws a FrameError if it is none. */
+/** Decodes the record of a frame, without the length prefix. Throws a FrameError if the record is invalid. */
 export function decodeFrameBody(body: Buffer): PeerFrame {
   const { id, request, reply } = parseRecord(body);
   if (request && !reply) return { id, request: decodeRequest(request), reply: null };
   if (reply && !request) return { id, request: null, reply: decodeReply(reply) };
-  throw new FrameError('neither request nor reply');
+  throw new FrameError('frame must contain either a request or a reply');
 }
 
 function parseRecord(body: Buffer): WireFrame {
   try {
     return frameType.fromBuffer(body) as WireFrame;
   } catch (error) {
-    throw new FrameError(error instanceof Error ? error.message : 'not decodable', { cause: error });
+    throw new FrameError(error instanceof Error ? error.message : 'frame is not decodable', { cause: error });
   }
 }
--- a/src/peers/frame-schema.ts
+++ b/src/peers/frame-schema.ts
@@ -1,6 +1,6 @@
 /**
- * The Avro schema of the frames between controllers and the types of its records. Controllers of two versions talk to
- * each other during an upgrade, so neither its names nor the order of its fields and symbols may change.
+ * The Avro schema of the frames between controllers, and the types of its records. Controllers of different versions
+ * communicate during an upgrade, so neither the names nor the order of the fields and symbols may change.
  */
 import avro from 'avsc';
 import type { HeartbeatResponse, PeerJobStage } from './messages.ts';
@@ -119,7 +119,7 @@
   ],
 });
 
-/** An answer inside a batch of polls, as the schema has it. */
+/** An answer in a batch of polls, as defined by the schema. */
 export interface WireAnswer {
   kind: 'status' | 'unknown' | 'unable';
   stage: PeerJobStage;
@@ -127,7 +127,7 @@
   running: number;
 }
 
-/** A request, as the schema has it: all fields of all kinds. */
+/** A request, as defined by the schema: the fields of all kinds together. */
 export interface WireRequest {
   kind: 'poll' | 'cancel' | 'submit' | 'promise' | 'look' | 'ping' | 'workers' | 'polls' | 'reports';
   jobId: string;
@@ -140,7 +140,7 @@
   reports: readonly string[];
 }
 
-/** A reply, as the schema has it: all fields of all kinds. */
+/** A reply, as defined by the schema: the fields of all kinds together. */
 export interface WireReply {
   kind: 'status' | 'refused' | 'unknown' | 'unable' | 'promised' | 'here' | 'answers' | 'judged';
   created: boolean;
@@ -154,7 +154,7 @@
   answers: readonly WireAnswer[];
 }
 
-/** The record of a frame, as the schema has it: either a request or a reply. */
+/** The record of a frame, as defined by the schema: either a request or a reply. */
 export interface WireFrame {
   id: number;
   request: WireRequest | null;
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -1,39 +1,39 @@
-/** The messages between controllers, whatever carries them. */
+/** The messages between controllers, independent of the transport. */
 
 /**
- * What controllers ask each other. A follower hands the request of a user or worker to the leader and passes the
- * leader's answer on.
+ * A request to another controller. A follower forwards requests of users and workers to the leader and returns the
+ * leader's answer.
  */
 export type PeerRequest =
-  /** The state of a job, as far as the asked controller knows it without waiting. */
+  /** Asks for the state of a job, as far as the receiver knows it without waiting. */
   | { kind: 'poll'; jobId: string }
-  /** Many polls at once; answered by `pollAnswers` in the same order. */
+  /** A batch of polls; answered by `pollAnswers` in the same order. */
   | { kind: 'pollBatch'; jobIds: readonly string[] }
-  /** What the state service holds of a job: asked by a controller that the service refuses alone. */
+  /** Asks for the stored state of a job; sent by a controller whose own read of the state service has failed. */
   | { kind: 'lookup'; jobId: string }
-  /** Asks for any sign of life; answered by `ack`. */
+  /** Checks that the receiver is reachable; answered by `ack`. */
   | { kind: 'ping' }
-  /** Whether workers have sent heartbeats to the asked controller itself of late; answered by `ack` if so. */
+  /** Asks whether the receiver has recently received heartbeats directly from workers; answered by `ack` if so. */
   | { kind: 'workerContact' }
   | { kind: 'cancel'; jobId: string }
   | { kind: 'submit'; jobId: string; body: string }
-  /** Bodies of heartbeats as they came to the follower `node`; answered by `heartbeatResponses` in the same order. */
+  /** Bodies of heartbeats that the follower `node` received; answered by `heartbeatResponses` in the same order. */
   | { kind: 'heartbeats'; node: string; heartbeats: readonly string[] }
   /**
-   * A leader without the state service asks the other controllers to begin no leaderless write for `ms`
-   * milliseconds. `continuous`: its lease of `term` is still valid.
+   * Sent by a leader that can't reach the state service: the receiver shall begin no leaderless write for `ms`
+   * milliseconds. `continuous`: the leader's lease of `term` is still valid.
    */
   | { kind: 'grantPeerLease'; term: number; ms: number; continuous: boolean };
 
-/** Stage of a job as the frames between controllers name it. */
+/** The stage of a job in messages between controllers. */
 export type PeerJobStage = 'pending' | 'running' | 'done' | 'cancelled';
 
-/** What a leader answers to one poll of a batch. */
+/** The answer to one poll. */
 export type PollAnswer =
   | { kind: 'status'; created: boolean; stage: PeerJobStage; done: number; running: number }
   /** The state service holds no record of the job. */
   | { kind: 'notFound' }
-  /** The asked controller can't decide now. */
+  /** The receiver can't answer the request at present. */
   | { kind: 'unavailable' };
 
 /** The leader's answer to one relayed heartbeat. */
@@ -43,15 +43,15 @@
   body: string;
 }
 
-/** What a controller answers another one. */
+/** The reply to a request of another controller. */
 export type PeerReply =
   | PollAnswer
   | { kind: 'pollAnswers'; answers: readonly PollAnswer[] }
   /** `status`: the HTTP status of the refusal, with its reason. */
   | { kind: 'refused'; status: number; reason: string }
-  /** `relay`: the follower is to relay more heartbeats. */
+  /** `relay`: the follower should go on relaying heartbeats. */
   | { kind: 'heartbeatResponses'; relay: boolean; responses: readonly HeartbeatResponse[] }
-  /** The peer lease that was asked for holds. */
+  /** The receiver grants the requested peer lease. */
   | { kind: 'granted' }
   | { kind: 'ack' };
 
--- a/src/peers/peer-connection.ts
+++ b/src/peers/peer-connection.ts
@@ -1,4 +1,4 @@
-/** Connections between controllers: frames off a socket, and requests to one peer. */
+/** Connections between controllers: reading frames from a socket, and calling one peer. */
 import { connect, type Socket } from 'node:net';
 import type { Logger } from '../base/log.ts';
 import { encodeFrame } from './frame-codec.ts';
@@ -11,7 +11,7 @@
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** Reads frames off a connection; a malformed frame ends that connection and harms nothing else. */
+/** Reads frames from a connection; a malformed frame closes this connection only. */
 export function readFrames(socket: Socket, log: Logger, onFrame: (frame: PeerFrame) => void): void {
   const reader = new FrameReader();
   socket.on('data', (chunk) => {
@@ -30,7 +30,7 @@
   timer: NodeJS.Timeout;
 }
 
-/** The outgoing connection to one peer, opened when a request needs it and again after it has failed. */
+/** The outgoing connection to one peer; opened by the first call, and reopened by the next call after a failure. */
 export class PeerConnection {
   private socket: Socket | null = null;
   private lastFrameAt = -Infinity;
@@ -42,7 +42,10 @@
     private readonly log: Logger,
   ) {}
 
-  /** null: no reply within `timeoutMs` milliseconds; the request may still be carried out. */
+  /**
+   * Sends a request and waits for its reply. null: no reply within `timeoutMs` milliseconds, or the connection was
+   * closed; the peer may have processed the request all the same.
+   */
   call(request: PeerRequest, timeoutMs: number): Promise<PeerReply | null> {
     return new Promise((resolve) => {
       const id = this.nextId++;
@@ -50,8 +53,9 @@
       const timer = setTimeout(() => {
         this.pendingCalls.delete(id);
         resolve(null);
-        // A silent connection may lead into a network partition; the next request opens a new one. A slow reply alone
-        // must not end the other calls on this connection.
+        // A connection without any frame since the request may be broken by a network partition: it is closed, and the
+        // next call opens a new one. If other frames have arrived, only this reply is slow, and the other calls on the
+        // connection must not end with it.
         if (this.lastFrameAt < sentAt) this.close();
       }, timeoutMs);
       this.pendingCalls.set(id, { resolve, timer });
@@ -59,7 +63,7 @@
     });
   }
 
-  /** Closes the socket and ends all calls without a reply. A later call opens a new connection. */
+  /** Closes the socket and resolves all pending calls to null. A later call opens a new connection. */
   close(): void {
     this.socket?.destroy();
     this.socket = null;
--- a/src/peers/peer-rpc.ts
+++ b/src/peers/peer-rpc.ts
@@ -1,4 +1,4 @@
-/** Remote procedure calls between controllers, over connections that are kept open. */
+/** Remote procedure calls between controllers over persistent connections. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Logger } from '../base/log.ts';
 import { encodeFrame } from './frame-codec.ts';
@@ -6,10 +6,10 @@
 import { parseAddress, PeerConnection, readFrames } from './peer-connection.ts';
 import type { Peers } from './peers.ts';
 
-/** Serves the requests of other controllers. `reply` may be called later; on a closed connection it does nothing. */
+/** Handles a request of another controller. `reply` may be called asynchronously; on a closed socket it does nothing. */
 export type PeerRequestHandler = (request: PeerRequest, reply: (reply: PeerReply) => void) => void;
 
-/** Calls the other controllers and serves their calls. Owns the sockets of both directions until `close`. */
+/** Calls the other controllers and serves their calls. Owns the sockets in both directions until `close`. */
 export class PeerRpc implements Peers {
   readonly names: readonly string[];
   private readonly connections = new Map<string, PeerConnection>();
@@ -25,7 +25,7 @@
     for (const peer of peers) this.connections.set(peer.name, new PeerConnection(peer.address, log));
   }
 
-  /** Accepts connections of other controllers on `host:port`. Rejects if the address can't be used. */
+  /** Accepts connections of other controllers on `host:port`. Rejects if it can't listen on the address. */
   listen(address: string): Promise<void> {
     const server = createServer((socket) => {
       this.serve(socket);
@@ -38,7 +38,7 @@
     });
   }
 
-  /** The port that `listen` got; tests let the system choose it. 0 while not listening. */
+  /** The port that `listen` is bound to; tests let the operating system choose it. 0 while not listening. */
   port(): number {
     const address = this.server?.address();
     return typeof address === 'object' && address ? address.port : 0;
@@ -48,7 +48,7 @@
     return this.connections.get(peer)?.call(request, timeoutMs) ?? Promise.resolve(null);
   }
 
-  /** Closes the connections of both directions; calls in progress end without a reply. */
+  /** Closes the connections in both directions; pending calls resolve to null. */
   close(): void {
     for (const connection of this.connections.values()) connection.close();
     this.server?.close();
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -1,17 +1,17 @@
-/** How a controller reaches the other controllers, whatever carries the messages. */
+/** Calls to the other controllers, independent of the transport. */
 import type { PeerReply, PeerRequest } from './messages.ts';
 
 /** The other controllers of the cluster. */
 export interface Peers {
   readonly names: readonly string[];
   /**
-   * Sends a request and waits for its reply for at most `timeoutMs` milliseconds. null: no reply in time; the request
-   * may still be carried out.
+   * Sends a request and waits for its reply for at most `timeoutMs` milliseconds. null: no reply in time; the peer may
+   * have processed the request all the same.
    */
   call(peer: string, request: PeerRequest, timeoutMs: number): Promise<PeerReply | null>;
 }
 
-/** A controller sent no reply in time, or none that the caller can use. */
+/** A controller sent no reply in time, or a reply that the caller can't use. */
 class NoUsableReplyError extends Error {
   override readonly name = 'NoUsableReplyError';
   readonly code = 'ERR_NO_USABLE_REPLY';
@@ -21,7 +21,7 @@
   }
 }
 
-/** Calls all other controllers at once. Returns the first usable reply, or null once none can come any more. */
+/** Calls all other controllers in parallel. Returns the first usable reply; null: all calls ended without one. */
 export async function callAny(
   peers: Peers,
   request: PeerRequest,
--- a/src/relay/event-counter.ts
+++ b/src/relay/event-counter.ts
@@ -17,13 +17,13 @@
     this.current += events;
   }
 
-  /** Events in the current window or, if there were more, in the one before. */
+  /** The larger of the event counts of the current and the previous window. */
   largerOfLastTwo(now: number): number {
     this.advance(now);
     return Math.max(this.current, this.previous);
   }
 
-  /** Events in the current window. */
+  /** The event count of the current window. */
   currentCount(now: number): number {
     this.advance(now);
     return this.current;
--- a/src/relay/heartbeat-relay.ts
+++ b/src/relay/heartbeat-relay.ts
@@ -3,31 +3,34 @@
 import { failure, type Answer } from '../http/server.ts';
 import type { HeartbeatResponse } from '../peers/messages.ts';
 
-/** Least time between two batches to the leader, in milliseconds. */
-const BATCH_GAP_MS = 20;
-/** A batch is sent early from this size on: a frame holds at most 128 KiB and a single heartbeat at most 64 KiB. */
-const BATCH_BYTES = 48 * 1024;
-/** A response of the leader that is older than this, counted from the heartbeat's arrival here, is dropped. */
+/** Minimum time between two batches to the leader. */
+const MIN_BATCH_GAP_MS = 20;
+/**
+ * A batch of at least this size is sent without waiting for more heartbeats. With one more heartbeat of at most 64 KiB
+ * it still fits a frame of at most 128 KiB.
+ */
+const FLUSH_THRESHOLD_BYTES = 48 * 1024;
+/** Maximum time from the arrival of a heartbeat until its response is passed on; an older response is dropped. */
 export const MAX_RESPONSE_AGE_MS = 1000;
-/** Least time between two questions to the leader whether this follower is to relay. */
-const ASK_GAP_MS = 1000;
+/** Minimum time between two queries to the leader whether this follower should relay heartbeats. */
+const MIN_QUERY_GAP_MS = 1000;
 
-/** What the leader answers to a batch: whether to relay more heartbeats, and one response for each. */
+/** The leader's reply to a batch: whether to go on relaying, and one response to each heartbeat of the batch. */
 export interface RelayReply {
   relay: boolean;
   responses: readonly HeartbeatResponse[];
 }
 
-/** What the relay needs of the controller it runs on. */
+/** The dependencies of the relay on its controller. */
 export interface HeartbeatRelayDeps extends PacerTimers {
-  /** The controller that leads as far as is known here; null: none. */
+  /** The name of the leading controller, as far as this controller knows; null: unknown or none. */
   leader(): string | null;
-  /** Sends heartbeats to a leader; null: it doesn't lead, can't be reached or didn't answer in time. */
+  /** Sends heartbeats to a leader. null: it doesn't lead, can't be reached or didn't reply in time. */
   send(leader: string, heartbeats: string[], timeoutMs: number): Promise<RelayReply | null>;
-  /** Handles an error that sending or answering throws. */
+  /** Handles an error thrown while a batch is sent or its heartbeats are answered. */
   onError(error: unknown): void;
-  /** How long heartbeats are relayed on after the last leader that asked for it, in milliseconds. */
-  relayForMs: number;
+  /** How long heartbeats are relayed after the last reply of a leader that asked for it, in milliseconds. */
+  relayDurationMs: number;
 }
 
 interface PendingHeartbeat {
@@ -37,55 +40,56 @@
 }
 
 /**
- * Relays workers' heartbeats to the leader in batches, on a follower. It decides nothing: each heartbeat is answered
- * with the leader's own response to that very heartbeat, which carries the leader's fencing token, or is refused. No
- * response is kept.
+ * Relays workers' heartbeats from a follower to the leader in batches. The follower decides nothing itself: it answers
+ * each heartbeat with the leader's response to that heartbeat, which carries the leader's fencing token, or refuses it.
+ * Responses aren't cached.
  *
- * A leader asks for it only while it has more workers than it can serve alone; otherwise workers are redirected to it.
+ * A leader asks followers to relay only while it has more workers than it can serve alone; otherwise followers redirect
+ * their workers to the leader.
  */
 export class HeartbeatRelay {
   private pending: PendingHeartbeat[] = [];
   private pendingBytes = 0;
   private readonly pacer: BatchPacer;
   private relayUntil = -Infinity;
-  private lastAskedAt = -Infinity;
+  private lastQueryAt = -Infinity;
 
   constructor(private readonly deps: HeartbeatRelayDeps) {
-    this.pacer = new BatchPacer(deps, BATCH_GAP_MS, () => {
+    this.pacer = new BatchPacer(deps, MIN_BATCH_GAP_MS, () => {
       this.flush();
     });
   }
 
-  /** Takes a heartbeat in to be relayed. False: the worker is to be redirected to the leader. */
-  take(body: string, reply: (answer: Answer) => void): boolean {
+  /** Queues a heartbeat to be relayed. False: not queued; the caller should redirect the worker to the leader. */
+  tryRelay(body: string, reply: (answer: Answer) => void): boolean {
     const now = this.deps.now();
     const leader = this.deps.leader();
     if (leader === null) return false;
     if (now >= this.relayUntil) {
-      this.askWhetherToRelay(leader, now);
+      this.queryRelayDecision(leader, now);
       return false;
     }
     this.pending.push({ body, arrivedAt: now, reply });
     this.pendingBytes += Buffer.byteLength(body);
-    if (this.pendingBytes >= BATCH_BYTES) this.flush();
+    if (this.pendingBytes >= FLUSH_THRESHOLD_BYTES) this.flush();
     else this.pacer.schedule();
     return true;
   }
 
-  private askWhetherToRelay(leader: string, now: number): void {
-    if (now - this.lastAskedAt < ASK_GAP_MS) return;
-    this.lastAskedAt = now;
+  private queryRelayDecision(leader: string, now: number): void {
+    if (now - this.lastQueryAt < MIN_QUERY_GAP_MS) return;
+    this.lastQueryAt = now;
     this.deps
       .send(leader, [], MAX_RESPONSE_AGE_MS)
       .then((reply) => {
-        this.noteReply(reply);
+        this.applyRelayDecision(reply);
       })
       .catch(this.onError);
   }
 
-  /** The leader has said whether to relay; without a reply things stay as they are. */
-  private noteReply(reply: RelayReply | null): void {
-    if (reply) this.relayUntil = reply.relay ? this.deps.now() + this.deps.relayForMs : -Infinity;
+  /** Applies the leader's decision whether to relay; without a reply the previous decision stays in effect. */
+  private applyRelayDecision(reply: RelayReply | null): void {
+    if (reply) this.relayUntil = reply.relay ? this.deps.now() + this.deps.relayDurationMs : -Infinity;
   }
 
   private flush(): void {
@@ -103,7 +107,7 @@
     this.deps
       .send(leader, bodies, MAX_RESPONSE_AGE_MS)
       .then((reply) => {
-        this.noteReply(reply);
+        this.applyRelayDecision(reply);
         batch.forEach((heartbeat, index) => {
           heartbeat.reply(this.answerTo(heartbeat, leader, reply?.responses[index]));
         });
@@ -120,7 +124,8 @@
     leader: string,
     response: HeartbeatResponse | undefined,
   ): Answer {
-    // Another controller leads by now, or this process stood still: whatever the response says is not passed on.
+    // The response took too long, for instance because this process was paused, or the leader has changed: the response
+    // may no longer be valid and isn't passed on.
     const isStale =
       this.deps.now() - heartbeat.arrivedAt > MAX_RESPONSE_AGE_MS || this.deps.leader() !== leader;
     if (response === undefined || isStale) return leaderUnavailable();
@@ -128,7 +133,7 @@
   }
 }
 
-/** The worker tries the next controller a second later. */
+/** The refusal of a heartbeat; the worker tries the next controller a second later. */
 function leaderUnavailable(): Answer {
   return failure(503, 'the leader did not answer', 1);
 }
