--- a/src/peers/peer-rpc.ts
+++ b/src/peers/peer-rpc.ts
@@ -6,7 +6,7 @@
 import { parseAddress, PeerConnection, readFrames } from './peer-connection.ts';
 import type { Peers } from './peers.ts';
 
-/** Handles a request of another controller. `reply` may be called asynchronously; on a closed socket it does nothing. */
+/** Handles a request of another controller. `reply` may be called later; on a closed connection it does nothing. */
 export type PeerRequestHandler = (request: PeerRequest, reply: (reply: PeerReply) => void) => void;
 
 /** Calls the other controllers and serves their calls. Owns the sockets in both directions until `close`. */
--- a/src/relay/event-counter.ts
+++ b/src/relay/event-counter.ts
@@ -12,6 +12,7 @@
     this.windowStartedAt = now;
   }
 
+  /** Adds events to the current window. */
   add(now: number, events: number): void {
     this.advance(now);
     this.current += events;
