--- a/src/sim/random.ts
+++ b/src/sim/random.ts
@@ -10,15 +10,17 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** Evenly spread over [0, 1). */
+  /** Uniformly distributed over [0, 1). */
   next(): number {
     return uniformFloat64(this.generator);
   }
 
+  /** Uniformly distributed from `low` to below `high`. */
   between(low: number, high: number): number {
     return low + this.next() * (high - low);
   }
 
+  /** True with the given probability. A probability of 0 consumes no random number. */
   chance(probability: number): boolean {
     return probability > 0 && this.next() < probability;
   }
