--- a/standins/http.ts
+++ b/standins/http.ts
@@ -9,7 +9,7 @@
 /** Answers a request. The body is an empty object if the request had none. */
 export type Route = (method: string, url: URL, body: Record<string, unknown>) => Answer | Promise<Answer>;
 
-/** A small JSON server on a port that the system chooses. */
+/** Starts a JSON server on a free port of the loopback interface. Resolves to the server and its address. */
 export function serveJson(route: Route): Promise<{ server: Server; address: string }> {
   const server = createServer((req, res) => {
     const chunks: Buffer[] = [];
@@ -24,17 +24,20 @@
         return;
       }
       void Promise.resolve(route(req.method ?? 'GET', new URL(req.url ?? '/', 'http://x'), body)).then(
-        (a) => {
-          res.writeHead(a.status, { 'content-type': 'application/json' });
-          res.end(JSON.stringify(a.body));
+        (answer) => {
+          res.writeHead(answer.status, { 'content-type': 'application/json' });
+          res.end(JSON.stringify(answer.body));
         },
       );
     });
   });
   return new Promise((resolve) => {
     server.listen(0, '127.0.0.1', () => {
-      const at = server.address();
-      resolve({ server, address: `127.0.0.1:${typeof at === 'object' && at ? at.port : 0}` });
+      const socketAddress = server.address();
+      resolve({
+        server,
+        address: `127.0.0.1:${typeof socketAddress === 'object' && socketAddress ? socketAddress.port : 0}`,
+      });
     });
   });
 }
